--- a/include/bilberrytray/core/call_rate.h
+++ b/include/bilberrytray/core/call_rate.h
@@ -2,8 +2,8 @@
 #define BILBERRYTRAY_CORE_CALL_RATE_H
 
 /** @file
- * How often a process may call a service of the platform: a token bucket, and a back-off with
- * jitter after failures. Pure: times and the seed are arguments.
+ * Limits how often a process calls a service of the platform: a token bucket, and exponential
+ * back-off with jitter after failures. Does no I/O; the time and the random seed are arguments.
  */
 
 #include <stdbool.h>
@@ -13,39 +13,39 @@
 
 typedef struct bt_call_rate_settings
 {
-  int64_t calls_per_s;      /**< Lasting rate; at least 1. */
-  int64_t burst;            /**< Calls that may follow at once after a rest; at least 1. */
-  int64_t backoff_first_ms; /**< Longest wait after the first failure. */
-  int64_t backoff_last_ms;  /**< Longest wait after many failures. */
+  int64_t calls_per_s;      /**< Sustained rate; at least 1. */
+  int64_t burst;            /**< Calls allowed back to back when the bucket is full; at least 1. */
+  int64_t backoff_first_ms; /**< Upper bound of the wait after the first failure. */
+  int64_t backoff_last_ms;  /**< Upper bound of the wait after any number of failures. */
 } bt_call_rate_settings_t;
 
-/** One caller's allowance. */
+/** Rate limiter of one caller. */
 typedef struct bt_call_rate
 {
   bt_call_rate_settings_t settings;
   bt_random_t random;
-  int64_t tokens_milli; /**< Thousandths of a call. */
-  int64_t filled_ms;    /**< When tokens_milli was last brought up to date. */
+  int64_t tokens_milli; /**< Tokens in thousandths of a call. */
+  int64_t refilled_ms;  /**< Time of the last refill of tokens_milli. */
   int64_t backoff_until_ms;
-  int32_t failures; /**< Failures since the last success. */
+  int32_t failures; /**< Consecutive failures since the last success. */
 } bt_call_rate_t;
 
-/** Starts with a full bucket at @p now_ms. */
+/** Initialises the limiter with a full bucket at @p now_ms. */
 void bt_init_call_rate (bt_call_rate_t *rate,
                         const bt_call_rate_settings_t *settings,
                         uint64_t seed,
                         int64_t now_ms);
 
-/** Takes one call. Returns 0 when it may go now; otherwise takes nothing and returns how many
- * milliseconds to wait before asking again. */
+/** Takes one token. Returns 0 if the call may be made now; otherwise takes nothing and returns the
+ * time to wait before asking again, in milliseconds. */
 int64_t bt_take_call (bt_call_rate_t *rate, int64_t now_ms);
 
-/** Notes that a call was answered: the back-off ends. */
+/** Records that a call was answered and ends the back-off. */
 void bt_note_call_success (bt_call_rate_t *rate);
 
-/** Notes that a call failed. The wait doubles with each failure up to the limit and is drawn
- * between half of that and the whole, so that callers which failed together do not return
- * together. */
+/** Records that a call failed and starts a back-off. The bound of the wait doubles with each
+ * failure up to backoff_last_ms; the wait is drawn between half the bound and the whole, so that
+ * callers that failed together do not retry together. */
 void bt_note_call_failure (bt_call_rate_t *rate, int64_t now_ms);
 
 #endif
--- a/include/bilberrytray/core/membership.h
+++ b/include/bilberrytray/core/membership.h
@@ -2,11 +2,13 @@
 #define BILBERRYTRAY_CORE_MEMBERSHIP_H
 
 /** @file
- * Which instances there are, from the platform's lagging list and from links with heartbeats.
+ * Tracks which instances exist, from the platform's instance list, which lags, and from links with
+ * heartbeats.
  *
- * The link goes before the list: an instance that says itself that it leaves, or whose link went
- * silent, is not live whatever the list says; the list tells of instances that are not linked, and
- * where to dial. An address is never an identity: it is reused when instances are replaced.
+ * The state of a link takes precedence over the list: an instance that has announced that it is
+ * leaving, or whose link went silent, is not live whatever the list says. The list is used for
+ * instances without a link and for the addresses to dial. An address never identifies an instance,
+ * since it is reused when instances are replaced.
  */
 
 #include <stdbool.h>
@@ -18,63 +20,65 @@
 
 typedef enum bt_listed_role
 {
-  BT_LISTED_ENTRY = 0, /**< Runs bilberryd. */
-  BT_LISTED_AGENT,     /**< Runs bilberry-agent beside an endpoint. */
+  BT_LISTED_ENTRY = 0, /**< Entry instance: runs bilberryd and accepts the requests of callers. */
+  BT_LISTED_AGENT,     /**< Agent: runs bilberry-agent beside an endpoint. */
 } bt_listed_role_t;
 
-/** One line of the list. */
+/** One instance of the platform's list. */
 typedef struct bt_listed_instance
 {
   char instance[BT_NAME_BYTES];
   bt_listed_role_t role;
   char endpoint[BT_NAME_BYTES]; /**< Agents only. */
-  char app[BT_NAME_BYTES];      /**< Agents only: the model or plain service. */
+  char app[BT_NAME_BYTES]; /**< Agents only: the model or plain service that the endpoint serves. */
   char address[BT_ADDRESS_BYTES];
-  char http[BT_ADDRESS_BYTES]; /**< Entries only: where callers connect. */
+  char http[BT_ADDRESS_BYTES]; /**< Entries only: address that callers connect to. */
   char failure_domain[BT_NAME_BYTES];
   bool leaving;
 } bt_listed_instance_t;
 
 typedef struct bt_membership_settings
 {
-  int64_t link_idle_ms;   /**< A link without a frame for this long is dead. */
-  int64_t answer_life_ms; /**< How long a caller may keep an address answer. */
-  int64_t list_stale_ms;  /**< Lists below the highest revision are dropped for this long. */
-  bool trust_list;        /**< Tests only: the list goes before the link. */
+  int64_t link_idle_ms;   /**< A link on which no frame arrives for this long is dead. */
+  int64_t answer_life_ms; /**< How long a caller may cache an answer with entry addresses. */
+  int64_t
+      list_stale_ms; /**< Lists older than the highest revision seen are rejected for this long. */
+  bool trust_list;   /**< Tests only: the list takes precedence over the link. */
 } bt_membership_settings_t;
 
 bt_membership_settings_t bt_get_default_membership_settings (void);
 
-/** What an instance says of itself when a link opens. */
+/** Data that an instance sends about itself when a link opens. */
 typedef struct bt_member_hello
 {
   bt_identity_t identity;
   bt_listed_role_t role;
-  const char *address; /**< Where it accepts links; may be "". */
+  const char *address; /**< Address on which it accepts links; may be "". */
   const char *failure_domain;
 } bt_member_hello_t;
 
-/** What became of a link that opened. */
+/** Result of opening a link. */
 typedef enum bt_link_verdict
 {
   BT_LINK_NEW = 0,
-  BT_LINK_REPLACES, /**< The instance restarted: its earlier incarnation is gone for good. */
-  BT_LINK_REFUSED,  /**< From an incarnation that a later one has replaced: close it. */
+  BT_LINK_REPLACES, /**< The instance restarted; its earlier incarnation has ended for good. */
+  BT_LINK_REFUSED, /**< The peer is an incarnation that a later one has replaced: close the link. */
 } bt_link_verdict_t;
 
-/** One instance. */
+/** State of one instance. */
 typedef struct bt_member
 {
-  bt_listed_instance_t listed; /**< From the list, or from the hello where it is not listed. */
+  bt_listed_instance_t listed; /**< From the list, or from the hello if it is not listed. */
   bool is_listed;
   bool linked;
   bool link_leaving;
-  bool admitting; /**< It says that it may act on its configuration; entries only. */
-  bool near;      /**< One end chose the other: a link between them is kept up. */
-  bool near_known;
-  bool lost;            /**< Its link went silent or met another instance, and did not return. */
-  uint64_t incarnation; /**< Of the latest link; 0 before. */
-  uint64_t retired;     /**< The incarnation before; 0 if none. */
+  bool admitting; /**< Entries only: it reports that it may act on its configuration. */
+  bool near;      /**< One end selected the other for a permanent link. */
+  bool near_is_known;
+  bool lost; /**< Its link closed, or another instance answered at its address; reset by a new link
+                or a new address. */
+  uint64_t incarnation;          /**< Incarnation of the latest link; 0 before the first. */
+  uint64_t replaced_incarnation; /**< Incarnation that the current one replaced; 0 if none. */
   int64_t heard_ms;
 } bt_member_t;
 
@@ -85,10 +89,10 @@
                                     bt_listed_role_t role,
                                     const bt_membership_settings_t *settings);
 
-/** NULL is accepted. */
+/** Frees the membership; NULL is allowed. */
 void bt_drop_membership (bt_context_t *ctx, bt_membership_t *membership);
 
-/** Takes a whole list. False when it is older than one seen before, and is dropped. */
+/** Replaces the list. Returns false and rejects the list if it is older than one seen before. */
 bool bt_take_member_list (bt_context_t *ctx,
                           bt_membership_t *membership,
                           int64_t revision,
@@ -96,7 +100,8 @@
                           int32_t count,
                           int64_t now_ms);
 
-/** A link opened. With BT_LINK_REPLACES, @p replaced is the incarnation that is gone. */
+/** Records that a link opened. On BT_LINK_REPLACES, @p replaced is set to the incarnation that has
+ * ended. */
 bt_link_verdict_t bt_open_member_link (bt_context_t *ctx,
                                        bt_membership_t *membership,
                                        const bt_member_hello_t *hello,
@@ -107,39 +112,39 @@
                            bt_membership_t *membership,
                            const bt_identity_t *identity);
 
-/** Dialling @p instance met another one at its address: the address was reused. */
+/** Records that another instance answered at the address of @p instance: the address was reused. */
 void bt_note_wrong_instance (bt_membership_t *membership, const char *instance);
 
-/** A heartbeat of the linked incarnation; others are ignored. */
+/** Records a heartbeat of the linked incarnation; heartbeats of other incarnations are ignored. */
 void bt_take_member_heartbeat (bt_membership_t *membership,
                                const bt_identity_t *identity,
                                bool leaving,
                                bool admitting,
                                int64_t now_ms);
 
-/** Whether this instance itself may act on its configuration; false at the start. */
+/** Sets whether this instance itself may act on its configuration; initially false. */
 void bt_set_self_admitting (bt_membership_t *membership, bool admitting);
 
-/** This instance leaves. */
+/** Records that this instance starts to leave. */
 void bt_set_self_leaving (bt_membership_t *membership, int64_t now_ms);
 
-/** True once a leaving instance is in no answer that a caller may still keep. */
+/** Returns true once every answer that lists this leaving instance has expired at its caller. */
 bool bt_are_answers_expired (const bt_membership_t *membership, int64_t now_ms);
 
 int32_t bt_count_members (const bt_membership_t *membership);
 const bt_member_t *bt_get_member (const bt_membership_t *membership, int32_t index);
 
-/** NULL when there is none. */
+/** Returns NULL if there is no such member. */
 const bt_member_t *bt_find_member (const bt_membership_t *membership, const char *instance);
 
-/** True when new work may go to this instance. */
+/** Returns true if new work may be sent to this instance. */
 bool
 bt_is_member_live (const bt_membership_t *membership, const bt_member_t *member, int64_t now_ms);
 
-/** Entry instances to give to a caller: live ones, not leaving, this one among them, in an order
- * drawn from @p seed. Those that would refuse for want of configuration are left out, unless all
- * would. Their members go to @p chosen, which has room for @p wanted; returns how
- * many. The answer lives for answer_life_ms. */
+/** Selects entry instances for an answer to a caller: live ones that are not leaving, including
+ * this one, in an order drawn from @p seed. Entries that would refuse requests for lack of
+ * configuration are left out, unless all of them would. Writes the members to @p chosen, which has
+ * room for @p wanted, and returns their number. The answer is valid for answer_life_ms. */
 int32_t bt_choose_addresses (bt_context_t *ctx,
                              const bt_membership_t *membership,
                              uint64_t seed,
@@ -147,8 +152,9 @@
                              int32_t wanted,
                              const bt_member_t **chosen);
 
-/** The entries as configuration needs them: listed or linked, not leaving; silent ones too, since
- * they may be alive elsewhere. The caller frees the array with bt_free. */
+/** Lists the entries for the distribution of configuration: those that are listed or linked and not
+ * leaving. Silent ones are included, since they may still be reachable by others. The caller frees
+ * the array with bt_free. */
 bt_spread_member_t *
 bt_list_spread_members (bt_context_t *ctx, const bt_membership_t *membership, int32_t *count);
 
--- a/include/bilberrytray/core/outcome.h
+++ b/include/bilberrytray/core/outcome.h
@@ -2,7 +2,7 @@
 #define BILBERRYTRAY_CORE_OUTCOME_H
 
 /** @file
- * What a request came to, and why: the closed set of outcomes and the one list of reasons.
+ * Outcomes of requests and the reasons for them. Both sets are closed.
  */
 
 #include <stdbool.h>
@@ -10,17 +10,17 @@
 
 #include "bilberrytray/base/context.h"
 
-/** The closed set of outcomes. */
+/** Outcome of a request, as reported to its caller. */
 typedef enum bt_outcome
 {
-  BT_OUTCOME_ANSWERED = 0, /**< The whole answer was given. */
-  BT_OUTCOME_NOT_RUN,      /**< It did not run and never will under this key: proved. */
-  BT_OUTCOME_UNKNOWN,      /**< It may have run, wholly or in part. */
+  BT_OUTCOME_ANSWERED = 0, /**< The complete answer was delivered. */
+  BT_OUTCOME_NOT_RUN,      /**< Proven: it did not run and never will under this key. */
+  BT_OUTCOME_UNKNOWN,      /**< It may have run, completely or in part. */
 } bt_outcome_t;
 
-/** Every reason for a refusal: identifier, name in headers and counters, HTTP status, outcome. The
- * outcome is the strongest that the reason alone supports; a caller's key may weaken not-run to
- * unknown, never the other way. */
+/** All reasons for a refusal: identifier, name in headers and counters, HTTP status, outcome. The
+ * outcome is the strongest that the reason alone supports. A caller's key may weaken not-run to
+ * unknown, never the reverse. */
 #define BT_REASON_LIST(X)                                                                          \
   X (NONE, "none", 200, ANSWERED)                                                                  \
   X (BAD_REQUEST, "bad-request", 400, NOT_RUN)                                                     \
@@ -70,7 +70,7 @@
       BT_REASON_COUNT,
 } bt_reason_t;
 
-/** Every reason for trying again: identifier, name in counters. */
+/** All reasons for a retry: identifier, name in counters. */
 #define BT_RETRY_LIST(X)                                                                           \
   X (ENDPOINT_FULL, "endpoint-full")                                                               \
   X (ENDPOINT_LEAVING, "endpoint-leaving")                                                         \
@@ -94,23 +94,24 @@
 const char *bt_name_reason (bt_reason_t reason);
 const char *bt_name_retry (bt_retry_t retry);
 
-/** The HTTP status that tells a caller of @p reason. */
+/** Returns the HTTP status that reports @p reason to a caller. */
 int32_t bt_get_reason_status (bt_reason_t reason);
 
-/** The strongest outcome that @p reason alone supports. */
+/** Returns the strongest outcome that @p reason alone supports. */
 bt_outcome_t bt_get_reason_outcome (bt_reason_t reason);
 
-/** Counts a refusal. Every refusal of a program goes through this one call, so that no path refuses
- * without its reason being counted. */
+/** Counts a refusal. Every refusal of a program goes through this function, so that none is left
+ * uncounted. */
 void bt_count_refusal (bt_context_t *ctx, bt_reason_t reason);
 
-/** Counts a further attempt. */
+/** Counts a retry. */
 void bt_count_retry (bt_context_t *ctx, bt_retry_t retry);
 
-/** Counts how a request ended for its caller. */
+/** Counts the outcome of a request for its caller. */
 void bt_count_outcome (bt_context_t *ctx, bt_outcome_t outcome);
 
-/** Makes all counters of the three families, so that a page shows zeros from the start. */
+/** Creates all counters of the three families, so that the metrics page shows zeros from the
+ * start. */
 void bt_prepare_outcome_counters (bt_context_t *ctx);
 
 #endif
--- a/include/bilberrytray/core/protocol.h
+++ b/include/bilberrytray/core/protocol.h
@@ -2,8 +2,8 @@
 #define BILBERRYTRAY_CORE_PROTOCOL_H
 
 /** @file
- * Messages of the request protocol between an entry and an agent, as the decisions see them. The
- * shells translate them to and from the wire.
+ * Messages of the request protocol between an entry and an agent, in the form that the decision
+ * code uses. The I/O code translates them to and from the wire format.
  */
 
 #include <stdbool.h>
@@ -13,86 +13,92 @@
 #include "bilberrytray/core/outcome.h"
 #include "bilberrytray/requests/ticket.h"
 
-/** Names the one agent that may run a key. */
+/** Grant: names the only agent that may run the request of a key. */
 typedef struct bt_grant
 {
   bt_identity_t agent;
-  int64_t expires_ms; /**< In that agent's monotonic clock. */
-  uint32_t number;    /**< From 1, grows with each grant of a key. */
+  int64_t expires_ms; /**< In the monotonic clock of that agent. */
+  uint32_t number;    /**< Starts at 1 and increases with each grant of the key. */
 } bt_grant_t;
 
-/** What an agent knows of a key. */
+/** State of an agent's record of a key. */
 typedef enum bt_record_state
 {
-  BT_RECORD_UNSEEN = 0, /**< There is no record. */
-  BT_RECORD_OPEN,       /**< Known; proved not to have run here; may still run here. */
-  BT_RECORD_RUNNING,    /**< The endpoint runs it. */
-  BT_RECORD_DONE,       /**< It ran and its answer was whole. */
-  BT_RECORD_FAILED,     /**< It may have run, wholly or in part; it will not run again. */
-  BT_RECORD_GRANTED,    /**< Home only: another agent, or home by a later grant, may run it. */
+  BT_RECORD_UNSEEN = 0, /**< No record exists. */
+  BT_RECORD_OPEN,    /**< A record exists; the request has provably not run here but still may. */
+  BT_RECORD_RUNNING, /**< The endpoint is running it. */
+  BT_RECORD_DONE,    /**< It ran and its answer was complete. */
+  BT_RECORD_FAILED,  /**< It may have run, completely or in part; it will not run again. */
+  BT_RECORD_GRANTED, /**< Home agent only: another agent, or the home agent by a later grant, may
+                        run it. */
   BT_RECORD_TOMBSTONED, /**< It never ran here and never will. */
-  BT_RECORD_FOREIGN,    /**< Addressed to another instance or an earlier start: not known here. */
-  BT_RECORD_EXPIRED,    /**< Its ticket or grant has expired: no longer known here. */
+  BT_RECORD_FOREIGN, /**< The message was addressed to another instance or an earlier incarnation;
+                        its state is not known here. */
+  BT_RECORD_EXPIRED, /**< Its ticket or grant has expired; its state is no longer known here. */
 } bt_record_state_t;
 
-/** Which message of which call an answer belongs to. */
+/** Identifies the message that a reply answers. */
 typedef struct bt_reply_path
 {
-  uint64_t link;    /**< The connection, unique in the process that names it. */
-  uint64_t call;    /**< Chosen by the entry, unique in its incarnation. */
-  uint32_t attempt; /**< Grows with each message of a call that asks for an answer. */
+  uint64_t link;    /**< Connection number, unique in the process that assigns it. */
+  uint64_t call;    /**< Call number assigned by the entry, unique in its incarnation. */
+  uint32_t attempt; /**< Increases with each message of a call that expects a reply. */
 } bt_reply_path_t;
 
-/** Run a request, attach to its run or give the kept answer. */
+/** Entry to agent: run a request, attach to its run or return the stored answer. */
 typedef struct bt_dispatch
 {
   bt_reply_path_t path;
   bt_identity_t target;
-  bool has_ticket; /**< False: a request without a key. */
+  bool has_ticket; /**< False for a request without a key. */
   bt_ticket_t ticket;
-  bool has_grant; /**< Required where the target is not the ticket's home. */
+  bool has_grant; /**< Required if the target is not the ticket's home agent. */
   bt_grant_t grant;
   bool idempotent;
-  bool attach_only;           /**< Never start a run for this. */
-  uint64_t from_sequence;     /**< First piece wanted. */
-  uint64_t body_digest;       /**< Of the whole request; a key belongs to one. */
-  int64_t deadline_ms;        /**< In the receiver's clock. */
-  int64_t sender_now_ms;      /**< Read only under BT_FAULT_FOREIGN_CLOCK. */
-  bt_reason_t admission;      /**< Set by the receiver's policy: why it would refuse a new run. */
-  int64_t admission_retry_ms; /**< When to come back after such a refusal. */
+  bool attach_only;       /**< Attach to an existing run only; never start one. */
+  uint64_t from_sequence; /**< Sequence number of the first piece to send. */
+  uint64_t body_digest;   /**< Digest of the whole request; a key belongs to exactly one request. */
+  int64_t deadline_ms;    /**< In the receiver's clock. */
+  int64_t sender_now_ms;  /**< Read only under BT_FAULT_FOREIGN_CLOCK. */
+  bt_reason_t admission; /**< Set by the receiver's admission policy: reason to refuse a new run. */
+  int64_t admission_retry_ms; /**< Retry-after time of such a refusal. */
 } bt_dispatch_t;
 
-/** Entry to home: let this agent run the key. */
+/** Entry to home agent: allow this agent to run the key. */
 typedef struct bt_grant_request
 {
   bt_reply_path_t path;
   bt_ticket_t ticket;
-  bt_grant_t proposal;   /**< Its number is ignored. */
-  uint32_t after_number; /**< The grant that its agent tombstoned, 0 for the first. */
+  bt_grant_t proposal;   /**< The number is ignored. */
+  uint32_t after_number; /**< Number of the last grant, which its agent tombstoned; 0 for the first
+                            grant. */
 } bt_grant_request_t;
 
-/** Entry to home or to a granted agent: never run this key. */
+/** Entry to home agent or granted agent: never run this key. */
 typedef struct bt_tombstone_request
 {
   bt_reply_path_t path;
   bt_identity_t target;
   bt_ticket_t ticket;
-  bool has_grant;   /**< To a granted agent: its grant. To home: the grant that was tombstoned. */
+  bool has_grant; /**< To a granted agent: its grant is set. To the home agent: the tombstoned grant
+                     is set. */
   bt_grant_t grant; /**< See has_grant. */
 } bt_tombstone_request_t;
 
 typedef enum bt_reply_kind
 {
-  BT_REPLY_ACCEPTED = 0, /**< attached */
-  BT_REPLY_REFUSED,      /**< reason, outcome, retry_after_ms; has_grant, grant: to be followed */
-  BT_REPLY_GRANT,        /**< granted, grant, or home_runs; else reason, outcome, retry_after_ms */
-  BT_REPLY_TOMBSTONE,    /**< tombstoned; else state, has_grant, grant */
-  BT_REPLY_HEAD,         /**< status, data */
-  BT_REPLY_PIECE,        /**< sequence, data */
-  BT_REPLY_END,          /**< pieces, total_bytes */
+  BT_REPLY_ACCEPTED = 0, /**< Uses attached. */
+  BT_REPLY_REFUSED,   /**< Uses reason, outcome, retry_after_ms; has_grant and grant if there is a
+                         grant to follow. */
+  BT_REPLY_GRANT,     /**< Uses granted and grant, or home_runs; otherwise reason, outcome,
+                         retry_after_ms. */
+  BT_REPLY_TOMBSTONE, /**< Uses tombstoned; otherwise state, has_grant, grant. */
+  BT_REPLY_HEAD,      /**< Uses status, data. */
+  BT_REPLY_PIECE,     /**< Uses sequence, data. */
+  BT_REPLY_END,       /**< Uses pieces, total_bytes. */
 } bt_reply_kind_t;
 
-/** Agent to entry. Which fields count stands beside each kind. */
+/** Agent to entry. bt_reply_kind_t lists the fields that each kind uses. */
 typedef struct bt_reply
 {
   bt_reply_kind_t kind;
@@ -104,28 +110,29 @@
   bool has_grant;
   bt_grant_t grant;
   bool granted;
-  bool home_runs; /**< The home itself runs or ran the key: attach there. */
+  bool home_runs; /**< The home agent itself runs or ran the key: attach there. */
   bool tombstoned;
   bt_record_state_t state;
   uint32_t status;
-  const void *data; /**< Belongs to whoever hands the reply on, until the next event. */
+  const void *data; /**< Owned by the code that passes the reply on; valid until the next event. */
   uint64_t data_bytes;
-  uint64_t sequence; /**< Of a piece, from 0. */
+  uint64_t sequence; /**< Sequence number of a piece, starting at 0. */
   uint64_t pieces;
   uint64_t total_bytes;
 } bt_reply_t;
 
-/** Guards that a test can take out, to see that its schedules find what the guard prevents. Never
- * set outside tests. */
+/** Safeguards that a test can disable, to check that its schedules find the failure that each one
+ * prevents. Never set outside tests. */
 typedef enum bt_fault
 {
-  BT_FAULT_NO_INCARNATION = 1 << 0,  /**< Agents don't compare incarnations. */
-  BT_FAULT_NO_TOMBSTONE = 1 << 1,    /**< Agents promise a tombstone without keeping one. */
-  BT_FAULT_NO_GRANT_RECORD = 1 << 2, /**< Home forgets whom it granted a key. */
-  BT_FAULT_FOREIGN_CLOCK = 1 << 3,   /**< Expiry is judged by the sender's clock. */
-  BT_FAULT_NO_RECORD = 1 << 4,       /**< Agents forget a key once its run has ended. */
-  BT_FAULT_NO_MATCH = 1 << 5,        /**< Entries take answers of any attempt and link. */
-  BT_FAULT_NOT_RUN_EARLY = 1 << 6,   /**< Entries say not-run without a tombstone. */
+  BT_FAULT_NO_INCARNATION = 1 << 0, /**< Agents do not compare incarnations. */
+  BT_FAULT_NO_TOMBSTONE = 1 << 1,   /**< Agents confirm a tombstone without storing it. */
+  BT_FAULT_NO_GRANT_RECORD =
+      1 << 2,                      /**< The home agent does not record to whom it granted a key. */
+  BT_FAULT_FOREIGN_CLOCK = 1 << 3, /**< Expiry is checked against the sender's clock. */
+  BT_FAULT_NO_RECORD = 1 << 4,     /**< Agents drop the record of a key once its run has ended. */
+  BT_FAULT_NO_MATCH = 1 << 5,      /**< Entries accept replies of any attempt and link. */
+  BT_FAULT_NOT_RUN_EARLY = 1 << 6, /**< Entries report not-run without a tombstone. */
 } bt_fault_t;
 
 #endif
--- a/include/bilberrytray/core/subset.h
+++ b/include/bilberrytray/core/subset.h
@@ -2,8 +2,8 @@
 #define BILBERRYTRAY_CORE_SUBSET_H
 
 /** @file
- * Choosing a few of many instances without talking to anyone: rendezvous hashing, spread over
- * failure domains. Whoever knows the same candidates chooses the same ones.
+ * Selects a subset of many instances without communication: rendezvous hashing, spread over failure
+ * domains. Every process with the same candidates computes the same subset.
  */
 
 #include <stdint.h>
@@ -11,7 +11,7 @@
 #include "bilberrytray/base/context.h"
 #include "bilberrytray/core/identity.h"
 
-/** How many entry instances an agent, or an entry by itself, chooses for its links. */
+/** Number of entry instances that an agent, or an entry for itself, selects for its links. */
 #define BT_AGENT_LINKS 8
 
 typedef struct bt_subset_candidate
@@ -20,10 +20,11 @@
   char failure_domain[BT_NAME_BYTES];
 } bt_subset_candidate_t;
 
-/** Chooses up to @p wanted of the candidates for @p chooser (an instance, or a purpose that all
+/** Selects up to @p wanted of the candidates for @p chooser (an instance, or a purpose that all
  * share, such as "watch"). Writes their indexes, best first, to @p chosen, which has room for
- * @p wanted; returns how many there are. Every failure domain gives its best candidate before any
- * gives its second. When one candidate goes, at most two places change: its own, and the last. */
+ * @p wanted, and returns their number. Every failure domain contributes its best candidate before
+ * any contributes its second. If one candidate is removed, at most two places change: its own and
+ * the last. */
 int32_t bt_choose_subset (bt_context_t *ctx,
                           const char *chooser,
                           const bt_subset_candidate_t *candidates,
--- a/source/core/call_rate.c
+++ b/source/core/call_rate.c
@@ -15,21 +15,21 @@
   rate->settings = *settings;
   bt_seed_random (&rate->random, seed);
   rate->tokens_milli = settings->burst * MILLI;
-  rate->filled_ms = now_ms;
+  rate->refilled_ms = now_ms;
   rate->backoff_until_ms = now_ms;
   rate->failures = 0;
 }
 
 static void
-fill_bucket (bt_call_rate_t *rate, int64_t now_ms)
+refill_bucket (bt_call_rate_t *rate, int64_t now_ms)
 {
   int64_t full = rate->settings.burst * MILLI;
-  int64_t passed_ms = now_ms - rate->filled_ms;
+  int64_t passed_ms = now_ms - rate->refilled_ms;
 
   if (passed_ms <= 0)
     return;
-  rate->filled_ms = now_ms;
-  /* A process that slept for days must not overflow the product below. */
+  rate->refilled_ms = now_ms;
+  /* Prevents overflow of the product below after a process was suspended for days. */
   if (passed_ms > full)
     passed_ms = full;
   rate->tokens_milli += passed_ms * rate->settings.calls_per_s;
@@ -44,7 +44,7 @@
 
   if (now_ms < rate->backoff_until_ms)
     return rate->backoff_until_ms - now_ms;
-  fill_bucket (rate, now_ms);
+  refill_bucket (rate, now_ms);
   if (rate->tokens_milli >= MILLI)
     {
       rate->tokens_milli -= MILLI;
--- a/source/core/identity.c
+++ b/source/core/identity.c
@@ -18,11 +18,11 @@
 uint64_t
 bt_hash_bytes (const void *data, uint64_t bytes, uint64_t seed)
 {
-  const uint8_t *at = data;
+  const uint8_t *input = data;
   uint64_t hash = 0xcbf29ce484222325U ^ seed;
 
   for (uint64_t i = 0; i < bytes; i++)
-    hash = (hash ^ at[i]) * 0x100000001b3U;
+    hash = (hash ^ input[i]) * 0x100000001b3U;
   hash = (hash ^ (hash >> 33)) * 0xff51afd7ed558ccdU;
   hash = (hash ^ (hash >> 33)) * 0xc4ceb9fe1a85ec53U;
   return hash ^ (hash >> 33);
--- a/source/core/membership.c
+++ b/source/core/membership.c
@@ -8,7 +8,7 @@
 
 enum
 {
-  FIRST_ROOM = 16,
+  INITIAL_CAPACITY = 16,
 };
 
 #define NEVER_MS INT64_MIN
@@ -20,12 +20,12 @@
   bt_membership_settings_t settings;
   bt_member_t *members;
   int32_t count;
-  int32_t room;
+  int32_t capacity;
   int64_t list_revision;
-  int64_t list_ms; /**< When that revision was last seen. */
+  int64_t list_ms; /**< When list_revision was received. */
   bool admitting;
-  int64_t leaving_ms;      /**< NEVER_MS while this instance stays. */
-  uint64_t entries_digest; /**< Of the entries that near was reckoned for. */
+  int64_t leaving_ms;      /**< NEVER_MS until this instance starts to leave. */
+  uint64_t entries_digest; /**< Digest of the entries that the links were selected from. */
 };
 
 bt_membership_settings_t
@@ -73,17 +73,17 @@
 }
 
 static bt_member_t *
-make_member (bt_context_t *ctx, bt_membership_t *membership, const char *instance)
+find_or_add_member (bt_context_t *ctx, bt_membership_t *membership, const char *instance)
 {
   bt_member_t *member = find_member (membership, instance);
 
   if (member != NULL)
     return member;
-  if (membership->count == membership->room)
+  if (membership->count == membership->capacity)
     {
-      membership->room = membership->room * 2 + FIRST_ROOM;
+      membership->capacity = membership->capacity * 2 + INITIAL_CAPACITY;
       membership->members =
-          bt_realloc (ctx, membership->members, (size_t)membership->room, sizeof *member);
+          bt_realloc (ctx, membership->members, (size_t)membership->capacity, sizeof *member);
     }
   member = &membership->members[membership->count++];
   memset (member, 0, sizeof *member);
@@ -92,18 +92,18 @@
 }
 
 static void
-forget_members (bt_membership_t *membership)
+remove_gone_members (bt_membership_t *membership)
 {
-  int32_t kept = 0;
+  int32_t remaining = 0;
 
   for (int32_t i = 0; i < membership->count; i++)
     if (membership->members[i].is_listed || membership->members[i].linked)
-      membership->members[kept++] = membership->members[i];
-  membership->count = kept;
+      membership->members[remaining++] = membership->members[i];
+  membership->count = remaining;
 }
 
-/* A replica of the list that lags may bring back instances that are gone. Should revisions start
- * anew, because the platform's list was rebuilt, that is believed after a while. */
+/* A lagging replica of the list could bring back instances that are gone. If the platform's list
+ * was rebuilt and its revisions start again, the lower revision is accepted after list_stale_ms. */
 static bool
 is_stale_list (const bt_membership_t *membership, int64_t revision, int64_t now_ms)
 {
@@ -127,13 +127,13 @@
   return count;
 }
 
-/* Does @p chooser choose @p wanted, by the same reckoning that it makes itself? */
+/* Returns true if @p chooser selects @p wanted. Every instance computes the same selection. */
 static bool
-chooses (bt_context_t *ctx,
-         const char *chooser,
-         const char *wanted,
-         const bt_subset_candidate_t *candidates,
-         int32_t count)
+chooser_selects (bt_context_t *ctx,
+                 const char *chooser,
+                 const char *wanted,
+                 const bt_subset_candidate_t *candidates,
+                 int32_t count)
 {
   int32_t chosen[BT_AGENT_LINKS];
   int32_t given = bt_choose_subset (ctx, chooser, candidates, count, BT_AGENT_LINKS, chosen);
@@ -144,10 +144,11 @@
   return false;
 }
 
-/* Says with whom links are kept up. All to all would be millions of links at a large size; both
- * ends reckon alike, so neither has to be asked. An entry that chose itself has one link less. */
+/* Selects the instances to keep a link with. Links between all instances would be millions in a
+ * large fleet. Both ends compute the same selection, so neither has to ask the other. An entry that
+ * selected itself has one link fewer. */
 static void
-mark_near (bt_context_t *ctx, bt_membership_t *membership)
+select_near_members (bt_context_t *ctx, bt_membership_t *membership)
 {
   const char *self = membership->self.instance;
   bt_subset_candidate_t *candidates =
@@ -156,19 +157,21 @@
 
   uint64_t digest = bt_hash_bytes (candidates, (uint64_t)count * sizeof *candidates, 0);
 
-  /* The list is read every second and seldom changes: what was reckoned for these entries holds. */
+  /* The list is read every second and seldom changes: the selection stays valid while the entries
+   * are the same. */
   for (int32_t i = 0; i < membership->count; i++)
     {
       bt_member_t *member = &membership->members[i];
       const char *other = member->listed.instance;
       bool agent = member->listed.role == BT_LISTED_AGENT;
 
-      if (member->near_known && digest == membership->entries_digest)
+      if (member->near_is_known && digest == membership->entries_digest)
         continue;
-      member->near_known = true;
-      member->near =
-          count <= BT_AGENT_LINKS || (!agent && chooses (ctx, self, other, candidates, count))
-          || (membership->role == BT_LISTED_ENTRY && chooses (ctx, other, self, candidates, count));
+      member->near_is_known = true;
+      member->near = count <= BT_AGENT_LINKS
+                     || (!agent && chooser_selects (ctx, self, other, candidates, count))
+                     || (membership->role == BT_LISTED_ENTRY
+                         && chooser_selects (ctx, other, self, candidates, count));
     }
   membership->entries_digest = digest;
   bt_free (ctx, candidates);
@@ -190,16 +193,16 @@
     membership->members[i].is_listed = false;
   for (int32_t i = 0; i < count; i++)
     {
-      bt_member_t *member = make_member (ctx, membership, listed[i].instance);
+      bt_member_t *member = find_or_add_member (ctx, membership, listed[i].instance);
 
-      /* At a new address it may be a new machine: it gets its chance again. */
+      /* At a new address it may be a new machine, so it counts as reachable again. */
       if (strcmp (member->listed.address, listed[i].address) != 0)
         member->lost = false;
       member->listed = listed[i];
       member->is_listed = true;
     }
-  forget_members (membership);
-  mark_near (ctx, membership);
+  remove_gone_members (membership);
+  select_near_members (ctx, membership);
   return true;
 }
 
@@ -210,16 +213,16 @@
                      int64_t now_ms,
                      uint64_t *replaced)
 {
-  bt_member_t *member = make_member (ctx, membership, hello->identity.instance);
+  bt_member_t *member = find_or_add_member (ctx, membership, hello->identity.instance);
   bool restarted = member->incarnation != 0 && member->incarnation != hello->identity.incarnation;
 
-  /* A process that was cut off while its replacement took over comes back and dials: its records
-   * and promises are those of the past, and it must not take the place of the live one. */
-  if (restarted && member->retired == hello->identity.incarnation)
+  /* A process that was partitioned while its replacement took over may reconnect. Its records and
+   * promises are outdated, and it must not replace the live incarnation. */
+  if (restarted && member->replaced_incarnation == hello->identity.incarnation)
     return BT_LINK_REFUSED;
   if (restarted)
-    member->retired = member->incarnation;
-  *replaced = member->retired;
+    member->replaced_incarnation = member->incarnation;
+  *replaced = member->replaced_incarnation;
   member->incarnation = hello->identity.incarnation;
   member->linked = true;
   member->lost = false;
@@ -244,7 +247,7 @@
     return;
   member->linked = false;
   member->lost = true;
-  forget_members (membership);
+  remove_gone_members (membership);
 }
 
 void
@@ -269,7 +272,7 @@
     return;
   member->heard_ms = now_ms;
   member->admitting = admitting;
-  /* Leaving is for good: a heartbeat that was overtaken must not call it back. */
+  /* Leaving is permanent: a heartbeat that arrives out of order must not revoke it. */
   if (leaving)
     member->link_leaving = true;
 }
@@ -290,7 +293,7 @@
 bool
 bt_are_answers_expired (const bt_membership_t *membership, int64_t now_ms)
 {
-  /* Peers hear of the leaving by the next heartbeat, or find the link dead by its idle limit. */
+  /* Peers learn of the leaving from the next heartbeat, or from the idle limit of the link. */
   return membership->leaving_ms != NEVER_MS
          && now_ms - membership->leaving_ms
                 >= membership->settings.answer_life_ms + membership->settings.link_idle_ms;
@@ -333,8 +336,8 @@
 {
   if (membership->settings.trust_list)
     return member->is_listed && !member->listed.leaving;
-  /* The list still names, for a while, an instance that died or is leaving; callers sent there
-   * would wait for an answer that never comes. The link knows first. */
+  /* The list names an instance for a while after it died or began to leave; callers sent there
+   * would wait for an answer that never comes. The link detects this first. */
   if (is_leaving (membership, member))
     return false;
   if (is_self (membership, member))
@@ -353,14 +356,15 @@
   for (int32_t i = count - 1; i > 0; i--)
     {
       int32_t other = (int32_t)bt_random_below (&random, (uint64_t)i + 1);
-      const bt_member_t *moved = members[i];
+      const bt_member_t *swapped = members[i];
 
       members[i] = members[other];
-      members[other] = moved;
+      members[other] = swapped;
     }
 }
 
-/* An entry that has just started, or is cut off, is alive and linked, and refuses everyone. */
+/* An entry that has just started or is partitioned can be alive and linked and still refuse all
+ * requests. */
 static bool
 is_admitting (const bt_membership_t *membership, const bt_member_t *member)
 {
--- a/source/core/subset.c
+++ b/source/core/subset.c
@@ -4,13 +4,13 @@
 #include <stdlib.h>
 #include <string.h>
 
-typedef struct ranked
+typedef struct ranked_candidate
 {
   int32_t index;
-  int32_t domain_rank; /**< How many of the same failure domain are better. */
+  int32_t domain_rank; /**< Number of better candidates in the same failure domain. */
   uint64_t score;
   const bt_subset_candidate_t *candidate;
-} ranked_t;
+} ranked_candidate_t;
 
 static uint64_t
 score_candidate (const char *chooser, const char *instance)
@@ -19,7 +19,7 @@
 }
 
 static int
-compare_scores (const ranked_t *left, const ranked_t *right)
+compare_scores (const ranked_candidate_t *left, const ranked_candidate_t *right)
 {
   if (left->score != right->score)
     return left->score > right->score ? -1 : 1;
@@ -29,8 +29,8 @@
 static int
 compare_by_domain (const void *left, const void *right)
 {
-  const ranked_t *a = left;
-  const ranked_t *b = right;
+  const ranked_candidate_t *a = left;
+  const ranked_candidate_t *b = right;
   int order = strcmp (a->candidate->failure_domain, b->candidate->failure_domain);
 
   return order != 0 ? order : compare_scores (a, b);
@@ -39,8 +39,8 @@
 static int
 compare_by_rank (const void *left, const void *right)
 {
-  const ranked_t *a = left;
-  const ranked_t *b = right;
+  const ranked_candidate_t *a = left;
+  const ranked_candidate_t *b = right;
 
   if (a->domain_rank != b->domain_rank)
     return a->domain_rank < b->domain_rank ? -1 : 1;
@@ -48,7 +48,7 @@
 }
 
 static bool
-same_domain (const ranked_t *left, const ranked_t *right)
+same_domain (const ranked_candidate_t *left, const ranked_candidate_t *right)
 {
   return strcmp (left->candidate->failure_domain, right->candidate->failure_domain) == 0;
 }
@@ -61,8 +61,8 @@
                   int32_t wanted,
                   int32_t *chosen)
 {
-  ranked_t *ranked = bt_calloc (ctx, (size_t)count, sizeof *ranked);
-  int32_t given = count < wanted ? count : wanted;
+  ranked_candidate_t *ranked = bt_calloc (ctx, (size_t)count, sizeof *ranked);
+  int32_t chosen_count = count < wanted ? count : wanted;
 
   for (int32_t i = 0; i < count; i++)
     {
@@ -75,8 +75,8 @@
     if (same_domain (&ranked[i - 1], &ranked[i]))
       ranked[i].domain_rank = ranked[i - 1].domain_rank + 1;
   qsort (ranked, (size_t)count, sizeof *ranked, compare_by_rank);
-  for (int32_t i = 0; i < given; i++)
+  for (int32_t i = 0; i < chosen_count; i++)
     chosen[i] = ranked[i].index;
   bt_free (ctx, ranked);
-  return given;
+  return chosen_count;
 }
