--- a/include/bilberrytray/core/membership.h
+++ b/include/bilberrytray/core/membership.h
@@ -41,9 +41,8 @@
 {
   int64_t link_idle_ms;   /**< A link on which no frame arrives for this long is dead. */
   int64_t answer_life_ms; /**< How long a caller may cache an answer with entry addresses. */
-  int64_t
-      list_stale_ms; /**< Lists older than the highest revision seen are rejected for this long. */
-  bool trust_list;   /**< Tests only: the list takes precedence over the link. */
+  int64_t list_stale_ms;  /**< How long lists older than the highest revision are rejected. */
+  bool trust_list;        /**< Tests only: the list takes precedence over the link. */
 } bt_membership_settings_t;
 
 bt_membership_settings_t bt_get_default_membership_settings (void);
--- a/include/bilberrytray/load/run_queue.h
+++ b/include/bilberrytray/load/run_queue.h
@@ -2,9 +2,9 @@
 #define BILBERRYTRAY_LOAD_RUN_QUEUE_H
 
 /** @file
- * The agent's bounded queue before its endpoint, which has the last word: entries decide on loads
- * that lag, and together can send more than the endpoint takes. Not safe for threads: the shell
- * holds one lock for it.
+ * An agent's bounded queue in front of its endpoint. The agent makes the final decision, since
+ * entries decide on load reports that lag and together can send more than the endpoint can take.
+ * Not thread-safe: the calling code holds one lock for it.
  */
 
 #include "bilberrytray/core/identity.h"
@@ -18,68 +18,71 @@
 {
   int32_t slots;              /**< Requests that run at once, at least 1. */
   int32_t queue_limit;        /**< Requests that may wait; 0: none. */
-  int64_t default_service_ms; /**< Time of one run before any was measured. */
+  int64_t default_service_ms; /**< Assumed time of a run until one is measured. */
 } bt_run_queue_options_t;
 
-/** A request as the agent sees it. The account is copied. */
+/** A request to decide on. The account name is copied. */
 typedef struct bt_run_request
 {
-  uint64_t id; /**< The shell's number for it, unique among those waiting and running. */
+  uint64_t id; /**< Assigned by the calling code, unique among waiting and running requests. */
   const char *account;
   int32_t priority;
   int64_t deadline_left_ms;
   int32_t share; /**< Weight of the account in fair sharing; 0 counts as 1. */
 } bt_run_request_t;
 
-/** What is to be done with a request. */
+/** Action to take for a request. */
 typedef enum bt_run_action
 {
-  BT_RUN_START = 0, /**< Send it to the endpoint now; it holds a slot until bt_end_run. */
-  BT_RUN_QUEUED,    /**< It waits; bt_next_run will name it. */
-  BT_RUN_REFUSED,   /**< It did not run: tell the entry at once. */
+  BT_RUN_START = 0, /**< Send it to the endpoint now; it occupies a slot until bt_end_run. */
+  BT_RUN_QUEUED,    /**< It waits in the queue; bt_next_run returns the decision later. */
+  BT_RUN_REFUSED,   /**< It did not run: inform the entry at once. */
 } bt_run_action_t;
 
-/** A decision about one request. */
+/** Decision on one request. */
 typedef struct bt_run_decision
 {
   uint64_t id;
   bt_run_action_t action;
-  bt_reason_t reason; /**< Of a refusal: ENDPOINT_FULL, ENDPOINT_LEAVING, DEADLINE_UNREACHABLE. */
-  int64_t retry_after_ms; /**< Of a refusal: when this endpoint may take it. */
+  bt_reason_t reason; /**< Of a refusal: ENDPOINT_FULL, ENDPOINT_LEAVING or DEADLINE_UNREACHABLE. */
+  int64_t retry_after_ms; /**< Of a refusal: time after which this endpoint may accept it. */
 } bt_run_decision_t;
 
-/** 8 slots, 16 waiting, 500 ms. */
+/** Sets the defaults: 8 slots, 16 waiting requests, 500 ms per run. */
 void bt_default_run_queue_options (bt_run_queue_options_t *options);
 
 bt_run_queue_t *bt_new_run_queue (bt_context_t *ctx, const bt_run_queue_options_t *options);
 void bt_drop_run_queue (bt_context_t *ctx, bt_run_queue_t *queue);
 
-/** Offers a new request and decides about it. A waiting request of another account may lose its
- * place to it, which bt_next_run then tells. */
+/** Decides on a new request. It may replace a waiting request of another account or a lower
+ * priority, whose refusal bt_next_run returns. */
 void bt_offer_run (bt_context_t *ctx,
                    bt_run_queue_t *queue,
                    const bt_run_request_t *request,
                    int64_t now_ms,
                    bt_run_decision_t *decision);
 
-/** Tells the next decision about a waiting request: start it, or refuse it. Call it until it
- * returns false after each offer, each end, and every few milliseconds while requests wait. */
+/** Returns the next decision on a waiting request, START or REFUSED, in @p decision; false if there
+ * is none. Call it until it returns false: after each offer, after each end of a run, and every few
+ * milliseconds while requests wait. */
 bool bt_next_run (bt_run_queue_t *queue, int64_t now_ms, bt_run_decision_t *decision);
 
-/** Frees the slot of a run that ended, whichever way. @p service_ms is the time it ran, or 0 when
- * that says nothing about the endpoint (a cancelled run). */
+/** Frees the slot of a run that ended for any reason. @p service_ms is its run time, or 0 if that
+ * says nothing about the endpoint (a cancelled run). */
 void bt_end_run (bt_run_queue_t *queue, int64_t service_ms);
 
-/** Takes a waiting request out (its caller left); false when it isn't waiting. */
+/** Removes a waiting request whose caller has left; returns false if it is not waiting. */
 bool bt_cancel_run (bt_run_queue_t *queue, uint64_t id);
 
-/** Leaving: new requests are refused; those that wait or run are finished. */
+/** Sets whether the agent is leaving. New requests are then refused; waiting and running ones are
+ * completed. */
 void bt_set_run_queue_leaving (bt_run_queue_t *queue, bool leaving);
 
-/** Changes the number of slots, as the endpoint reports it; those in use stay in use. */
+/** Sets the number of slots that the endpoint reports. Requests that are already running keep their
+ * slots. */
 void bt_set_run_slots (bt_run_queue_t *queue, int32_t slots);
 
-/** The load to report. Its age is 0. */
+/** Returns the load to report in @p load, with an age of 0. */
 void bt_get_run_load (const bt_run_queue_t *queue, bt_load_t *load);
 
 #endif
--- a/source/load/admission.c
+++ b/source/load/admission.c
@@ -16,28 +16,28 @@
   DEFAULT_SPREAD_MS = 1000,
   DEFAULT_MAX_RETRY_AFTER_MS = 300000,
   DEFAULT_NO_ENDPOINT_WAIT_MS = 1000,
-  DEFAULT_OPENING_WAIT_MS = 3000,
+  DEFAULT_PAUSED_WAIT_MS = 3000,
 };
 
-/* Requests a second that are counted on at least, so that no estimate divides by zero. */
-static const double least_rate = 0.01;
+/* Lower bound of estimated rates in requests per second, so that no estimate divides by zero. */
+static const double min_rate = 0.01;
 
-/* What is kept for one app. */
+/* State of one app. */
 typedef struct app
 {
   char name[BT_NAME_BYTES];
   bt_fair_queue_t *waiting;
   bt_demand_t demand;
-  int64_t usable_ms; /* last time an endpoint was usable */
+  int64_t usable_ms; /* last time that an endpoint was usable */
 } app_t;
 
-/* The token bucket of one rule. */
-typedef struct limit
+/* Token bucket of one rule. */
+typedef struct rule_limit
 {
   char rule[BT_NAME_BYTES];
   double tokens;
   int64_t updated_ms;
-} limit_t;
+} rule_limit_t;
 
 struct bt_admission
 {
@@ -45,9 +45,9 @@
   bt_router_t *router;
   app_t *apps;
   int32_t app_count;
-  limit_t *limits;
+  rule_limit_t *limits;
   int32_t limit_count;
-  int32_t next_app; /* whose turn it is in bt_next_admission */
+  int32_t last_app; /* index of the app that bt_next_admission served last */
 };
 
 void
@@ -59,7 +59,7 @@
   options->spread_ms = DEFAULT_SPREAD_MS;
   options->max_retry_after_ms = DEFAULT_MAX_RETRY_AFTER_MS;
   options->no_endpoint_wait_ms = DEFAULT_NO_ENDPOINT_WAIT_MS;
-  options->opening_wait_ms = DEFAULT_OPENING_WAIT_MS;
+  options->paused_wait_ms = DEFAULT_PAUSED_WAIT_MS;
 }
 
 bt_admission_t *
@@ -97,7 +97,7 @@
 }
 
 static app_t *
-make_app (bt_context_t *ctx, bt_admission_t *admission, const char *name, int64_t now_ms)
+find_or_add_app (bt_context_t *ctx, bt_admission_t *admission, const char *name, int64_t now_ms)
 {
   app_t *app = find_app (admission, name);
 
@@ -120,13 +120,13 @@
   return request->rule_burst > 0 ? request->rule_burst : request->rule_per_second;
 }
 
-static limit_t *
-make_limit (bt_context_t *ctx,
-            bt_admission_t *admission,
-            const bt_admission_request_t *request,
-            int64_t now_ms)
+static rule_limit_t *
+find_or_add_limit (bt_context_t *ctx,
+                   bt_admission_t *admission,
+                   const bt_admission_request_t *request,
+                   int64_t now_ms)
 {
-  limit_t *limit;
+  rule_limit_t *limit;
 
   for (int32_t i = 0; i < admission->limit_count; i++)
     if (strcmp (admission->limits[i].rule, request->rule) == 0)
@@ -140,7 +140,8 @@
   return limit;
 }
 
-/* Takes a token of the request's rule; otherwise tells when the next one is there. */
+/* Takes a token of the request's rule. If there is none, returns false and sets @p wait_ms to the
+ * time until the next one. */
 static bool
 take_token (bt_context_t *ctx,
             bt_admission_t *admission,
@@ -148,11 +149,11 @@
             int64_t now_ms,
             int64_t *wait_ms)
 {
-  limit_t *limit;
+  rule_limit_t *limit;
 
   if (request->rule == NULL || request->rule_per_second <= 0 || request->again)
     return true;
-  limit = make_limit (ctx, admission, request, now_ms);
+  limit = find_or_add_limit (ctx, admission, request, now_ms);
   limit->tokens +=
       (double)(now_ms - limit->updated_ms) * request->rule_per_second / (double)SECOND_MS;
   limit->updated_ms = now_ms;
@@ -167,8 +168,8 @@
   return false;
 }
 
-/* Refuses, with a come-back time of @p base_ms and a random part. All who are refused in a burst
- * would else come back in one moment, as the next burst. */
+/* Refuses with a retry-after time of @p base_ms plus a random part. Without the random part, all
+ * requests refused in a burst would return together as the next burst. */
 static void
 refuse (const bt_admission_t *admission,
         bt_admission_decision_t *decision,
@@ -190,19 +191,21 @@
   decision->retry_after_ms = after_ms;
 }
 
-/* True when one more request may go out: an endpoint has room, or this entry holds less than its
- * equal part of the endpoints. Without the second, an entry that comes late to full endpoints
- * would never get a place, since those that hold places refill them at once. */
+/* Returns true if one more request may be sent: an endpoint has free capacity, or this entry has
+ * less than its equal share in flight. Without the second condition, an entry that starts sending
+ * when the endpoints are full would never get a slot, since the other entries refill theirs at
+ * once. */
 static bool
 has_room (const bt_capacity_t *capacity)
 {
   if (capacity->endpoints == 0)
     return false;
-  return capacity->room > 0 || capacity->in_flight < (int32_t)capacity->equal_part;
+  return capacity->room > 0 || capacity->in_flight < (int32_t)capacity->equal_share;
 }
 
-/* How long a request of this account would wait. The queue's order tells it if nobody else comes;
- * the account's fair rate tells it if the others go on as they did. The longer one counts. */
+/* Estimates how long a request of this account would wait. The order of the queue gives the wait if
+ * no further requests arrive; the account's fair rate gives it if the other accounts keep up their
+ * demand. Returns the longer one. */
 static double
 estimate_wait_ms (const app_t *app,
                   const bt_admission_request_t *request,
@@ -211,36 +214,36 @@
 {
   const int32_t ahead =
       bt_count_fair_ahead (app->waiting, request->account, request->share, request->priority) + 1;
-  const int32_t own = bt_count_fair_account (app->waiting, request->account) + 1;
+  const int32_t same_account = bt_count_fair_account (app->waiting, request->account) + 1;
   const double by_order = ahead * SECOND_MS / rate;
-  const double by_share = own * SECOND_MS / account_rate;
+  const double by_share = same_account * SECOND_MS / account_rate;
 
-  /* A further attempt has waited already: it goes first in its account. */
+  /* A retry has waited before: it is served first within its account. */
   if (request->again)
     return SECOND_MS / rate;
   return by_order > by_share ? by_order : by_share;
 }
 
-/* Requests a second that this entry can count on. */
+/* Returns the requests per second that the slots available to this entry can serve. */
 static double
 get_capacity_rate (const bt_capacity_t *capacity)
 {
-  const double rate = capacity->own_slots * SECOND_MS
+  const double rate = capacity->available_slots * SECOND_MS
                       / (double)(capacity->service_ms > 0 ? capacity->service_ms : 1);
 
-  return rate > least_rate ? rate : least_rate;
+  return rate > min_rate ? rate : min_rate;
 }
 
-/* A wait with the margin for what can't be foreseen: accounts that wake up, runs that take long. A
- * hopeful estimate keeps a caller waiting for a refusal that could have come at once. */
+/* Adds a margin to an estimated wait for accounts that become active and runs that take long. An
+ * estimate that is too low keeps a caller waiting for a refusal that could have been immediate. */
 static int64_t
 add_margin (const bt_admission_t *admission, double wait_ms)
 {
   return (int64_t)(wait_ms * admission->options.wait_percent / WHOLE_PERCENT);
 }
 
-/* Why a request can't be served in time: because of its account's share if it could be without
- * shares, in order of arrival; else because of the load in all. */
+/* Returns the reason why a request cannot be served in time: its account's share if it could be
+ * served in order of arrival, without shares; otherwise the total load. */
 static bt_reason_t
 find_late_reason (const bt_admission_t *admission,
                   const app_t *app,
@@ -249,13 +252,13 @@
 {
   const double wait_ms =
       (bt_count_fair (app->waiting) + 1) * SECOND_MS / get_capacity_rate (capacity);
-  const int64_t end_ms = add_margin (admission, wait_ms) + capacity->full_ms;
+  const int64_t end_ms = add_margin (admission, wait_ms) + capacity->full_queue_ms;
 
   return end_ms <= request->deadline_left_ms ? BT_REASON_ACCOUNT_SHARE
                                              : BT_REASON_DEADLINE_UNREACHABLE;
 }
 
-/* Decides about a request that can't go out now. */
+/* Queues or refuses a request that cannot be sent now. */
 static void
 queue_or_refuse (bt_context_t *ctx,
                  bt_admission_t *admission,
@@ -270,15 +273,15 @@
   const double account_rate = bt_get_fair_rate (&app->demand, account, rate, now_ms);
   const int64_t wait_ms =
       add_margin (admission, estimate_wait_ms (app, request, account_rate, rate));
-  const int64_t late_ms = wait_ms + capacity->full_ms - request->deadline_left_ms;
+  const int64_t late_ms = wait_ms + capacity->full_queue_ms - request->deadline_left_ms;
   const bt_fair_item_t item = {
     .id = request->id,
     .priority = request->priority,
-    .give_up_ms = now_ms + request->deadline_left_ms - capacity->full_ms,
-    .aim_ms = request->aim_left_ms > 0 ? now_ms + request->aim_left_ms : 0,
+    .give_up_ms = now_ms + request->deadline_left_ms - capacity->full_queue_ms,
+    .target_ms = request->aim_left_ms > 0 ? now_ms + request->aim_left_ms : 0,
     .queued_ms = now_ms,
     .share = request->share,
-    .first = request->again,
+    .at_front = request->again,
   };
 
   if (late_ms > 0)
@@ -290,32 +293,33 @@
     refuse (admission, decision, BT_REASON_QUEUE_FULL, wait_ms, request->seed);
 }
 
-/* All endpoints are shut while their group is being formed, which takes a second or two. A caller
- * who waits longer than that anyway is served sooner by waiting here than by coming back. */
+/* Queues a request while all endpoints are paused because their group is being formed, which takes
+ * one or two seconds. A caller that can wait longer than that is served sooner by waiting here than
+ * by retrying. */
 static void
-wait_for_opening (bt_context_t *ctx,
-                  bt_admission_t *admission,
-                  app_t *app,
-                  const bt_admission_request_t *request,
-                  int64_t now_ms,
-                  bt_admission_decision_t *decision)
+wait_while_paused (bt_context_t *ctx,
+                   bt_admission_t *admission,
+                   app_t *app,
+                   const bt_admission_request_t *request,
+                   int64_t now_ms,
+                   bt_admission_decision_t *decision)
 {
-  const int64_t opening_ms = admission->options.opening_wait_ms;
+  const int64_t paused_ms = admission->options.paused_wait_ms;
   const bt_fair_item_t item = {
     .id = request->id,
     .priority = request->priority,
-    .give_up_ms = now_ms + request->deadline_left_ms - opening_ms / 2,
-    .aim_ms = request->aim_left_ms > 0 ? now_ms + request->aim_left_ms : 0,
+    .give_up_ms = now_ms + request->deadline_left_ms - paused_ms / 2,
+    .target_ms = request->aim_left_ms > 0 ? now_ms + request->aim_left_ms : 0,
     .queued_ms = now_ms,
     .share = request->share,
-    .first = request->again,
+    .at_front = request->again,
   };
 
-  if (request->deadline_left_ms > opening_ms
+  if (request->deadline_left_ms > paused_ms
       && bt_push_fair (ctx, app->waiting, request->account, &item))
     decision->action = BT_ADMISSION_QUEUE;
   else
-    refuse (admission, decision, BT_REASON_NO_ENDPOINT, opening_ms / 2, request->seed);
+    refuse (admission, decision, BT_REASON_NO_ENDPOINT, paused_ms / 2, request->seed);
 }
 
 void
@@ -325,7 +329,7 @@
                      int64_t now_ms,
                      bt_admission_decision_t *decision)
 {
-  app_t *app = make_app (ctx, admission, request->app, now_ms);
+  app_t *app = find_or_add_app (ctx, admission, request->app, now_ms);
   bt_capacity_t capacity;
   int64_t wait_ms = 0;
 
@@ -341,8 +345,8 @@
   bt_get_capacity (admission->router, request->app, now_ms, &capacity);
   if (capacity.endpoints > 0)
     app->usable_ms = now_ms;
-  if (capacity.endpoints == 0 && capacity.opening > 0)
-    wait_for_opening (ctx, admission, app, request, now_ms, decision);
+  if (capacity.endpoints == 0 && capacity.paused > 0)
+    wait_while_paused (ctx, admission, app, request, now_ms, decision);
   else if (capacity.endpoints == 0)
     refuse (admission, decision, BT_REASON_NO_ENDPOINT, admission->options.spread_ms,
             request->seed);
@@ -354,12 +358,12 @@
     queue_or_refuse (ctx, admission, app, request, &capacity, now_ms, decision);
 }
 
-/* The next decision for one app. */
+/* Returns the next decision for one app. */
 static bool
-next_of_app (bt_admission_t *admission,
-             app_t *app,
-             int64_t now_ms,
-             bt_admission_decision_t *decision)
+get_next_of_app (bt_admission_t *admission,
+                 app_t *app,
+                 int64_t now_ms,
+                 bt_admission_decision_t *decision)
 {
   bt_capacity_t capacity;
   bt_fair_item_t item;
@@ -375,8 +379,8 @@
       refuse (admission, decision, BT_REASON_DEADLINE_UNREACHABLE, 0, item.id);
       return true;
     }
-  if (now_ms - app->usable_ms > (capacity.opening > 0 ? admission->options.opening_wait_ms
-                                                      : admission->options.no_endpoint_wait_ms)
+  if (now_ms - app->usable_ms > (capacity.paused > 0 ? admission->options.paused_wait_ms
+                                                     : admission->options.no_endpoint_wait_ms)
       && bt_pop_fair (app->waiting, now_ms, &item))
     {
       decision->id = item.id;
@@ -396,8 +400,8 @@
   memset (decision, 0, sizeof *decision);
   for (int32_t i = 0; i < admission->app_count; i++)
     {
-      admission->next_app = (admission->next_app + 1) % admission->app_count;
-      if (next_of_app (admission, &admission->apps[admission->next_app], now_ms, decision))
+      admission->last_app = (admission->last_app + 1) % admission->app_count;
+      if (get_next_of_app (admission, &admission->apps[admission->last_app], now_ms, decision))
         return true;
     }
   return false;
--- a/source/load/choice.h
+++ b/source/load/choice.h
@@ -2,13 +2,14 @@
 #define BILBERRYTRAY_SOURCE_LOAD_CHOICE_H
 
 /** @file
- * The choice among the endpoints that may be used.
+ * Choice among the endpoints that may be used.
  */
 
 #include "endpoint_state.h"
 
-/** Returns the cheapest of @p count endpoints, or of a random sample of them, whose order it may
- * change; NULL when @p count is 0. Ties go to the one that was longest without a request. */
+/** Returns the endpoint with the lowest cost among @p count endpoints or a random sample of them;
+ * NULL if @p count is 0. May reorder @p states. Among equal costs the endpoint with the oldest
+ * dispatch is chosen. */
 bt_endpoint_state_t *bt_choose_state (const bt_router_options_t *options,
                                       int32_t entries,
                                       bt_endpoint_state_t **states,
--- a/source/load/demand.c
+++ b/source/load/demand.c
@@ -6,12 +6,12 @@
 enum
 {
   SECOND_MS = 1000,
-  FIRST_ACCOUNTS = 16,
-  BURST_PART = 4,
+  INITIAL_CAPACITY = 16,
+  BURST_WINDOW_DIVISOR = 4,
 };
 
-/* Demand below this many requests has faded. */
-static const double faded_weight = 0.01;
+/* Demand below this many requests is negligible. */
+static const double negligible_count = 0.01;
 
 void
 bt_clear_demand (bt_context_t *ctx, bt_demand_t *demand)
@@ -21,30 +21,33 @@
 }
 
 static void
-fade_account (const bt_demand_t *demand, bt_account_demand_t *account, int64_t now_ms)
+decay_account (const bt_demand_t *demand, bt_account_demand_t *account, int64_t now_ms)
 {
   const int64_t passed_ms = now_ms - account->updated_ms;
 
   if (passed_ms <= 0)
     return;
-  account->weight *= exp (-(double)passed_ms / (double)demand->window_ms);
-  account->burst *= exp (-(double)passed_ms * BURST_PART / (double)demand->window_ms);
+  account->request_count *= exp (-(double)passed_ms / (double)demand->window_ms);
+  account->burst_count *=
+      exp (-(double)passed_ms * BURST_WINDOW_DIVISOR / (double)demand->window_ms);
   account->updated_ms = now_ms;
 }
 
-/* A place for a new account: one that has faded and owes no come-back time, or one more. */
+/* Returns an entry for a new account: one whose demand has decayed and whose announced retry time
+ * has passed, or an additional one. */
 static bt_account_demand_t *
-make_place (bt_context_t *ctx, bt_demand_t *demand, int64_t now_ms)
+take_entry (bt_context_t *ctx, bt_demand_t *demand, int64_t now_ms)
 {
   for (int32_t i = 0; i < demand->count; i++)
     {
-      fade_account (demand, &demand->accounts[i], now_ms);
-      if (demand->accounts[i].weight < faded_weight && demand->accounts[i].return_ms < now_ms)
+      decay_account (demand, &demand->accounts[i], now_ms);
+      if (demand->accounts[i].request_count < negligible_count
+          && demand->accounts[i].retry_at_ms < now_ms)
         return &demand->accounts[i];
     }
   if (demand->count == demand->capacity)
     {
-      demand->capacity = demand->capacity == 0 ? FIRST_ACCOUNTS : 2 * demand->capacity;
+      demand->capacity = demand->capacity == 0 ? INITIAL_CAPACITY : 2 * demand->capacity;
       demand->accounts =
           bt_realloc (ctx, demand->accounts, (size_t)demand->capacity, sizeof *demand->accounts);
     }
@@ -59,7 +62,7 @@
   for (int32_t i = 0; i < demand->count; i++)
     if (strcmp (demand->accounts[i].account, name) == 0)
       return &demand->accounts[i];
-  account = make_place (ctx, demand, now_ms);
+  account = take_entry (ctx, demand, now_ms);
   memset (account, 0, sizeof *account);
   bt_copy_name (account->account, name);
   account->share = 1;
@@ -73,27 +76,29 @@
 {
   bt_account_demand_t *account = bt_find_demand (ctx, demand, name, now_ms);
 
-  fade_account (demand, account, now_ms);
+  decay_account (demand, account, now_ms);
   account->share = share > 0 ? share : 1;
-  account->weight += 1;
-  account->burst += 1;
+  account->request_count += 1;
+  account->burst_count += 1;
   return account;
 }
 
-/* Demand in requests a second: a steady rate holds rate x window requests in the weight. At the
- * start of a burst the long window still shows the time before; taking it alone would promise the
- * first accounts a share that the others are about to claim. */
+/* Returns the demand in requests per second: a steady rate accumulates rate x window requests. At
+ * the start of a burst the long window still reflects the time before; used alone, it would promise
+ * the first accounts a share that the others are about to claim. */
 static double
 get_rate (const bt_demand_t *demand, const bt_account_demand_t *account)
 {
-  const double burst = account->burst * BURST_PART;
-  const double weight = burst > account->weight ? burst : account->weight;
+  const double scaled_burst = account->burst_count * BURST_WINDOW_DIVISOR;
+  const double window_requests =
+      scaled_burst > account->request_count ? scaled_burst : account->request_count;
 
-  return weight * SECOND_MS / (double)demand->window_ms;
+  return window_requests * SECOND_MS / (double)demand->window_ms;
 }
 
-/* The max-min level for a share of 1: no account gets more than its share of it unless all are
- * satisfied. Accounts below keep their demand, and what they leave raises it for the others. */
+/* Computes the max-min level for a share of 1: no account gets more than its share times the level
+ * unless all are satisfied. Accounts below it keep their demand, and the capacity that they leave
+ * raises the level for the others. */
 static double
 get_level (const bt_demand_t *demand, double per_second)
 {
@@ -131,7 +136,7 @@
   double left = per_second;
 
   for (int32_t i = 0; i < demand->count; i++)
-    fade_account (demand, &demand->accounts[i], now_ms);
+    decay_account (demand, &demand->accounts[i], now_ms);
   level = get_level (demand, per_second);
   for (int32_t i = 0; i < demand->count; i++)
     {
--- a/source/load/demand.h
+++ b/source/load/demand.h
@@ -2,26 +2,26 @@
 #define BILBERRYTRAY_SOURCE_LOAD_DEMAND_H
 
 /** @file
- * The demand of client accounts as one entry observes it, and the fair (weighted max-min) share of
- * a capacity that follows from it. Each entry sees its part of the demand and has its part of the
+ * Demand of client accounts as one entry observes it, and the fair (weighted max-min) share of a
+ * capacity that results from it. Each entry observes a part of the demand and has a part of the
  * capacity, so no store is needed to agree on shares.
  */
 
 #include "bilberrytray/base/context.h"
 #include "bilberrytray/core/identity.h"
 
-/** One account's recent demand. */
+/** Recent demand of one account. */
 typedef struct bt_account_demand
 {
   char account[BT_NAME_BYTES];
-  double weight; /**< Requests, each fading over the window. */
-  double burst;  /**< The same over a quarter of the window, so that a burst shows soon. */
-  int32_t share; /**< Weight of the account, from 1 up. */
+  double request_count; /**< Number of requests, decaying exponentially over the window. */
+  double burst_count; /**< The same over a quarter of the window, so that a burst shows quickly. */
+  int32_t share;      /**< Weight of the account, at least 1. */
   int64_t updated_ms;
-  int64_t return_ms; /**< Come-back time told last. */
+  int64_t retry_at_ms; /**< Retry time that was last announced to the account. */
 } bt_account_demand_t;
 
-/** The accounts of one app. Zero-initialise it and set the window. */
+/** Accounts of one app. Initialise it with zeros and set the window. */
 typedef struct bt_demand
 {
   int64_t window_ms;
@@ -32,16 +32,17 @@
 
 void bt_clear_demand (bt_context_t *ctx, bt_demand_t *demand);
 
-/** Counts one request of an account with this share and returns its account's entry, valid until
- * the next call. Accounts whose demand has faded make place. */
+/** Counts one request of an account, sets its share and returns its entry, which is valid until the
+ * next call. May reuse the entry of an account whose demand has decayed. */
 bt_account_demand_t *bt_add_demand (
     bt_context_t *ctx, bt_demand_t *demand, const char *name, int32_t share, int64_t now_ms);
 
-/** Finds an account's entry, made if need be, without counting. */
+/** Returns an account's entry, created if necessary, without counting a request. */
 bt_account_demand_t *
 bt_find_demand (bt_context_t *ctx, bt_demand_t *demand, const char *name, int64_t now_ms);
 
-/** Requests a second that @p account can count on when @p per_second are served in all. */
+/** Returns the requests per second that @p account can expect to be served if @p per_second are
+ * served in total. */
 double bt_get_fair_rate (bt_demand_t *demand,
                          const bt_account_demand_t *account,
                          double per_second,
--- a/source/load/endpoint_state.c
+++ b/source/load/endpoint_state.c
@@ -3,7 +3,7 @@
 enum
 {
   WHOLE_PERCENT = 100,
-  /* A new measurement counts for 1 / MEAN_WEIGHT of the mean. */
+  /* Weight of a new measurement in the mean: 1 / MEAN_WEIGHT. */
   MEAN_WEIGHT = 8,
 };
 
@@ -12,15 +12,15 @@
 {
   const int32_t slots = state->load.slots > 0 ? state->load.slots : options->default_slots;
   const int32_t share = bt_get_outlier_share (&state->outlier);
-  const int32_t part = slots * share / WHOLE_PERCENT;
+  const int32_t usable = slots * share / WHOLE_PERCENT;
 
-  return share > 0 && part == 0 ? 1 : part;
+  return share > 0 && usable == 0 ? 1 : usable;
 }
 
 int32_t
 bt_get_endpoint_load (const bt_endpoint_state_t *state)
 {
-  const int32_t load = state->total_then + state->own - state->own_then;
+  const int32_t load = state->total_at_report + state->own - state->own_at_report;
 
   return load > state->own ? load : state->own;
 }
@@ -28,14 +28,16 @@
 int32_t
 bt_get_endpoint_commitment (const bt_endpoint_state_t *state, int32_t entries)
 {
-  const int32_t grown = state->own - state->own_then;
-  int32_t alike = entries;
+  const int32_t own_growth = state->own - state->own_at_report;
+  int32_t multiplier = entries;
 
-  if (grown <= 0)
+  if (own_growth <= 0)
     return bt_get_endpoint_load (state);
-  if (state->own_then > 0 && state->total_then / state->own_then < entries)
-    alike = state->total_then > state->own_then ? state->total_then / state->own_then : 1;
-  return state->total_then + grown * alike;
+  if (state->own_at_report > 0 && state->total_at_report / state->own_at_report < entries)
+    multiplier = state->total_at_report > state->own_at_report
+                     ? state->total_at_report / state->own_at_report
+                     : 1;
+  return state->total_at_report + own_growth * multiplier;
 }
 
 bool
@@ -65,25 +67,26 @@
 int64_t
 bt_get_endpoint_idle_ms (const bt_endpoint_state_t *state, int64_t now_ms)
 {
-  if (state->own > 0 || state->changes == 0)
+  if (state->own > 0 || state->change_count == 0)
     return 0;
-  return now_ms - state->history[(state->changes - 1) % BT_HISTORY_SLOTS].at_ms;
+  return now_ms - state->history[(state->change_count - 1) % BT_HISTORY_SLOTS].at_ms;
 }
 
-/* The own count at a moment in the past, as far as the history reaches. */
+/* Returns the number of own requests in flight at @p at_ms, as far as the history reaches. */
 static int32_t
 get_own_at (const bt_endpoint_state_t *state, int64_t at_ms)
 {
-  const uint32_t kept = state->changes < BT_HISTORY_SLOTS ? state->changes : BT_HISTORY_SLOTS;
+  const uint32_t kept =
+      state->change_count < BT_HISTORY_SLOTS ? state->change_count : BT_HISTORY_SLOTS;
 
   for (uint32_t i = 1; i <= kept; i++)
     {
-      const bt_own_change_t *change = &state->history[(state->changes - i) % BT_HISTORY_SLOTS];
+      const bt_own_change_t *change = &state->history[(state->change_count - i) % BT_HISTORY_SLOTS];
 
       if (change->at_ms <= at_ms)
         return change->own;
     }
-  return kept < BT_HISTORY_SLOTS ? 0 : state->history[state->changes % BT_HISTORY_SLOTS].own;
+  return kept < BT_HISTORY_SLOTS ? 0 : state->history[state->change_count % BT_HISTORY_SLOTS].own;
 }
 
 void
@@ -92,10 +95,11 @@
   state->load = *load;
   state->load_at_ms = now_ms - load->age_ms;
   state->reported = true;
-  state->total_then = load->running + load->queued;
-  /* A report lags: what was sent or ended since is no part of it. Taking the count of now would
-   * make an endpoint that was just given work look as if others had left it idle. */
-  state->own_then = get_own_at (state, state->load_at_ms);
+  state->total_at_report = load->running + load->queued;
+  /* A report lags and does not include requests sent or ended since. With the current count
+   * instead, an endpoint that was just given work would look as if other entries had left it
+   * idle. */
+  state->own_at_report = get_own_at (state, state->load_at_ms);
 }
 
 void
@@ -103,15 +107,15 @@
 {
   state->reported = false;
   state->own = 0;
-  state->own_then = 0;
-  state->total_then = 0;
-  state->changes = 0;
+  state->own_at_report = 0;
+  state->total_at_report = 0;
+  state->change_count = 0;
 }
 
 void
 bt_add_endpoint_own (bt_endpoint_state_t *state, int32_t change, int64_t now_ms)
 {
-  bt_own_change_t *latest = &state->history[state->changes % BT_HISTORY_SLOTS];
+  bt_own_change_t *latest = &state->history[state->change_count % BT_HISTORY_SLOTS];
 
   if (state->own == 0)
     state->quiet_since_ms = now_ms;
@@ -120,14 +124,14 @@
     state->own = 0;
   latest->at_ms = now_ms;
   latest->own = state->own;
-  state->changes++;
+  state->change_count++;
 }
 
 void
 bt_take_endpoint_stall (bt_endpoint_state_t *state, int64_t took_ms)
 {
-  /* An endpoint so slow that every caller gives up first never ends a run, so its mean time stays
-   * what it was when it was well. That a request got no answer for so long is all that shows. */
+  /* If an endpoint is so slow that every caller cancels first, no run ends and its mean time keeps
+   * its earlier value. The time that a request went without an answer is the only evidence. */
   if (took_ms > state->stalled_ms)
     state->stalled_ms = took_ms;
 }
@@ -155,24 +159,24 @@
 void
 bt_set_endpoint_prefix (bt_endpoint_state_t *state, uint64_t prefix, bool cached, int64_t now_ms)
 {
-  bt_cached_prefix_t *place = &state->prefixes[0];
+  bt_cached_prefix_t *slot = &state->prefixes[0];
 
   if (prefix == 0)
     return;
   for (int32_t i = 0; i < BT_PREFIX_SLOTS; i++)
     {
-      bt_cached_prefix_t *cell = &state->prefixes[i];
+      bt_cached_prefix_t *candidate = &state->prefixes[i];
 
-      if (cell->prefix == prefix)
+      if (candidate->prefix == prefix)
         {
-          place = cell;
+          slot = candidate;
           break;
         }
-      if (cell->used_ms < place->used_ms)
-        place = cell;
+      if (candidate->used_ms < slot->used_ms)
+        slot = candidate;
     }
-  if (!cached && place->prefix != prefix)
+  if (!cached && slot->prefix != prefix)
     return;
-  place->prefix = cached ? prefix : 0;
-  place->used_ms = cached ? now_ms : 0;
+  slot->prefix = cached ? prefix : 0;
+  slot->used_ms = cached ? now_ms : 0;
 }
--- a/source/load/fair_queue.c
+++ b/source/load/fair_queue.c
@@ -5,27 +5,27 @@
 enum
 {
   NONE = -1,
-  FIRST_ACCOUNTS = 16,
+  INITIAL_ACCOUNTS = 16,
   /* Virtual time that one item of an account with share 1 takes. */
-  TURN = 1 << 20,
+  VIRTUAL_TIME_PER_ITEM = 1 << 20,
 };
 
-/* A place of the queue, linked with the others of its account. */
+/* A node of the queue, linked with the others of its account. */
 typedef struct node
 {
   bt_fair_item_t item;
-  int32_t account; /* NONE while the place is free */
-  int32_t next;    /* of the account, or of the free places */
+  int32_t account; /* NONE if the node is free */
+  int32_t next;    /* next node of the account or of the free list */
 } node_t;
 
-/* An account's items, by priority and then arrival. */
+/* An account with its list of items, ordered by priority and then arrival. */
 typedef struct account
 {
   char name[BT_NAME_BYTES];
   int32_t head;
   int32_t count;
   int32_t share;
-  uint64_t turn; /* its next item's start in virtual time */
+  uint64_t start_tag; /* start tag of its next item, in virtual time */
 } account_t;
 
 struct bt_fair_queue
@@ -33,12 +33,12 @@
   node_t *nodes;
   int32_t limit;
   int32_t count;
-  int32_t free;
+  int32_t free_head;
   account_t *accounts;
   int32_t account_count;
   int32_t account_capacity;
-  uint64_t turn;           /* virtual time: the turn of the item served last */
-  int64_t next_give_up_ms; /* no item is to be given up before */
+  uint64_t virtual_time;   /* virtual time: start tag of the item served last */
+  int64_t next_give_up_ms; /* lower bound of give_up_ms of all items */
 };
 
 bt_fair_queue_t *
@@ -48,7 +48,7 @@
 
   queue->limit = limit;
   queue->nodes = bt_calloc (ctx, (size_t)limit + 1, sizeof *queue->nodes);
-  queue->free = limit > 0 ? 0 : NONE;
+  queue->free_head = limit > 0 ? 0 : NONE;
   for (int32_t i = 0; i < limit; i++)
     {
       queue->nodes[i].account = NONE;
@@ -77,29 +77,29 @@
   return NONE;
 }
 
-/* An account with nothing waiting and no turn ahead of the others can be forgotten, so that names
- * seen once don't fill the table. */
+/* Returns an account that can be removed: it has no waiting items and its start tag is not ahead of
+ * the virtual time. Without reuse, account names seen once would fill the table. */
 static int32_t
-find_forgotten (const bt_fair_queue_t *queue)
+find_reusable_account (const bt_fair_queue_t *queue)
 {
   for (int32_t i = 0; i < queue->account_count; i++)
-    if (queue->accounts[i].count == 0 && queue->accounts[i].turn <= queue->turn)
+    if (queue->accounts[i].count == 0 && queue->accounts[i].start_tag <= queue->virtual_time)
       return i;
   return NONE;
 }
 
 static int32_t
-make_account (bt_context_t *ctx, bt_fair_queue_t *queue, const char *name)
+find_or_add_account (bt_context_t *ctx, bt_fair_queue_t *queue, const char *name)
 {
   int32_t index = find_account (queue, name);
 
   if (index != NONE)
     return index;
-  index = find_forgotten (queue);
+  index = find_reusable_account (queue);
   if (index == NONE && queue->account_count == queue->account_capacity)
     {
       queue->account_capacity =
-          queue->account_capacity == 0 ? FIRST_ACCOUNTS : 2 * queue->account_capacity;
+          queue->account_capacity == 0 ? INITIAL_ACCOUNTS : 2 * queue->account_capacity;
       queue->accounts = bt_realloc (ctx, queue->accounts, (size_t)queue->account_capacity,
                                     sizeof *queue->accounts);
     }
@@ -117,21 +117,21 @@
               const char *name,
               const bt_fair_item_t *item)
 {
-  int32_t at = queue->free;
+  int32_t at = queue->free_head;
   account_t *account;
   int32_t *link;
   int32_t index;
 
   if (at == NONE)
     return false;
-  index = make_account (ctx, queue, name);
+  index = find_or_add_account (ctx, queue, name);
   account = &queue->accounts[index];
-  queue->free = queue->nodes[at].next;
-  if (account->count == 0 && account->turn < queue->turn)
-    account->turn = queue->turn;
+  queue->free_head = queue->nodes[at].next;
+  if (account->count == 0 && account->start_tag < queue->virtual_time)
+    account->start_tag = queue->virtual_time;
   link = &account->head;
   while (*link != NONE && queue->nodes[*link].item.priority >= item->priority
-         && !(item->first && queue->nodes[*link].item.priority == item->priority))
+         && !(item->at_front && queue->nodes[*link].item.priority == item->priority))
     link = &queue->nodes[*link].next;
   account->share = item->share > 0 ? item->share : 1;
   queue->nodes[at].item = *item;
@@ -145,9 +145,9 @@
   return true;
 }
 
-/* Unlinks a place from its account and frees it. */
+/* Unlinks a node from its account and frees it. */
 static void
-take_node (bt_fair_queue_t *queue, int32_t at, bt_fair_item_t *item)
+remove_node (bt_fair_queue_t *queue, int32_t at, bt_fair_item_t *item)
 {
   account_t *account = &queue->accounts[queue->nodes[at].account];
   int32_t *link = &account->head;
@@ -160,20 +160,20 @@
   if (item != NULL)
     *item = queue->nodes[at].item;
   queue->nodes[at].account = NONE;
-  queue->nodes[at].next = queue->free;
-  queue->free = at;
+  queue->nodes[at].next = queue->free_head;
+  queue->free_head = at;
 }
 
 static bool
 is_late (const bt_fair_item_t *item, int64_t now_ms)
 {
-  return item->aim_ms > 0 && now_ms > item->aim_ms;
+  return item->target_ms > 0 && now_ms > item->target_ms;
 }
 
-/* The item of an account that goes next: of its highest priority the first that is in time, else
- * the first. */
+/* Returns the next item of an account: the first of its highest priority that is not late, or the
+ * first if all are late. */
 static int32_t
-find_next (const bt_fair_queue_t *queue, const account_t *account, int64_t now_ms)
+find_next_of_account (const bt_fair_queue_t *queue, const account_t *account, int64_t now_ms)
 {
   const int32_t priority = queue->nodes[account->head].item.priority;
 
@@ -184,7 +184,7 @@
   return account->head;
 }
 
-/** The next item of one account. */
+/** Next item of one account. */
 typedef struct candidate
 {
   account_t *account;
@@ -192,9 +192,9 @@
   bool late;
 } candidate_t;
 
-/* True when the candidate on the left goes before the one on the right. */
+/* Returns true if the left candidate is served before the right one. */
 static bool
-goes_before (const bt_fair_queue_t *queue, const candidate_t *left, const candidate_t *right)
+is_served_before (const bt_fair_queue_t *queue, const candidate_t *left, const candidate_t *right)
 {
   const bt_fair_item_t *left_item = &queue->nodes[left->at].item;
   const bt_fair_item_t *right_item = &queue->nodes[right->at].item;
@@ -203,8 +203,8 @@
     return left_item->priority > right_item->priority;
   if (left->late != right->late)
     return right->late;
-  if (left->account->turn != right->account->turn)
-    return left->account->turn < right->account->turn;
+  if (left->account->start_tag != right->account->start_tag)
+    return left->account->start_tag < right->account->start_tag;
   return left_item->queued_ms < right_item->queued_ms;
 }
 
@@ -219,17 +219,17 @@
 
       if (candidate.account->count == 0)
         continue;
-      candidate.at = find_next (queue, candidate.account, now_ms);
+      candidate.at = find_next_of_account (queue, candidate.account, now_ms);
       candidate.late = is_late (&queue->nodes[candidate.at].item, now_ms);
-      if (next.account == NULL || goes_before (queue, &candidate, &next))
+      if (next.account == NULL || is_served_before (queue, &candidate, &next))
         next = candidate;
     }
   if (next.account == NULL)
     return false;
-  if (next.account->turn > queue->turn)
-    queue->turn = next.account->turn;
-  next.account->turn += (uint64_t)(TURN / next.account->share);
-  take_node (queue, next.at, item);
+  if (next.account->start_tag > queue->virtual_time)
+    queue->virtual_time = next.account->start_tag;
+  next.account->start_tag += (uint64_t)(VIRTUAL_TIME_PER_ITEM / next.account->share);
+  remove_node (queue, next.at, item);
   return true;
 }
 
@@ -248,7 +248,7 @@
         continue;
       if (node->item.give_up_ms <= now_ms)
         {
-          take_node (queue, i, item);
+          remove_node (queue, i, item);
           return true;
         }
       if (node->item.give_up_ms < next_ms)
@@ -264,14 +264,14 @@
   for (int32_t i = 0; i < queue->limit; i++)
     if (queue->nodes[i].account != NONE && queue->nodes[i].item.id == id)
       {
-        take_node (queue, i, NULL);
+        remove_node (queue, i, NULL);
         return true;
       }
   return false;
 }
 
 static int32_t
-find_last (const bt_fair_queue_t *queue, const account_t *account)
+find_last_of_account (const bt_fair_queue_t *queue, const account_t *account)
 {
   int32_t at = account->head;
 
@@ -281,7 +281,7 @@
 }
 
 bool
-bt_push_out_fair (bt_fair_queue_t *queue, const char *name, int32_t priority, bt_fair_item_t *item)
+bt_evict_fair (bt_fair_queue_t *queue, const char *name, int32_t priority, bt_fair_item_t *item)
 {
   const int32_t own = bt_count_fair_account (queue, name);
   const account_t *longest = NULL;
@@ -294,7 +294,7 @@
 
       if (account->count == 0)
         continue;
-      last = find_last (queue, account);
+      last = find_last_of_account (queue, account);
       if (queue->nodes[last].item.priority > priority)
         continue;
       if (queue->nodes[last].item.priority == priority && account->count <= own + 1)
@@ -306,7 +306,7 @@
     }
   if (victim == NONE)
     return false;
-  take_node (queue, victim, item);
+  remove_node (queue, victim, item);
   return true;
 }
 
@@ -324,9 +324,9 @@
   return index == NONE ? 0 : queue->accounts[index].count;
 }
 
-/* Items of an account that have at least this priority (or more than it). */
+/* Counts the items of an account with at least this priority. */
 static int32_t
-count_priority (const bt_fair_queue_t *queue, const account_t *account, int32_t priority)
+count_from_priority (const bt_fair_queue_t *queue, const account_t *account, int32_t priority)
 {
   int32_t count = 0;
 
@@ -353,18 +353,18 @@
     share = 1;
 
   if (own_index != NONE)
-    own = count_priority (queue, &queue->accounts[own_index], priority);
+    own = count_from_priority (queue, &queue->accounts[own_index], priority);
   ahead = own;
   for (int32_t i = 0; i < queue->account_count; i++)
     {
       const account_t *account = &queue->accounts[i];
-      const int32_t above = count_priority (queue, account, priority + 1);
-      const int32_t equal = count_priority (queue, account, priority) - above;
-      const int32_t turns = ((own + 1) * account->share + share - 1) / share;
+      const int32_t above = count_from_priority (queue, account, priority + 1);
+      const int32_t equal = count_from_priority (queue, account, priority) - above;
+      const int32_t fair_ahead = ((own + 1) * account->share + share - 1) / share;
 
       if (i == own_index)
         continue;
-      ahead += above + (equal <= turns ? equal : turns);
+      ahead += above + (equal <= fair_ahead ? equal : fair_ahead);
     }
   return ahead;
 }
--- a/source/load/fair_queue.h
+++ b/source/load/fair_queue.h
@@ -2,8 +2,8 @@
 #define BILBERRYTRAY_SOURCE_LOAD_FAIR_QUEUE_H
 
 /** @file
- * A bounded queue that serves the highest priority first and, within a priority, client accounts in
- * fair turns by their shares (start-time fair queueing). Entry and agent each hold one.
+ * A bounded queue that serves the highest priority first and, within a priority, client accounts by
+ * weighted fair queueing (start-time fair queueing). Entry and agent each have one.
  */
 
 #include "bilberrytray/base/context.h"
@@ -14,51 +14,54 @@
 /** One waiting request. */
 typedef struct bt_fair_item
 {
-  uint64_t id;        /**< The owner's number for it. */
-  int32_t priority;   /**< Higher goes first. */
-  int64_t give_up_ms; /**< Time from which starting it is of no use. */
-  int64_t aim_ms; /**< Time from which starting it comes too late for what its caller expects, but
-                       is still of use; 0: there is none. */
+  uint64_t id;        /**< Number assigned by the owner of the queue. */
+  int32_t priority;   /**< A higher priority is served first. */
+  int64_t give_up_ms; /**< Time from which starting it is useless, because it would miss its
+                         deadline. */
+  int64_t target_ms;  /**< Time from which starting it is too late for the caller's expectation but
+                         still useful; 0: no expectation. */
   int64_t queued_ms;
-  int32_t share; /**< Weight of its account, from 1 up; 0 counts as 1. */
-  bool first;    /**< Goes before its account's others of the same priority. */
+  int32_t share; /**< Weight of its account; 0 counts as 1. */
+  bool at_front; /**< Placed before the other items of its account with the same priority. */
 } bt_fair_item_t;
 
 bt_fair_queue_t *bt_new_fair_queue (bt_context_t *ctx, int32_t limit);
 void bt_drop_fair_queue (bt_context_t *ctx, bt_fair_queue_t *queue);
 
-/** Adds an item; false when the queue is full. */
+/** Adds an item; returns false if the queue is full. */
 bool bt_push_fair (bt_context_t *ctx,
                    bt_fair_queue_t *queue,
                    const char *name,
                    const bt_fair_item_t *item);
 
-/** Takes the next item in turn; false when there is none. Of equal priority, items that can still
- * be served as their callers expect go before those that can't. When more comes than can be served,
- * serving in order of arrival alone makes every caller wait too long, one as much as the other. */
+/** Removes the next item in fair order; returns false if there is none. At equal priority, items
+ * that can still meet their caller's expectation are served before those that cannot. Under
+ * overload, order of arrival alone would make every caller wait too long. */
 bool bt_pop_fair (bt_fair_queue_t *queue, int64_t now_ms, bt_fair_item_t *item);
 
-/** Takes an item whose time to give up has come; false when there is none. */
+/** Removes an item whose give_up_ms has passed; returns false if there is none. */
 bool bt_expire_fair (bt_fair_queue_t *queue, int64_t now_ms, bt_fair_item_t *item);
 
-/** Takes out one item by its number; false when it isn't there. */
+/** Removes one item by its number; returns false if it is not in the queue. */
 bool bt_remove_fair (bt_fair_queue_t *queue, uint64_t id);
 
-/** Takes the last item of the account that has most waiting, to make place for one of the account
- * @p name and @p priority. False when that account has no fewer waiting, and nothing has less
- * priority. */
+/** Removes the last item of the account with the most waiting items, to make room for an item of
+ * account @p name with @p priority. Considers only items of lower priority, and items of equal
+ * priority whose account would have more waiting than @p name with its new item. Returns false if
+ * there is none. */
 bool
-bt_push_out_fair (bt_fair_queue_t *queue, const char *name, int32_t priority, bt_fair_item_t *item);
+bt_evict_fair (bt_fair_queue_t *queue, const char *name, int32_t priority, bt_fair_item_t *item);
 
 int32_t bt_count_fair (const bt_fair_queue_t *queue);
 
-/** Items that would be served before a new one of this account, share and priority. */
+/** Returns the number of items that would be served before a new one of this account, share and
+ * priority. */
 int32_t bt_count_fair_ahead (const bt_fair_queue_t *queue,
                              const char *name,
                              int32_t share,
                              int32_t priority);
 
-/** Items of one account. */
+/** Returns the number of items of one account. */
 int32_t bt_count_fair_account (const bt_fair_queue_t *queue, const char *name);
 
 #endif
--- a/source/load/outlier.c
+++ b/source/load/outlier.c
@@ -6,12 +6,12 @@
   DEFAULT_FAILURES = 3,
   DEFAULT_SLOW_PERCENT = 300,
   DEFAULT_SLOW_ANSWERS = 5,
-  DEFAULT_OUT_MS = 1000,
-  DEFAULT_MAX_OUT_MS = 60000,
-  DEFAULT_MAX_OUT_PERCENT = 50,
+  DEFAULT_EJECTION_MS = 1000,
+  DEFAULT_MAX_EJECTION_MS = 60000,
+  DEFAULT_MAX_EJECTED_PERCENT = 50,
   DEFAULT_PROBE_PERCENT = 10,
   DEFAULT_PROBES_IN_FLIGHT = 1,
-  GROWTH = 2,
+  GROWTH_FACTOR = 2,
 };
 
 void
@@ -20,30 +20,30 @@
   options->failures = DEFAULT_FAILURES;
   options->slow_percent = DEFAULT_SLOW_PERCENT;
   options->slow_answers = DEFAULT_SLOW_ANSWERS;
-  options->out_ms = DEFAULT_OUT_MS;
-  options->max_out_ms = DEFAULT_MAX_OUT_MS;
-  options->max_out_percent = DEFAULT_MAX_OUT_PERCENT;
+  options->ejection_ms = DEFAULT_EJECTION_MS;
+  options->max_ejection_ms = DEFAULT_MAX_EJECTION_MS;
+  options->max_ejected_percent = DEFAULT_MAX_EJECTED_PERCENT;
   options->probe_percent = DEFAULT_PROBE_PERCENT;
   options->probes_in_flight = DEFAULT_PROBES_IN_FLIGHT;
 }
 
 static bool
-is_returning (const bt_outlier_t *outlier)
+is_recovering (const bt_outlier_t *outlier)
 {
   return outlier->share_percent > 0 && outlier->share_percent < WHOLE_PERCENT;
 }
 
-/* Grows the share of a returning endpoint; the memory of its last time out goes when it is whole.
- */
+/* Increases the share of a recovering endpoint. At the full share, resets the duration of its last
+ * ejection. */
 static bt_outlier_event_t
 grow_share (bt_outlier_t *outlier)
 {
-  outlier->share_percent *= GROWTH;
+  outlier->share_percent *= GROWTH_FACTOR;
   if (outlier->share_percent < WHOLE_PERCENT)
     return BT_OUTLIER_NONE;
   outlier->share_percent = 0;
-  outlier->out_ms = 0;
-  return BT_OUTLIER_WHOLE;
+  outlier->ejection_ms = 0;
+  return BT_OUTLIER_RECOVERED;
 }
 
 bt_outlier_event_t
@@ -56,44 +56,45 @@
 
   outlier->failures = 0;
   outlier->slow = slow ? outlier->slow + 1 : 0;
-  if (slow && (is_returning (outlier) || outlier->slow >= options->slow_answers))
-    return outlier->out_until_ms > 0 ? BT_OUTLIER_NONE : BT_OUTLIER_OUT;
-  return is_returning (outlier) && !slow ? grow_share (outlier) : BT_OUTLIER_NONE;
+  if (slow && (is_recovering (outlier) || outlier->slow >= options->slow_answers))
+    return outlier->ejected_until_ms > 0 ? BT_OUTLIER_NONE : BT_OUTLIER_EJECT;
+  return is_recovering (outlier) && !slow ? grow_share (outlier) : BT_OUTLIER_NONE;
 }
 
 bt_outlier_event_t
 bt_record_outlier_failure (bt_outlier_t *outlier, const bt_outlier_options_t *options)
 {
   outlier->failures++;
-  if (outlier->out_until_ms > 0)
+  if (outlier->ejected_until_ms > 0)
     return BT_OUTLIER_NONE;
-  /* A flapping endpoint would fail a full run of requests on each return: the first failure while
-   * it returns is enough. */
-  if (is_returning (outlier) || outlier->failures >= options->failures)
-    return BT_OUTLIER_OUT;
+  /* A flapping endpoint would fail several requests after each ejection; so the first failure while
+   * it recovers ejects it again. */
+  if (is_recovering (outlier) || outlier->failures >= options->failures)
+    return BT_OUTLIER_EJECT;
   return BT_OUTLIER_NONE;
 }
 
 void
-bt_take_out_outlier (bt_outlier_t *outlier, const bt_outlier_options_t *options, int64_t now_ms)
+bt_eject_outlier (bt_outlier_t *outlier, const bt_outlier_options_t *options, int64_t now_ms)
 {
-  outlier->out_ms = outlier->out_ms == 0 ? options->out_ms : outlier->out_ms * GROWTH;
-  if (outlier->out_ms > options->max_out_ms)
-    outlier->out_ms = options->max_out_ms;
-  outlier->out_until_ms = now_ms + outlier->out_ms;
+  outlier->ejection_ms =
+      outlier->ejection_ms == 0 ? options->ejection_ms : outlier->ejection_ms * GROWTH_FACTOR;
+  if (outlier->ejection_ms > options->max_ejection_ms)
+    outlier->ejection_ms = options->max_ejection_ms;
+  outlier->ejected_until_ms = now_ms + outlier->ejection_ms;
   outlier->failures = 0;
   outlier->slow = 0;
   outlier->share_percent = 0;
 }
 
 bool
-bt_is_outlier (bt_outlier_t *outlier, const bt_outlier_options_t *options, int64_t now_ms)
+bt_is_outlier_ejected (bt_outlier_t *outlier, const bt_outlier_options_t *options, int64_t now_ms)
 {
-  if (outlier->out_until_ms == 0)
+  if (outlier->ejected_until_ms == 0)
     return false;
-  if (now_ms < outlier->out_until_ms)
+  if (now_ms < outlier->ejected_until_ms)
     return true;
-  outlier->out_until_ms = 0;
+  outlier->ejected_until_ms = 0;
   outlier->share_percent = options->probe_percent;
   return false;
 }
@@ -101,13 +102,13 @@
 int32_t
 bt_get_outlier_share (const bt_outlier_t *outlier)
 {
-  if (outlier->out_until_ms > 0)
+  if (outlier->ejected_until_ms > 0)
     return 0;
   return outlier->share_percent > 0 ? outlier->share_percent : WHOLE_PERCENT;
 }
 
 bool
-bt_allow_outlier (const bt_outlier_options_t *options, int32_t out, int32_t total)
+bt_may_eject_outlier (const bt_outlier_options_t *options, int32_t ejected, int32_t total)
 {
-  return (out + 1) * WHOLE_PERCENT <= total * options->max_out_percent;
+  return (ejected + 1) * WHOLE_PERCENT <= total * options->max_ejected_percent;
 }
--- a/source/load/retry_budget.c
+++ b/source/load/retry_budget.c
@@ -2,11 +2,11 @@
 
 enum
 {
-  /* Tokens are counted in hundredths of a retry, so that shares are exact. */
+  /* Tokens are counted in hundredths of a retry, so that shares in percent are exact. */
   RETRY_COST = 100,
   DEFAULT_SHARE_PERCENT = 10,
   DEFAULT_RESERVE = 10,
-  RESTART_PART = 2,
+  RESTART_DIVISOR = 2,
 };
 
 struct bt_retry_budget
@@ -41,9 +41,9 @@
 }
 
 int32_t
-bt_get_retry_part (int64_t together, int32_t instances)
+bt_get_retry_part (int64_t total, int32_t instances)
 {
-  int64_t part = together / RESTART_PART / (instances > 0 ? instances : 1);
+  int64_t part = total / RESTART_DIVISOR / (instances > 0 ? instances : 1);
 
   return part > 1 ? (int32_t)part : 1;
 }
@@ -51,21 +51,21 @@
 void
 bt_set_retry_reserve (bt_retry_budget_t *budget, int32_t reserve)
 {
-  const int64_t most = (int64_t)reserve * RETRY_COST;
+  const int64_t max_tokens = (int64_t)reserve * RETRY_COST;
 
   budget->options.reserve = reserve;
-  if (budget->tokens > most)
-    budget->tokens = most;
+  if (budget->tokens > max_tokens)
+    budget->tokens = max_tokens;
 }
 
 void
 bt_record_attempt (bt_retry_budget_t *budget)
 {
-  const int64_t most = (int64_t)budget->options.reserve * RETRY_COST;
+  const int64_t max_tokens = (int64_t)budget->options.reserve * RETRY_COST;
 
   budget->tokens += budget->options.share_percent;
-  if (budget->tokens > most)
-    budget->tokens = most;
+  if (budget->tokens > max_tokens)
+    budget->tokens = max_tokens;
 }
 
 bool
--- a/source/load/router.c
+++ b/source/load/router.c
@@ -12,10 +12,10 @@
   DEFAULT_SERVICE_MS = 500,
   DEFAULT_REMOTE_MS = 0,
   DEFAULT_PREFIX_PERCENT = 200,
-  /* When to come back if nothing can be chosen: endpoints return within about a second. */
-  NO_ENDPOINT_RETRY_MS = 1000,
-  /* An endpoint without a link is forgotten after this. */
-  FORGET_MS = 600000,
+  /* Retry-after time if no endpoint can be chosen: endpoints return within about one second. */
+  NO_ENDPOINT_RETRY_AFTER_MS = 1000,
+  /* An endpoint without a link is removed after this time. */
+  REMOVE_AFTER_MS = 600000,
   FIRST_ENDPOINTS = 16,
 };
 
@@ -25,7 +25,7 @@
   int32_t entries;
   uint64_t last_link_number;
   uint64_t last_dispatch;
-  double home_turn; /* the turn of the last home */
+  double home_virtual_time; /* virtual time of the last home agent chosen */
   bt_endpoint_state_t **endpoints;
   int32_t count;
   int32_t capacity;
@@ -81,8 +81,8 @@
   return NULL;
 }
 
-/* The endpoint of a route, unless its link has died since. A late end of a forgotten attempt would
- * else make a busy endpoint look idle. */
+/* Returns the endpoint of a route, or NULL if its link has died since. Otherwise the late end of an
+ * attempt that is no longer counted would make a busy endpoint look idle. */
 static bt_endpoint_state_t *
 find_route (bt_router_t *router, const bt_route_t *route)
 {
@@ -98,10 +98,10 @@
   router->endpoints[index] = router->endpoints[--router->count];
 }
 
-/* Removes other starts of the same instance, and what has been without a link for so long that its
- * instance was replaced: each day brings new instances, and their names never come back. Returns
- * the record of the earlier start, so that an endpoint that fails, restarts and fails again can't
- * shed its record by restarting. */
+/* Removes other incarnations of the same instance, and endpoints that have had no link for so long
+ * that their instance must have been replaced: new instances appear every day, and their names are
+ * not reused. Returns the outlier record of the earlier incarnation, so that an endpoint cannot
+ * clear its record by restarting. */
 static bt_outlier_t
 remove_stale (bt_context_t *ctx, bt_router_t *router, const bt_identity_t *identity, int64_t now_ms)
 {
@@ -114,14 +114,14 @@
 
       if (same)
         outlier = state->outlier;
-      if (same || (!state->linked && now_ms - state->down_ms > FORGET_MS))
+      if (same || (!state->linked && now_ms - state->down_ms > REMOVE_AFTER_MS))
         remove_at (ctx, router, i);
     }
   return outlier;
 }
 
 static void
-connect_endpoint (bt_router_t *router, bt_endpoint_state_t *state)
+mark_link_up (bt_router_t *router, bt_endpoint_state_t *state)
 {
   if (state->linked)
     return;
@@ -141,7 +141,7 @@
   if (state != NULL)
     {
       state->endpoint = *endpoint;
-      connect_endpoint (router, state);
+      mark_link_up (router, state);
       return;
     }
   outlier = remove_stale (ctx, router, &endpoint->identity, now_ms);
@@ -154,7 +154,7 @@
   state = bt_calloc (ctx, 1, sizeof *state);
   state->endpoint = *endpoint;
   state->outlier = outlier;
-  connect_endpoint (router, state);
+  mark_link_up (router, state);
   router->endpoints[router->count++] = state;
 }
 
@@ -193,13 +193,13 @@
 }
 
 bool
-bt_set_endpoint_shut (bt_router_t *router, const bt_identity_t *identity, bool shut)
+bt_set_endpoint_shut (bt_router_t *router, const bt_identity_t *identity, bool paused)
 {
   bt_endpoint_state_t *state = find_endpoint (router, identity);
 
   if (state == NULL)
     return false;
-  state->shut = shut;
+  state->paused = paused;
   return true;
 }
 
@@ -218,11 +218,11 @@
 }
 
 int32_t
-bt_get_reported_slots (bt_router_t *router, const bt_identity_t *identity, int32_t otherwise)
+bt_get_reported_slots (bt_router_t *router, const bt_identity_t *identity, int32_t fallback)
 {
   const bt_endpoint_state_t *state = find_endpoint (router, identity);
 
-  return state != NULL && state->load.slots > 0 ? state->load.slots : otherwise;
+  return state != NULL && state->load.slots > 0 ? state->load.slots : fallback;
 }
 
 bool
@@ -243,9 +243,9 @@
 static bool
 is_usable (bt_router_t *router, bt_endpoint_state_t *state, const char *app, int64_t now_ms)
 {
-  return state->linked && !state->leaving && !state->shut && now_ms >= state->ended_until_ms
+  return state->linked && !state->leaving && !state->paused && now_ms >= state->ended_until_ms
          && strcmp (state->endpoint.app, app) == 0
-         && !bt_is_outlier (&state->outlier, &router->options.outlier, now_ms);
+         && !bt_is_outlier_ejected (&state->outlier, &router->options.outlier, now_ms);
 }
 
 static bool
@@ -281,7 +281,7 @@
   best = bt_choose_state (&router->options, router->entries, usable, count, request, now_ms);
   if (best == NULL)
     {
-      *retry_after_ms = NO_ENDPOINT_RETRY_MS;
+      *retry_after_ms = NO_ENDPOINT_RETRY_AFTER_MS;
       return BT_REASON_NO_ENDPOINT;
     }
   route->identity = best->endpoint.identity;
@@ -300,16 +300,17 @@
 
       if (!is_usable (router, state, app, now_ms))
         continue;
-      if (best == NULL || state->home_turn < best->home_turn)
+      if (best == NULL || state->home_virtual_time < best->home_virtual_time)
         best = state;
     }
   if (best == NULL)
     return BT_REASON_NO_ENDPOINT;
-  /* One that joins or returns starts where the others are; it has nothing to catch up. */
-  if (best->home_turn < router->home_turn)
-    best->home_turn = router->home_turn;
-  router->home_turn = best->home_turn;
-  best->home_turn += 1.0 / bt_get_endpoint_slots (best, &router->options);
+  /* An endpoint that joins or returns starts at the current virtual time, so that it does not get
+   * all tickets until it has caught up. */
+  if (best->home_virtual_time < router->home_virtual_time)
+    best->home_virtual_time = router->home_virtual_time;
+  router->home_virtual_time = best->home_virtual_time;
+  best->home_virtual_time += 1.0 / bt_get_endpoint_slots (best, &router->options);
   *home = best->endpoint.identity;
   return BT_REASON_NONE;
 }
@@ -326,9 +327,9 @@
   bt_set_endpoint_prefix (state, prefix, true, now_ms);
 }
 
-/* The mean time of a run at the other usable endpoints of the same app, or 0. */
+/* Returns the mean time of a run at the other usable endpoints of the app, or 0. */
 static int64_t
-get_peers_ms (bt_router_t *router, const bt_endpoint_state_t *state)
+get_peers_service_ms (bt_router_t *router, const bt_endpoint_state_t *state)
 {
   int64_t sum_ms = 0;
   int64_t count = 0;
@@ -337,7 +338,7 @@
     {
       const bt_endpoint_state_t *peer = router->endpoints[i];
 
-      if (peer == state || peer->service_ms == 0 || peer->outlier.out_until_ms > 0
+      if (peer == state || peer->service_ms == 0 || peer->outlier.ejected_until_ms > 0
           || strcmp (peer->endpoint.app, state->endpoint.app) != 0)
         continue;
       sum_ms += (int64_t)peer->service_ms;
@@ -349,17 +350,17 @@
 int32_t
 bt_count_outliers (bt_router_t *router, const char *app, int64_t now_ms)
 {
-  int32_t out = 0;
+  int32_t ejected = 0;
 
   for (int32_t i = 0; i < router->count; i++)
     {
       bt_endpoint_state_t *state = router->endpoints[i];
 
       if (strcmp (state->endpoint.app, app) == 0
-          && bt_is_outlier (&state->outlier, &router->options.outlier, now_ms))
-        out++;
+          && bt_is_outlier_ejected (&state->outlier, &router->options.outlier, now_ms))
+        ejected++;
     }
-  return out;
+  return ejected;
 }
 
 static int32_t
@@ -373,25 +374,25 @@
   return count;
 }
 
-/* Takes an endpoint out unless too many of its app are: when most look bad, the cause is likelier
- * to be shared (or here) than theirs, and the rest would drown in the work. */
+/* Ejects an endpoint unless too many of its app are ejected. If most endpoints look bad, the cause
+ * is probably shared (or in this entry), and the remaining ones would be overloaded. */
 static void
-take_out (bt_router_t *router, bt_endpoint_state_t *state, int64_t now_ms)
+eject_endpoint (bt_router_t *router, bt_endpoint_state_t *state, int64_t now_ms)
 {
   const char *app = state->endpoint.app;
-  const int32_t out = bt_count_outliers (router, app, now_ms);
+  const int32_t ejected = bt_count_outliers (router, app, now_ms);
 
-  if (bt_allow_outlier (&router->options.outlier, out, count_endpoints (router, app)))
-    bt_take_out_outlier (&state->outlier, &router->options.outlier, now_ms);
+  if (bt_may_eject_outlier (&router->options.outlier, ejected, count_endpoints (router, app)))
+    bt_eject_outlier (&state->outlier, &router->options.outlier, now_ms);
 }
 
-/* A cancelled attempt says nothing if it was short; if it had no answer for far longer than one
- * takes at the peers, it counts as a slow answer. */
+/* Assesses a cancelled attempt. A short one is ignored; one without an answer for far longer than
+ * its peers take counts as a slow answer. */
 static bt_outlier_event_t
-judge_stall (bt_router_t *router, bt_endpoint_state_t *state, int64_t took_ms)
+record_cancelled (bt_router_t *router, bt_endpoint_state_t *state, int64_t took_ms)
 {
   const bt_outlier_options_t *options = &router->options.outlier;
-  const int64_t peers_ms = get_peers_ms (router, state);
+  const int64_t peers_ms = get_peers_service_ms (router, state);
 
   bt_take_endpoint_stall (state, took_ms);
   if (peers_ms == 0 || took_ms * WHOLE_PERCENT <= peers_ms * options->slow_percent)
@@ -417,7 +418,7 @@
     {
       bt_take_endpoint_time (state, took_ms, now_ms);
       event = bt_record_outlier_answer (&state->outlier, options, took_ms,
-                                        get_peers_ms (router, state));
+                                        get_peers_service_ms (router, state));
     }
   else if (end == BT_ATTEMPT_FAILED)
     {
@@ -425,9 +426,9 @@
       event = bt_record_outlier_failure (&state->outlier, options);
     }
   else if (end == BT_ATTEMPT_CANCELLED)
-    event = judge_stall (router, state, took_ms);
-  if (event == BT_OUTLIER_OUT)
-    take_out (router, state, now_ms);
+    event = record_cancelled (router, state, took_ms);
+  if (event == BT_OUTLIER_EJECT)
+    eject_endpoint (router, state, now_ms);
 }
 
 void
@@ -438,8 +439,8 @@
   if (state == NULL || !state->linked)
     return;
   if (state->own > 0
-      && bt_record_outlier_failure (&state->outlier, &router->options.outlier) == BT_OUTLIER_OUT)
-    take_out (router, state, now_ms);
+      && bt_record_outlier_failure (&state->outlier, &router->options.outlier) == BT_OUTLIER_EJECT)
+    eject_endpoint (router, state, now_ms);
   state->linked = false;
   state->down_ms = now_ms;
   bt_forget_endpoint_load (state);
@@ -452,24 +453,25 @@
 
   (void)now_ms;
   if (state != NULL)
-    connect_endpoint (router, state);
+    mark_link_up (router, state);
 }
 
-/* What an endpoint adds to the room that this entry counts on. Below 0 it has been given more than
- * its part, by the guess that others have sent there as this entry did; their requests went
- * somewhere, if not there, so the excess is taken off the room of the rest. Without that each entry
- * sends one request to each endpoint however few they may run: a limit below the number of entries
- * is never kept, and every pass of a group that has just been formed is too long. */
+/* Returns the part of an endpoint in the room of this entry. It is negative if the estimate, which
+ * assumes that the other entries sent there as much as this one, exceeds the endpoint's capacity.
+ * The requests of the others went to some endpoint, so the excess reduces the room at the remaining
+ * ones. Without this, each entry sends one request to each endpoint however few it may run: a limit
+ * below the number of entries is always exceeded, and every pass of a newly formed group is too
+ * long. */
 static int32_t
 get_endpoint_room (const bt_endpoint_state_t *state,
                    const bt_router_options_t *options,
                    int32_t entries)
 {
   int32_t commitment = bt_get_endpoint_commitment (state, entries);
-  int32_t guess = commitment - bt_get_endpoint_load (state);
+  int32_t estimated_growth = commitment - bt_get_endpoint_load (state);
   int32_t room = bt_get_endpoint_slots (state, options) + options->queue_depth - commitment;
 
-  return room > -guess ? room : -guess;
+  return room > -estimated_growth ? room : -estimated_growth;
 }
 
 void
@@ -487,28 +489,28 @@
       if (strcmp (state->endpoint.app, app) == 0)
         {
           capacity->in_flight += state->own;
-          capacity->opening += state->shut && !state->leaving ? 1 : 0;
+          capacity->paused += state->paused && !state->leaving ? 1 : 0;
         }
       if (!is_usable (router, state, app, now_ms))
         continue;
       slots = bt_get_endpoint_slots (state, options);
       capacity->endpoints++;
       capacity->slots += slots;
-      /* Others that hold more than their equal part give it back under load. */
-      capacity->own_slots += slots - (bt_get_endpoint_load (state) - state->own);
+      /* Other entries that hold more than their equal share return the excess under load. */
+      capacity->available_slots += slots - (bt_get_endpoint_load (state) - state->own);
       capacity->room += get_endpoint_room (state, options, router->entries);
-      capacity->equal_part += (double)(slots + options->queue_depth) / router->entries;
+      capacity->equal_share += (double)(slots + options->queue_depth) / router->entries;
       service_ms += bt_get_endpoint_service_ms (state, options);
     }
   if (capacity->room < 0)
     capacity->room = 0;
-  if (capacity->own_slots < capacity->slots / router->entries)
-    capacity->own_slots = capacity->slots / router->entries;
+  if (capacity->available_slots < capacity->slots / router->entries)
+    capacity->available_slots = capacity->slots / router->entries;
   capacity->service_ms = options->default_service_ms;
   if (capacity->endpoints > 0)
     capacity->service_ms = service_ms / capacity->endpoints;
-  capacity->full_ms = capacity->service_ms;
+  capacity->full_queue_ms = capacity->service_ms;
   if (capacity->slots > 0)
-    capacity->full_ms += (int64_t)((double)(capacity->service_ms * options->queue_depth)
-                                   * capacity->endpoints / capacity->slots);
+    capacity->full_queue_ms += (int64_t)((double)(capacity->service_ms * options->queue_depth)
+                                         * capacity->endpoints / capacity->slots);
 }
--- a/source/load/run_queue.c
+++ b/source/load/run_queue.c
@@ -10,7 +10,7 @@
   DEFAULT_SLOTS = 8,
   DEFAULT_QUEUE_LIMIT = 16,
   DEFAULT_SERVICE_MS = 500,
-  /* A new measurement counts for 1 / MEAN_WEIGHT of the mean. */
+  /* Weight of a new measurement in the mean: 1 / MEAN_WEIGHT. */
   MEAN_WEIGHT = 8,
 };
 
@@ -20,11 +20,11 @@
   bt_fair_queue_t *waiting;
   int32_t running;
   double service_ms;
-  bool measured; /* a run has ended */
+  bool measured; /* a run has ended with a measured time */
   bool leaving;
-  bt_fair_item_t *pushed_out; /* lost their place, not yet told */
-  int32_t pushed_out_count;
-  int32_t pushed_out_capacity;
+  bt_fair_item_t *evicted; /* evicted items whose refusals are not yet returned */
+  int32_t evicted_count;
+  int32_t evicted_capacity;
 };
 
 void
@@ -52,11 +52,11 @@
   if (queue == NULL)
     return;
   bt_drop_fair_queue (ctx, queue->waiting);
-  bt_free (ctx, queue->pushed_out);
+  bt_free (ctx, queue->evicted);
   bt_free (ctx, queue);
 }
 
-/* Time until a request with so many waiting before it gets a slot. */
+/* Returns the time until a request with @p ahead requests waiting before it gets a slot. */
 static int64_t
 get_wait_ms (const bt_run_queue_t *queue, int32_t ahead)
 {
@@ -74,19 +74,20 @@
 }
 
 static void
-keep_pushed_out (bt_context_t *ctx, bt_run_queue_t *queue, const bt_fair_item_t *item)
+add_evicted (bt_context_t *ctx, bt_run_queue_t *queue, const bt_fair_item_t *item)
 {
-  if (queue->pushed_out_count == queue->pushed_out_capacity)
+  if (queue->evicted_count == queue->evicted_capacity)
     {
-      queue->pushed_out_capacity = 2 * queue->pushed_out_capacity + 1;
-      queue->pushed_out = bt_realloc (ctx, queue->pushed_out, (size_t)queue->pushed_out_capacity,
-                                      sizeof *queue->pushed_out);
+      queue->evicted_capacity = 2 * queue->evicted_capacity + 1;
+      queue->evicted =
+          bt_realloc (ctx, queue->evicted, (size_t)queue->evicted_capacity, sizeof *queue->evicted);
     }
-  queue->pushed_out[queue->pushed_out_count++] = *item;
+  queue->evicted[queue->evicted_count++] = *item;
 }
 
-/* Queues a request, if need be in the place of one of an account that has more waiting: eight
- * entries, each fair by itself, can still fill one endpoint's queue with one account's work. */
+/* Queues a request, if necessary in place of a waiting one of an account that has more of them.
+ * Eight entries, each of them fair, can still fill one endpoint's queue with the requests of one
+ * account. */
 static bool
 queue_request (bt_context_t *ctx,
                bt_run_queue_t *queue,
@@ -104,9 +105,9 @@
 
   if (bt_push_fair (ctx, queue->waiting, request->account, &item))
     return true;
-  if (!bt_push_out_fair (queue->waiting, request->account, request->priority, &victim))
+  if (!bt_evict_fair (queue->waiting, request->account, request->priority, &victim))
     return false;
-  keep_pushed_out (ctx, queue, &victim);
+  add_evicted (ctx, queue, &victim);
   return bt_push_fair (ctx, queue->waiting, request->account, &item);
 }
 
@@ -151,9 +152,9 @@
   bt_fair_item_t item;
 
   memset (decision, 0, sizeof *decision);
-  if (queue->pushed_out_count > 0)
+  if (queue->evicted_count > 0)
     {
-      decision->id = queue->pushed_out[--queue->pushed_out_count].id;
+      decision->id = queue->evicted[--queue->evicted_count].id;
       refuse (decision, BT_REASON_ENDPOINT_FULL,
               get_wait_ms (queue, bt_count_fair (queue->waiting)));
       return true;
@@ -187,10 +188,10 @@
 bool
 bt_cancel_run (bt_run_queue_t *queue, uint64_t id)
 {
-  for (int32_t i = 0; i < queue->pushed_out_count; i++)
-    if (queue->pushed_out[i].id == id)
+  for (int32_t i = 0; i < queue->evicted_count; i++)
+    if (queue->evicted[i].id == id)
       {
-        queue->pushed_out[i] = queue->pushed_out[--queue->pushed_out_count];
+        queue->evicted[i] = queue->evicted[--queue->evicted_count];
         return true;
       }
   return bt_remove_fair (queue->waiting, id);
@@ -216,7 +217,7 @@
   load->queued = bt_count_fair (queue->waiting);
   load->slots = queue->options.slots;
   load->queue_limit = queue->options.queue_limit;
-  /* The default is no measurement: an endpoint that has ended nothing would look fast by it. */
+  /* The default time is not reported: an endpoint that has completed no run would look fast. */
   if (queue->measured)
     load->service_ms = queue->service_ms < 1 ? 1 : (int32_t)lround (queue->service_ms);
 }
--- a/test/core/test_call_rate.c
+++ b/test/core/test_call_rate.c
@@ -7,7 +7,7 @@
 };
 
 static void
-test_rate_is_bounded (void)
+test_call_rate_is_bounded (void)
 {
   bt_call_rate_t rate;
   int32_t taken = 0;
@@ -18,9 +18,10 @@
   CU_ASSERT_EQUAL (taken, 102);
 }
 
-/* A process sleeps for a year. It wakes with one burst in its bucket, not with a year's calls. */
+/* Guards against a process that was suspended for a year and may then make a year's calls at once:
+ * the bucket holds one burst. */
 static void
-test_long_sleep_gives_one_burst (void)
+test_long_suspension_allows_one_burst (void)
 {
   bt_call_rate_t rate;
   int64_t now_ms = 365LL * 86400 * 1000;
@@ -33,10 +34,10 @@
   CU_ASSERT_TRUE (bt_take_call (&rate, now_ms) <= 100);
 }
 
-/* The service comes back, and all that failed together come back with it. Each caller's wait is
- * drawn from its own seed, so that they do not come in the same instant. */
+/* Guards against callers that failed together and retry together when the service returns: each
+ * caller draws its wait from its own seed. */
 static void
-test_backoff_grows_and_is_spread (void)
+test_backoff_grows_and_is_randomised (void)
 {
   int64_t waits[8];
   int32_t different = 0;
@@ -67,9 +68,9 @@
 
   CU_initialize_registry ();
   suite = CU_add_suite ("call_rate", NULL, NULL);
-  CU_ADD_TEST (suite, test_rate_is_bounded);
-  CU_ADD_TEST (suite, test_long_sleep_gives_one_burst);
-  CU_ADD_TEST (suite, test_backoff_grows_and_is_spread);
+  CU_ADD_TEST (suite, test_call_rate_is_bounded);
+  CU_ADD_TEST (suite, test_long_suspension_allows_one_burst);
+  CU_ADD_TEST (suite, test_backoff_grows_and_is_randomised);
   CU_basic_set_mode (CU_BRM_VERBOSE);
   CU_basic_run_tests ();
   failed = CU_get_number_of_failures ();
--- a/test/core/test_membership.c
+++ b/test/core/test_membership.c
@@ -64,7 +64,7 @@
 }
 
 static bool
-is_given (const fixture_t *fixture, const char *instance, int64_t now_ms)
+is_offered (const fixture_t *fixture, const char *instance, int64_t now_ms)
 {
   const bt_member_t *chosen[ENTRIES];
   int32_t count =
@@ -77,40 +77,41 @@
 }
 
 static void
-run_dead_entry (fixture_t *fixture, bool trust_list)
+open_with_dead_entry (fixture_t *fixture, bool trust_list)
 {
   bt_identity_t peer = { "entry-1", 9 };
 
   open_fixture (fixture, trust_list);
   open_link (fixture, "entry-1", 9, 0);
-  CU_ASSERT_TRUE (is_given (fixture, "entry-1", 100));
+  CU_ASSERT_TRUE (is_offered (fixture, "entry-1", 100));
   bt_close_member_link (fixture->ctx, fixture->membership, &peer);
   bt_take_member_list (fixture->ctx, fixture->membership, 6, fixture->listed, ENTRIES, 200);
 }
 
-/* An entry dies. The list goes on naming it for a while, and callers that are sent there wait for
- * nothing; the link knew at once. When it comes back, it is given again. */
+/* Guards against callers that are sent to a dead entry: the list still names it for a while, but
+ * its link has closed. After it reconnects, callers are sent to it again. */
 static void
-test_link_goes_before_list_for_life (void)
+test_link_state_overrides_list (void)
 {
   fixture_t fixture;
 
-  run_dead_entry (&fixture, false);
-  CU_ASSERT_FALSE (is_given (&fixture, "entry-1", 300));
-  CU_ASSERT_TRUE (is_given (&fixture, "entry-2", 300));
+  open_with_dead_entry (&fixture, false);
+  CU_ASSERT_FALSE (is_offered (&fixture, "entry-1", 300));
+  CU_ASSERT_TRUE (is_offered (&fixture, "entry-2", 300));
   open_link (&fixture, "entry-1", 10, 400);
-  CU_ASSERT_TRUE (is_given (&fixture, "entry-1", 500));
-  CU_ASSERT_FALSE (is_given (&fixture, "entry-1", LATER_MS));
+  CU_ASSERT_TRUE (is_offered (&fixture, "entry-1", 500));
+  CU_ASSERT_FALSE (is_offered (&fixture, "entry-1", LATER_MS));
   close_fixture (&fixture);
-  run_dead_entry (&fixture, true);
-  CU_ASSERT_TRUE (is_given (&fixture, "entry-1", 300));
+  open_with_dead_entry (&fixture, true);
+  CU_ASSERT_TRUE (is_offered (&fixture, "entry-1", 300));
   close_fixture (&fixture);
 }
 
-/* An entry says that it leaves; the list shows it as live for a while yet. It must get no more
- * callers, also when an earlier heartbeat arrives late; a new process under its name does. */
+/* Guards against callers that are sent to a leaving entry, which the list still shows as live. A
+ * heartbeat sent before the leaving and delivered late must not revoke it; a new incarnation
+ * does. */
 static void
-test_leaving_entry_is_not_given (void)
+test_leaving_entry_is_not_offered (void)
 {
   bt_identity_t peer = { "entry-1", 9 };
   fixture_t fixture;
@@ -119,21 +120,21 @@
   open_link (&fixture, "entry-1", 9, 0);
   bt_take_member_heartbeat (fixture.membership, &peer, true, true, 100);
   bt_take_member_heartbeat (fixture.membership, &peer, false, true, 200);
-  CU_ASSERT_FALSE (is_given (&fixture, "entry-1", 300));
+  CU_ASSERT_FALSE (is_offered (&fixture, "entry-1", 300));
   CU_ASSERT_EQUAL (open_link (&fixture, "entry-1", 10, 400), BT_LINK_REPLACES);
-  CU_ASSERT_TRUE (is_given (&fixture, "entry-1", 500));
+  CU_ASSERT_TRUE (is_offered (&fixture, "entry-1", 500));
   fixture.listed[2].leaving = true;
   bt_take_member_list (fixture.ctx, fixture.membership, 7, fixture.listed, ENTRIES, 600);
-  CU_ASSERT_FALSE (is_given (&fixture, "entry-2", 700));
+  CU_ASSERT_FALSE (is_offered (&fixture, "entry-2", 700));
   bt_set_self_leaving (fixture.membership, 800);
-  CU_ASSERT_FALSE (is_given (&fixture, "entry-0", 900));
+  CU_ASSERT_FALSE (is_offered (&fixture, "entry-0", 900));
   CU_ASSERT_FALSE (bt_are_answers_expired (fixture.membership, 900));
   CU_ASSERT_TRUE (bt_are_answers_expired (fixture.membership, LATER_MS));
   close_fixture (&fixture);
 }
 
-/* A process that was cut off is replaced under its name; then it comes back and dials. Taken for
- * the live one, it would get requests and speak for records that it does not hold. */
+/* Guards against a partitioned process that reconnects after its replacement took over. Accepted as
+ * the live one, it would get requests and answer for records that it does not have. */
 static void
 test_replaced_incarnation_is_refused (void)
 {
@@ -149,20 +150,20 @@
   close_fixture (&fixture);
 }
 
-/* In a large fleet most entries are not linked here; the list speaks for them. One was replaced and
- * its address given to another: dialling the old name meets the new one, and the old name must not
- * be given to callers, who would reach someone else. */
+/* Guards against callers that reach the wrong instance at a reused address. In a large fleet most
+ * entries have no link here and are known from the list only. When dialling one of them meets
+ * another instance, it must not be offered to callers until the list has a new address for it. */
 static void
-test_address_is_reused (void)
+test_reused_address_is_not_offered (void)
 {
   enum
   {
     MANY = 60,
   };
   bt_listed_instance_t listed[MANY];
-  const bt_member_t *far = NULL;
+  const bt_member_t *unlinked = NULL;
   fixture_t fixture;
-  int32_t near = 0;
+  int32_t near_count = 0;
 
   open_fixture (&fixture, false);
   for (int32_t i = 0; i < MANY; i++)
@@ -175,25 +176,25 @@
     {
       const bt_member_t *member = bt_get_member (fixture.membership, i);
 
-      near += member->near ? 1 : 0;
+      near_count += member->near ? 1 : 0;
       if (!member->near && !member->linked)
-        far = member;
+        unlinked = member;
     }
-  CU_ASSERT_TRUE (near >= 7 && near <= MANY / 2);
-  CU_ASSERT_TRUE (bt_is_member_live (fixture.membership, far, 200));
-  bt_note_wrong_instance (fixture.membership, far->listed.instance);
-  CU_ASSERT_FALSE (bt_is_member_live (fixture.membership, far, 200));
+  CU_ASSERT_TRUE (near_count >= 7 && near_count <= MANY / 2);
+  CU_ASSERT_TRUE (bt_is_member_live (fixture.membership, unlinked, 200));
+  bt_note_wrong_instance (fixture.membership, unlinked->listed.instance);
+  CU_ASSERT_FALSE (bt_is_member_live (fixture.membership, unlinked, 200));
   for (int32_t i = 0; i < MANY; i++)
     snprintf (listed[i].address, BT_ADDRESS_BYTES, "127.0.0.1:%d", 7100 + (int)i);
   bt_take_member_list (fixture.ctx, fixture.membership, 7, listed, MANY, 300);
-  CU_ASSERT_TRUE (bt_is_member_live (fixture.membership, far, 400));
+  CU_ASSERT_TRUE (bt_is_member_live (fixture.membership, unlinked, 400));
   close_fixture (&fixture);
 }
 
-/* The list is read from a replica that lags, and an instance that is gone would come back to life.
- * Should the list's revisions really start anew, they are believed after a while. */
+/* Guards against instances that are gone and come back through a lagging replica of the list. If
+ * the list's revisions really start again, the lower revision is accepted after a while. */
 static void
-test_older_list_is_dropped (void)
+test_older_list_is_rejected (void)
 {
   fixture_t fixture;
 
@@ -208,11 +209,11 @@
   close_fixture (&fixture);
 }
 
-/* An entry was started during an outage and has no rules yet, or one was cut off: it is alive, its
- * links are up, and it refuses everyone. Callers must be sent to the others, while there are any.
- */
+/* Guards against callers that are sent to an entry which refuses all requests, because it was
+ * started without rules during an outage or is partitioned, although its links are up. It is
+ * offered only if there are no others. */
 static void
-test_entry_without_configuration_is_not_given (void)
+test_entry_without_configuration_is_not_offered (void)
 {
   bt_identity_t peer = { "entry-2", 7 };
   bt_identity_t other = { "entry-3", 8 };
@@ -220,17 +221,17 @@
 
   open_fixture (&fixture, false);
   bt_take_member_heartbeat (fixture.membership, &peer, false, false, 100);
-  CU_ASSERT_FALSE (is_given (&fixture, "entry-2", 200));
-  CU_ASSERT_TRUE (is_given (&fixture, "entry-3", 200));
+  CU_ASSERT_FALSE (is_offered (&fixture, "entry-2", 200));
+  CU_ASSERT_TRUE (is_offered (&fixture, "entry-3", 200));
   bt_take_member_heartbeat (fixture.membership, &other, false, false, 300);
   bt_set_self_admitting (fixture.membership, false);
-  CU_ASSERT_TRUE (is_given (&fixture, "entry-2", 400));
+  CU_ASSERT_TRUE (is_offered (&fixture, "entry-2", 400));
   close_fixture (&fixture);
 }
 
-/* Callers that ask in the same moment are not all sent to the same entry first. */
+/* Guards against sending all callers of one moment to the same entry first. */
 static void
-test_answers_are_spread (void)
+test_first_addresses_are_spread_over_entries (void)
 {
   int32_t first[ENTRIES] = { 0 };
   fixture_t fixture;
@@ -258,13 +259,13 @@
 
   CU_initialize_registry ();
   suite = CU_add_suite ("membership", NULL, NULL);
-  CU_ADD_TEST (suite, test_link_goes_before_list_for_life);
-  CU_ADD_TEST (suite, test_leaving_entry_is_not_given);
+  CU_ADD_TEST (suite, test_link_state_overrides_list);
+  CU_ADD_TEST (suite, test_leaving_entry_is_not_offered);
   CU_ADD_TEST (suite, test_replaced_incarnation_is_refused);
-  CU_ADD_TEST (suite, test_address_is_reused);
-  CU_ADD_TEST (suite, test_older_list_is_dropped);
-  CU_ADD_TEST (suite, test_entry_without_configuration_is_not_given);
-  CU_ADD_TEST (suite, test_answers_are_spread);
+  CU_ADD_TEST (suite, test_reused_address_is_not_offered);
+  CU_ADD_TEST (suite, test_older_list_is_rejected);
+  CU_ADD_TEST (suite, test_entry_without_configuration_is_not_offered);
+  CU_ADD_TEST (suite, test_first_addresses_are_spread_over_entries);
   CU_basic_set_mode (CU_BRM_VERBOSE);
   CU_basic_run_tests ();
   failed = CU_get_number_of_failures ();
--- a/test/core/test_subset.c
+++ b/test/core/test_subset.c
@@ -13,7 +13,7 @@
 };
 
 static void
-fill (bt_subset_candidate_t *candidates, int32_t count)
+fill_candidates (bt_subset_candidate_t *candidates, int32_t count)
 {
   for (int32_t i = 0; i < count; i++)
     {
@@ -32,14 +32,14 @@
 }
 
 static void
-test_spread_over_domains_and_balanced (void)
+test_subsets_are_balanced_over_domains_and_entries (void)
 {
   bt_context_t *ctx = bt_new_context ();
   bt_subset_candidate_t candidates[ENTRIES] = { 0 };
   int32_t links[ENTRIES] = { 0 };
   int32_t chosen[BT_AGENT_LINKS];
 
-  fill (candidates, ENTRIES);
+  fill_candidates (candidates, ENTRIES);
   for (int32_t agent = 0; agent < AGENTS; agent++)
     {
       int32_t domains[DOMAINS] = { 0 };
@@ -62,10 +62,10 @@
   bt_drop_context (ctx);
 }
 
-/* One entry instance is replaced. Were the subsets drawn anew, every agent would dial eight others
- * at once, and every entry lose most of its links; only links to the one that went may move. */
+/* Guards against moving most links when one entry instance is replaced: only the links to the
+ * replaced instance may move. */
 static void
-test_replacing_one_moves_one_link (void)
+test_replacing_one_entry_moves_one_link (void)
 {
   bt_context_t *ctx = bt_new_context ();
   bt_subset_candidate_t before[ENTRIES] = { 0 };
@@ -73,8 +73,8 @@
   int32_t old_links[BT_AGENT_LINKS];
   int32_t new_links[BT_AGENT_LINKS];
 
-  fill (before, ENTRIES);
-  fill (after, ENTRIES);
+  fill_candidates (before, ENTRIES);
+  fill_candidates (after, ENTRIES);
   snprintf (after[5].instance, BT_NAME_BYTES, "entry-new");
   for (int32_t agent = 0; agent < AGENTS; agent++)
     {
@@ -98,7 +98,7 @@
   bt_subset_candidate_t candidates[3] = { 0 };
   int32_t chosen[BT_AGENT_LINKS];
 
-  fill (candidates, 3);
+  fill_candidates (candidates, 3);
   CU_ASSERT_EQUAL (bt_choose_subset (ctx, "agent", candidates, 3, BT_AGENT_LINKS, chosen), 3);
   CU_ASSERT_EQUAL (bt_choose_subset (ctx, "agent", candidates, 0, BT_AGENT_LINKS, chosen), 0);
   bt_drop_context (ctx);
@@ -112,8 +112,8 @@
 
   CU_initialize_registry ();
   suite = CU_add_suite ("subset", NULL, NULL);
-  CU_ADD_TEST (suite, test_spread_over_domains_and_balanced);
-  CU_ADD_TEST (suite, test_replacing_one_moves_one_link);
+  CU_ADD_TEST (suite, test_subsets_are_balanced_over_domains_and_entries);
+  CU_ADD_TEST (suite, test_replacing_one_entry_moves_one_link);
   CU_ADD_TEST (suite, test_fewer_candidates_than_wanted);
   CU_basic_set_mode (CU_BRM_VERBOSE);
   CU_basic_run_tests ();
--- a/test/load/test_admission.c
+++ b/test/load/test_admission.c
@@ -19,7 +19,7 @@
 static uint64_t seed;
 
 static void
-start (int32_t queue_limit)
+open_fixture (int32_t queue_limit)
 {
   bt_router_options_t routing;
   bt_admission_options_t options;
@@ -41,14 +41,14 @@
 }
 
 static void
-stop (void)
+close_fixture (void)
 {
   bt_drop_admission (ctx, admission);
   bt_drop_router (ctx, router);
   bt_drop_context (ctx);
 }
 
-/* What a shell does after ADMIT. */
+/* Does what the calling code does after ADMIT: chooses an endpoint and records the dispatch. */
 static bt_route_t
 send_out (int64_t now_ms)
 {
@@ -85,7 +85,7 @@
                      BT_ADMISSION_ADMIT);
 }
 
-/* Frees a slot and returns the number of the request that goes out for it; 0 for none. */
+/* Frees a slot and returns the number of the request that is sent into it; 0 for none. */
 static uint64_t
 free_slot (int64_t now_ms)
 {
@@ -101,14 +101,14 @@
   return decision.id;
 }
 
-/* A chef's draft would wait longer than the chef can. He would learn so only at the cutoff, when it
- * is too late to order elsewhere. Cause: a queue that takes what it can't serve in time. */
+/* Guards against a queue that accepts a request which it cannot serve in time: its caller would
+ * learn so only at the deadline, too late to go elsewhere. */
 static void
 test_unreachable_deadline_is_refused_at_once (void)
 {
   bt_admission_decision_t decision;
 
-  start (100);
+  open_fixture (100);
   fill_endpoint ();
   CU_ASSERT_EQUAL (decide ((bt_admission_request_t){ .id = 1, .deadline_left_ms = 50 }, 0).reason,
                    BT_REASON_DEADLINE_UNREACHABLE);
@@ -119,17 +119,17 @@
   CU_ASSERT_EQUAL (decision.reason, BT_REASON_DEADLINE_UNREACHABLE);
   CU_ASSERT (decision.retry_after_ms > 0);
   CU_ASSERT_EQUAL (bt_count_waiting (admission, "drafts"), 20);
-  stop ();
+  close_fixture ();
 }
 
 static void
-test_rule_limit_lets_its_burst_through_and_names_the_wait (void)
+test_rule_limit_allows_burst_and_returns_wait (void)
 {
   const bt_admission_request_t request = { .id = 1, .rule = "r", .rule_per_second = 2 };
   bt_admission_request_t again = request;
   bt_admission_decision_t decision;
 
-  start (100);
+  open_fixture (100);
   CU_ASSERT_EQUAL (decide (request, 0).action, BT_ADMISSION_ADMIT);
   CU_ASSERT_EQUAL (decide (request, 0).action, BT_ADMISSION_ADMIT);
   decision = decide (request, 0);
@@ -139,13 +139,13 @@
   CU_ASSERT_EQUAL (decide (again, 0).action, BT_ADMISSION_ADMIT);
   CU_ASSERT_EQUAL (decide (request, 500).action, BT_ADMISSION_ADMIT);
   CU_ASSERT_EQUAL (decide (request, 500).reason, BT_REASON_RULE_LIMIT);
-  stop ();
+  close_fixture ();
 }
 
 static void
 test_full_queue_refuses (void)
 {
-  start (QUEUE_LIMIT);
+  open_fixture (QUEUE_LIMIT);
   fill_endpoint ();
   for (uint64_t i = 1; i <= QUEUE_LIMIT; i++)
     CU_ASSERT_EQUAL (decide ((bt_admission_request_t){ .id = i }, 0).action, BT_ADMISSION_QUEUE);
@@ -153,17 +153,17 @@
   CU_ASSERT_TRUE (bt_cancel_admission (admission, 3));
   CU_ASSERT_FALSE (bt_cancel_admission (admission, 3));
   CU_ASSERT_EQUAL (decide ((bt_admission_request_t){ .id = 99 }, 0).action, BT_ADMISSION_QUEUE);
-  stop ();
+  close_fixture ();
 }
 
-/* Two large accounts send ten times what fits, a small one a request now and then. The small one's
- * customers would stand behind the large ones' backlog. Cause: one queue in order of arrival. */
+/* Guards against a small account that waits behind the backlog of two large ones which send ten
+ * times the capacity, as it would in one queue in order of arrival. */
 static void
-test_large_account_waits_for_its_share_and_small_one_does_not (void)
+test_small_account_is_not_delayed_by_large_ones (void)
 {
   int32_t refused = 0;
 
-  start (1000);
+  open_fixture (1000);
   fill_endpoint ();
   for (uint64_t i = 1; i <= 200; i++)
     {
@@ -181,17 +181,17 @@
           .action,
       BT_ADMISSION_QUEUE);
   CU_ASSERT (free_slot (200) == 500 || free_slot (200) == 500 || free_slot (200) == 500);
-  stop ();
+  close_fixture ();
 }
 
-/* One of two accounts has its share of the queue, the other little. The first is refused for its
- * share, not for the load, so that its people know whom to ask. */
+/* Guards against the wrong reason for a refusal: an account that has used up its share is refused
+ * for its share, not for the total load, so that its operators know whom to ask. */
 static void
-test_share_is_named_as_the_reason (void)
+test_account_over_its_share_is_refused_for_it (void)
 {
   bt_admission_decision_t decision = { 0 };
 
-  start (1000);
+  open_fixture (1000);
   fill_endpoint ();
   for (uint64_t i = 1; i <= 300 && decision.action != BT_ADMISSION_REFUSE; i++)
     {
@@ -203,7 +203,7 @@
     }
   CU_ASSERT_EQUAL (decision.reason, BT_REASON_ACCOUNT_SHARE);
   CU_ASSERT (decision.retry_after_ms > 0);
-  stop ();
+  close_fixture ();
 }
 
 static void
@@ -211,7 +211,7 @@
 {
   int32_t heavy = 0;
 
-  start (1000);
+  open_fixture (1000);
   fill_endpoint ();
   for (uint64_t i = 0; i < 40; i++)
     {
@@ -221,13 +221,13 @@
   for (int32_t i = 0; i < 40; i++)
     heavy += free_slot (0) >= 200 ? 1 : 0;
   CU_ASSERT (heavy >= 29 && heavy <= 31);
-  stop ();
+  close_fixture ();
 }
 
 static void
-test_priority_and_further_attempts_go_first (void)
+test_priority_and_retries_are_served_first (void)
 {
-  start (100);
+  open_fixture (100);
   fill_endpoint ();
   decide ((bt_admission_request_t){ .id = 1 }, 0);
   decide ((bt_admission_request_t){ .id = 2 }, 0);
@@ -238,18 +238,18 @@
   CU_ASSERT_EQUAL (free_slot (0), 1);
   CU_ASSERT_EQUAL (free_slot (0), 2);
   CU_ASSERT_EQUAL (free_slot (0), 0);
-  stop ();
+  close_fixture ();
 }
 
-/* The last link goes while requests wait. A link that is dialled again within a second must find
- * them; if none comes, they must not be held until their deadlines. */
+/* Guards against requests that are refused while a lost link is being dialled again, and against
+ * requests that are held until their deadlines if it does not return. */
 static void
-test_queue_outlives_its_endpoint_for_a_moment_only (void)
+test_queue_is_kept_briefly_without_endpoint (void)
 {
   bt_identity_t identity = { .instance = "agent-0" };
   bt_admission_decision_t decision;
 
-  start (100);
+  open_fixture (100);
   fill_endpoint ();
   decide ((bt_admission_request_t){ .id = 1 }, 0);
   bt_record_link_down (router, &identity, 0);
@@ -258,82 +258,81 @@
   CU_ASSERT_TRUE (bt_next_admission (admission, 1100, &decision));
   CU_ASSERT_EQUAL (decision.id, 1);
   CU_ASSERT_EQUAL (decision.reason, BT_REASON_NO_ENDPOINT);
-  stop ();
+  close_fixture ();
 }
 
 static void
-test_overdue_requests_are_given_up_at_once (void)
+test_overdue_requests_are_refused_at_once (void)
 {
   bt_admission_decision_t decision;
 
-  start (100);
+  open_fixture (100);
   fill_endpoint ();
   decide ((bt_admission_request_t){ .id = 1, .deadline_left_ms = 500 }, 0);
   CU_ASSERT_FALSE (bt_next_admission (admission, 500 - SERVICE_MS - 1, &decision));
   CU_ASSERT_TRUE (bt_next_admission (admission, 500 - SERVICE_MS, &decision));
   CU_ASSERT_EQUAL (decision.id, 1);
   CU_ASSERT_EQUAL (decision.reason, BT_REASON_DEADLINE_UNREACHABLE);
-  stop ();
+  close_fixture ();
 }
 
-/* A few requests of a slow rule ran into its timeout, so that a run is thought to take longer than
- * a quick rule's callers wait. All their requests were refused with every slot free; the estimate
- * that refused them could never be corrected, since nothing ran. With a free slot a request goes
- * out. */
+/* Guards against refusing all requests of a rule with short deadlines while slots are free, because
+ * runs of a slow rule raised the estimated run time above those deadlines. Nothing would run, so
+ * the estimate would never be corrected. With a free slot a request is sent. */
 static void
-test_slow_runs_refuse_nobody_while_slots_are_free (void)
+test_request_is_admitted_to_free_slot_despite_slow_runs (void)
 {
   bt_route_t route;
 
-  start (QUEUE_LIMIT);
+  open_fixture (QUEUE_LIMIT);
   route = send_out (0);
   bt_record_attempt_end (router, &route, BT_ATTEMPT_ANSWERED, LATER_MS, LATER_MS);
   CU_ASSERT_EQUAL (
       decide ((bt_admission_request_t){ .id = 1, .deadline_left_ms = SERVICE_MS }, LATER_MS).action,
       BT_ADMISSION_ADMIT);
-  stop ();
+  close_fixture ();
 }
 
-/* A thousand callers are refused within one second and told the same time. They come back as one,
- * and are refused again. */
+/* Guards against a thousand callers that are refused within one second, get the same retry-after
+ * time and return together. */
 static void
-test_come_back_times_are_spread (void)
+test_retry_after_times_are_spread (void)
 {
-  int32_t seconds[10] = { 0 };
+  int32_t buckets[10] = { 0 };
 
-  start (1);
+  open_fixture (1);
   fill_endpoint ();
   decide ((bt_admission_request_t){ .id = 1 }, 0);
   for (uint64_t i = 0; i < 1000; i++)
     {
-      const int64_t after_ms =
+      const int64_t bucket =
           decide ((bt_admission_request_t){ .id = 2 + i }, 0).retry_after_ms / 200;
 
-      CU_ASSERT (after_ms >= 0 && after_ms < 10);
-      seconds[after_ms]++;
+      CU_ASSERT (bucket >= 0 && bucket < 10);
+      buckets[bucket]++;
     }
   for (int32_t i = 0; i < 10; i++)
-    CU_ASSERT (seconds[i] <= 300);
-  stop ();
+    CU_ASSERT (buckets[i] <= 300);
+  close_fixture ();
 }
 
-/* Seven entries have filled every endpoint and refill each slot that falls free. An eighth, whose
- * callers came a moment later, would never see room. It may always hold its equal part. */
+/* Guards against an entry that never sees free capacity because seven others have filled every
+ * endpoint and refill each slot at once. It may always have its equal share in flight. */
 static void
-test_late_entry_gets_its_equal_part (void)
+test_late_entry_gets_its_equal_share (void)
 {
   const bt_identity_t identity = { .instance = "agent-0" };
   const bt_load_t full = {
     .running = SLOTS, .queued = 4, .slots = SLOTS, .service_ms = SERVICE_MS
   };
 
-  start (100);
+  open_fixture (100);
   bt_set_router_entries (router, 2);
   bt_record_load (router, &identity, &full, 0);
   CU_ASSERT_EQUAL (decide ((bt_admission_request_t){ .id = 1 }, 0).action, BT_ADMISSION_ADMIT);
   CU_ASSERT_EQUAL (decide ((bt_admission_request_t){ .id = 2 }, 0).action, BT_ADMISSION_ADMIT);
   CU_ASSERT_EQUAL (decide ((bt_admission_request_t){ .id = 3 }, 0).action, BT_ADMISSION_QUEUE);
-  stop ();
+  close_fixture ();
 }
 
 int
@@ -345,17 +344,17 @@
   CU_initialize_registry ();
   suite = CU_add_suite ("admission", NULL, NULL);
   CU_ADD_TEST (suite, test_unreachable_deadline_is_refused_at_once);
-  CU_ADD_TEST (suite, test_rule_limit_lets_its_burst_through_and_names_the_wait);
+  CU_ADD_TEST (suite, test_rule_limit_allows_burst_and_returns_wait);
   CU_ADD_TEST (suite, test_full_queue_refuses);
-  CU_ADD_TEST (suite, test_large_account_waits_for_its_share_and_small_one_does_not);
-  CU_ADD_TEST (suite, test_share_is_named_as_the_reason);
+  CU_ADD_TEST (suite, test_small_account_is_not_delayed_by_large_ones);
+  CU_ADD_TEST (suite, test_account_over_its_share_is_refused_for_it);
   CU_ADD_TEST (suite, test_shares_are_weighted);
-  CU_ADD_TEST (suite, test_priority_and_further_attempts_go_first);
-  CU_ADD_TEST (suite, test_queue_outlives_its_endpoint_for_a_moment_only);
-  CU_ADD_TEST (suite, test_overdue_requests_are_given_up_at_once);
-  CU_ADD_TEST (suite, test_slow_runs_refuse_nobody_while_slots_are_free);
-  CU_ADD_TEST (suite, test_come_back_times_are_spread);
-  CU_ADD_TEST (suite, test_late_entry_gets_its_equal_part);
+  CU_ADD_TEST (suite, test_priority_and_retries_are_served_first);
+  CU_ADD_TEST (suite, test_queue_is_kept_briefly_without_endpoint);
+  CU_ADD_TEST (suite, test_overdue_requests_are_refused_at_once);
+  CU_ADD_TEST (suite, test_request_is_admitted_to_free_slot_despite_slow_runs);
+  CU_ADD_TEST (suite, test_retry_after_times_are_spread);
+  CU_ADD_TEST (suite, test_late_entry_gets_its_equal_share);
   CU_basic_set_mode (CU_BRM_VERBOSE);
   CU_basic_run_tests ();
   failed = CU_get_number_of_failures ();
--- a/test/load/test_policy_invariants.c
+++ b/test/load/test_policy_invariants.c
@@ -15,17 +15,17 @@
   ACCOUNTS = 5,
   SERVICE_MS = 50,
   ENDPOINTS = 3,
-  LEFT_MS = 2000,
+  MAX_DEADLINE_MS = 2000,
 };
 
-/* What a random run over an agent's queue has seen. */
-typedef struct watch
+/* Events of a random run over an agent's queue. */
+typedef struct run_counts
 {
   int32_t running;
   int32_t waiting;
-  int32_t asked[ACCOUNTS];
+  int32_t offered[ACCOUNTS];
   int32_t started[ACCOUNTS];
-} watch_t;
+} run_counts_t;
 
 static void
 name_account (char *name, int32_t account)
@@ -33,40 +33,43 @@
   snprintf (name, BT_NAME_BYTES, "account-%d", account);
 }
 
-/* Requests are numbered so that their account can be read off. */
+/* Records a decision. The number of a request modulo ACCOUNTS is its account. */
 static void
-take_decision (watch_t *watch, const bt_run_decision_t *decision, bool waited)
+record_decision (run_counts_t *counts, const bt_run_decision_t *decision, bool was_waiting)
 {
-  watch->waiting -= waited ? 1 : 0;
+  counts->waiting -= was_waiting ? 1 : 0;
   if (decision->action == BT_RUN_START)
     {
-      watch->running++;
-      watch->started[decision->id % ACCOUNTS]++;
+      counts->running++;
+      counts->started[decision->id % ACCOUNTS]++;
     }
   else if (decision->action == BT_RUN_QUEUED)
-    watch->waiting++;
+    counts->waiting++;
   else
     CU_ASSERT_NOT_EQUAL (decision->reason, BT_REASON_NONE);
 }
 
 static void
-check_agent (const bt_run_queue_t *queue, const watch_t *watch)
+check_agent_queue (const bt_run_queue_t *queue, const run_counts_t *counts)
 {
   bt_load_t load;
 
   bt_get_run_load (queue, &load);
-  CU_ASSERT_EQUAL (load.running, watch->running);
-  CU_ASSERT_EQUAL (load.queued, watch->waiting);
+  CU_ASSERT_EQUAL (load.running, counts->running);
+  CU_ASSERT_EQUAL (load.queued, counts->waiting);
   CU_ASSERT (load.running <= SLOTS);
   CU_ASSERT (load.queued <= QUEUE_LIMIT);
   CU_ASSERT (load.queued == 0 || load.running == SLOTS);
 }
 
 static void
-offer_random (
-    bt_context_t *ctx, bt_run_queue_t *queue, bt_random_t *random, uint64_t step, watch_t *watch)
+offer_random (bt_context_t *ctx,
+              bt_run_queue_t *queue,
+              bt_random_t *random,
+              uint64_t step,
+              run_counts_t *counts)
 {
-  /* Account 0 asks as much as all others together. */
+  /* Account 0 sends more requests than all others together. */
   const int32_t drawn = (int32_t)bt_random_below (random, (uint64_t)2 * ACCOUNTS);
   const int32_t account = drawn < ACCOUNTS ? drawn : 0;
   bt_run_decision_t decision;
@@ -75,14 +78,14 @@
 
   name_account (name, account);
   request.account = name;
-  request.deadline_left_ms = (int64_t)bt_random_below (random, LEFT_MS);
-  watch->asked[account]++;
+  request.deadline_left_ms = (int64_t)bt_random_below (random, MAX_DEADLINE_MS);
+  counts->offered[account]++;
   bt_offer_run (ctx, queue, &request, (int64_t)step, &decision);
-  take_decision (watch, &decision, false);
+  record_decision (counts, &decision, false);
 }
 
 static void
-run_agent (uint64_t seed)
+run_random_agent (uint64_t seed)
 {
   const bt_run_queue_options_t options = { .slots = SLOTS,
                                            .queue_limit = QUEUE_LIMIT,
@@ -90,40 +93,42 @@
   bt_context_t *ctx = bt_new_context ();
   bt_run_queue_t *queue = bt_new_run_queue (ctx, &options);
   bt_run_decision_t decision;
-  watch_t watch = { 0 };
+  run_counts_t counts = { 0 };
   bt_random_t random;
 
   bt_seed_random (&random, seed);
   for (uint64_t step = 1; step <= STEPS; step++)
     {
       if (bt_random_below (&random, 3) > 0)
-        offer_random (ctx, queue, &random, step, &watch);
-      else if (watch.running > 0)
+        offer_random (ctx, queue, &random, step, &counts);
+      else if (counts.running > 0)
         {
-          watch.running--;
+          counts.running--;
           bt_end_run (queue, 1 + (int64_t)bt_random_below (&random, SERVICE_MS));
         }
       while (bt_next_run (queue, (int64_t)step, &decision))
-        take_decision (&watch, &decision, true);
-      check_agent (queue, &watch);
+        record_decision (&counts, &decision, true);
+      check_agent_queue (queue, &counts);
     }
-  /* Accounts 1 to 4 ask for a tenth each, under their fifth; some of it can't be served in time. */
+  /* Accounts 1 to 4 send a tenth of the requests each, below their share of a fifth; a part of them
+   * cannot be served in time. */
   for (int32_t i = 1; i < ACCOUNTS; i++)
-    CU_ASSERT (watch.started[i] * 100 >= watch.asked[i] * 72);
+    CU_ASSERT (counts.started[i] * 100 >= counts.offered[i] * 72);
   bt_drop_run_queue (ctx, queue);
   bt_drop_context (ctx);
 }
 
-/* Whatever comes in whatever order: no request waits while a slot is free, the queue stays within
- * its bound, counts agree, and no account that asks for less than its part is starved. */
+/* Guards the invariants of an agent's queue under random requests: no request waits while a slot is
+ * free, the queue stays within its limit, the counts agree, and no account that demands less than
+ * its share is starved. */
 static void
 test_agent_queue_invariants (void)
 {
   for (uint64_t seed = 1; seed <= SEEDS; seed++)
-    run_agent (seed);
+    run_random_agent (seed);
 }
 
-/* One entry's state in a random run. */
+/* State of one entry in a random run. */
 typedef struct entry_run
 {
   bt_context_t *ctx;
@@ -131,7 +136,7 @@
   bt_admission_t *admission;
   bt_random_t random;
   bt_route_t routes[ENDPOINTS * SLOTS];
-  int32_t out;
+  int32_t in_flight;
   int32_t waiting;
 } entry_run_t;
 
@@ -164,21 +169,21 @@
 }
 
 static void
-send_out (entry_run_t *run, int64_t now_ms)
+dispatch (entry_run_t *run, int64_t now_ms)
 {
   const bt_route_request_t request = { .app = "drafts", .seed = bt_next_random (&run->random) };
   int64_t retry_after_ms;
 
-  CU_ASSERT_FATAL (run->out < ENDPOINTS * SLOTS);
-  CU_ASSERT_EQUAL (
-      bt_choose_endpoint (run->router, &request, now_ms, &run->routes[run->out], &retry_after_ms),
-      BT_REASON_NONE);
-  bt_record_dispatch (run->router, &run->routes[run->out], 0, now_ms);
-  run->out++;
+  CU_ASSERT_FATAL (run->in_flight < ENDPOINTS * SLOTS);
+  CU_ASSERT_EQUAL (bt_choose_endpoint (run->router, &request, now_ms, &run->routes[run->in_flight],
+                                       &retry_after_ms),
+                   BT_REASON_NONE);
+  bt_record_dispatch (run->router, &run->routes[run->in_flight], 0, now_ms);
+  run->in_flight++;
 }
 
 static void
-ask_random (entry_run_t *run, uint64_t id, int64_t now_ms)
+send_random (entry_run_t *run, uint64_t id, int64_t now_ms)
 {
   bt_admission_request_t request = { .id = id, .app = "drafts", .seed = id };
   bt_admission_decision_t decision;
@@ -186,10 +191,10 @@
 
   name_account (name, (int32_t)bt_random_below (&run->random, ACCOUNTS));
   request.account = name;
-  request.deadline_left_ms = (int64_t)bt_random_below (&run->random, LEFT_MS);
+  request.deadline_left_ms = (int64_t)bt_random_below (&run->random, MAX_DEADLINE_MS);
   bt_decide_admission (run->ctx, run->admission, &request, now_ms, &decision);
   if (decision.action == BT_ADMISSION_ADMIT)
-    send_out (run, now_ms);
+    dispatch (run, now_ms);
   else if (decision.action == BT_ADMISSION_QUEUE)
     run->waiting++;
   else
@@ -200,7 +205,7 @@
 }
 
 static void
-run_entry (uint64_t seed)
+run_random_entry (uint64_t seed)
 {
   entry_run_t run;
   bt_admission_decision_t decision;
@@ -211,37 +216,37 @@
       const int64_t now_ms = (int64_t)step * 4;
 
       if (bt_random_below (&run.random, 3) > 0)
-        ask_random (&run, step, now_ms);
-      else if (run.out > 0)
+        send_random (&run, step, now_ms);
+      else if (run.in_flight > 0)
         {
-          const uint64_t at = bt_random_below (&run.random, (uint64_t)run.out);
+          const uint64_t at = bt_random_below (&run.random, (uint64_t)run.in_flight);
 
           bt_record_attempt_end (run.router, &run.routes[at], BT_ATTEMPT_ANSWERED, SERVICE_MS,
                                  now_ms);
-          run.routes[at] = run.routes[--run.out];
+          run.routes[at] = run.routes[--run.in_flight];
         }
       while (bt_next_admission (run.admission, now_ms, &decision))
         {
           run.waiting--;
           if (decision.action == BT_ADMISSION_ADMIT)
-            send_out (&run, now_ms);
+            dispatch (&run, now_ms);
         }
       CU_ASSERT_EQUAL (bt_count_waiting (run.admission, "drafts"), run.waiting);
       CU_ASSERT (run.waiting <= QUEUE_LIMIT);
-      CU_ASSERT (run.waiting == 0 || run.out == ENDPOINTS * SLOTS);
+      CU_ASSERT (run.waiting == 0 || run.in_flight == ENDPOINTS * SLOTS);
     }
   bt_drop_admission (run.ctx, run.admission);
   bt_drop_router (run.ctx, run.router);
   bt_drop_context (run.ctx);
 }
 
-/* The same at an entry that has the endpoints to itself: it sends no more than fits, and keeps
- * nothing waiting while an endpoint has a free slot. */
+/* Guards the invariants of an entry that has the endpoints to itself: it sends no more than fits,
+ * and no request waits while an endpoint has a free slot. */
 static void
 test_entry_queue_invariants (void)
 {
   for (uint64_t seed = 1; seed <= SEEDS; seed++)
-    run_entry (seed);
+    run_random_entry (seed);
 }
 
 int
--- a/test/load/test_retry_budget.c
+++ b/test/load/test_retry_budget.c
@@ -3,11 +3,10 @@
 #include "bilberrytray/base/counters.h"
 #include "bilberrytray/load/retry_budget.h"
 
-/* A third of the endpoints dies and every request on them is tried again. Without a bound the rest
- * would get half as much work again just when they are fewest, fail by their deadlines, and cause
- * more tries. Cause: tries are counted against nothing. */
+/* Guards against unbounded retries after a third of the endpoints dies: the remaining ones would
+ * get half as much work again, miss their deadlines and cause more retries. */
 static void
-test_retries_stay_within_their_share (void)
+test_retries_are_limited_to_a_share (void)
 {
   bt_context_t *ctx = bt_new_context ();
   bt_retry_budget_options_t options;
@@ -28,7 +27,7 @@
 }
 
 static void
-test_quiet_time_saves_no_more_than_the_reserve (void)
+test_saved_retries_are_limited_to_the_reserve (void)
 {
   bt_context_t *ctx = bt_new_context ();
   bt_retry_budget_options_t options = { .share_percent = 10, .reserve = 3, .first = 3 };
@@ -45,7 +44,7 @@
 }
 
 static void
-test_each_reason_is_counted_only_when_taken (void)
+test_retry_is_counted_only_if_allowed (void)
 {
   bt_context_t *ctx = bt_new_context ();
   bt_retry_budget_options_t options = { .share_percent = 10,
@@ -66,7 +65,7 @@
 }
 
 static void
-test_a_share_of_nothing_forbids_all (void)
+test_share_of_zero_allows_no_retries (void)
 {
   bt_context_t *ctx = bt_new_context ();
   bt_retry_budget_options_t options = { .share_percent = 0, .reserve = 10 };
@@ -78,21 +77,22 @@
   bt_drop_context (ctx);
 }
 
-/* A fleet as gateways run it: each saves up its part, is started anew, and spends all. */
+/* Simulates a fleet of gateways: each instance saves its reserve, is restarted and spends
+ * everything. Returns the number of retries taken. */
 static int64_t
-spend_fleet (int64_t together, int32_t instances, int32_t requests)
+spend_fleet (int64_t total, int32_t instances, int32_t requests)
 {
   bt_context_t *ctx = bt_new_context ();
   bt_retry_budget_options_t options = { .share_percent = 15,
-                                        .reserve = bt_get_retry_part (together, instances),
-                                        .first = bt_get_retry_part (together, instances) };
+                                        .reserve = bt_get_retry_part (total, instances),
+                                        .first = bt_get_retry_part (total, instances) };
   int64_t taken = 0;
 
   for (int32_t i = 0; i < 2 * instances; i++)
     {
       bt_retry_budget_t *budget = bt_new_retry_budget (ctx, &options);
 
-      /* Those that run have saved up before the window that is counted. */
+      /* The instances before the restart save their reserve before the counted window. */
       for (int32_t j = 0; i < instances && j < 1000; j++)
         bt_record_attempt (budget);
       for (int32_t j = 0; j < requests; j++)
@@ -109,7 +109,7 @@
 
 /* Guards against reserves of single instances that add up to more than a fleet may spend. */
 static void
-test_fleets_stay_within_what_they_may_spend_together (void)
+test_fleet_stays_within_total_budget (void)
 {
   static const int32_t fleets[][2] = { { 90, 7 },   { 92, 8 },   { 230, 41 },
                                        { 240, 43 }, { 448, 98 }, { 1040, 432 } };
@@ -117,14 +117,15 @@
   for (size_t i = 0; i < sizeof fleets / sizeof fleets[0]; i++)
     for (int32_t requests = 1; requests < 100; requests += 7)
       {
-        int64_t all = 2 * (int64_t)fleets[i][1] * requests;
+        int64_t total_requests = 2 * (int64_t)fleets[i][1] * requests;
 
-        CU_ASSERT (spend_fleet (fleets[i][0], fleets[i][1], requests) <= fleets[i][0] + all / 5);
+        CU_ASSERT (spend_fleet (fleets[i][0], fleets[i][1], requests)
+                   <= fleets[i][0] + total_requests / 5);
       }
 }
 
 static void
-test_smaller_reserve_takes_what_is_held (void)
+test_smaller_reserve_drops_saved_retries (void)
 {
   bt_context_t *ctx = bt_new_context ();
   bt_retry_budget_options_t options = { .share_percent = 10, .reserve = 8, .first = 8 };
@@ -146,12 +147,12 @@
 
   CU_initialize_registry ();
   suite = CU_add_suite ("retry budget", NULL, NULL);
-  CU_ADD_TEST (suite, test_retries_stay_within_their_share);
-  CU_ADD_TEST (suite, test_quiet_time_saves_no_more_than_the_reserve);
-  CU_ADD_TEST (suite, test_each_reason_is_counted_only_when_taken);
-  CU_ADD_TEST (suite, test_a_share_of_nothing_forbids_all);
-  CU_ADD_TEST (suite, test_fleets_stay_within_what_they_may_spend_together);
-  CU_ADD_TEST (suite, test_smaller_reserve_takes_what_is_held);
+  CU_ADD_TEST (suite, test_retries_are_limited_to_a_share);
+  CU_ADD_TEST (suite, test_saved_retries_are_limited_to_the_reserve);
+  CU_ADD_TEST (suite, test_retry_is_counted_only_if_allowed);
+  CU_ADD_TEST (suite, test_share_of_zero_allows_no_retries);
+  CU_ADD_TEST (suite, test_fleet_stays_within_total_budget);
+  CU_ADD_TEST (suite, test_smaller_reserve_drops_saved_retries);
   CU_basic_set_mode (CU_BRM_VERBOSE);
   CU_basic_run_tests ();
   failed = CU_get_number_of_failures ();
--- a/test/load/test_router.c
+++ b/test/load/test_router.c
@@ -12,7 +12,7 @@
   PREFIX = 77,
 };
 
-/* Far longer than a run takes. */
+/* Much longer than a run. */
 static const int64_t long_ms = 5000;
 
 static bt_context_t *ctx;
@@ -38,7 +38,7 @@
 }
 
 static void
-start (int32_t endpoints)
+open_fixture (int32_t endpoints)
 {
   bt_router_options_t options;
 
@@ -56,13 +56,13 @@
 }
 
 static void
-stop (void)
+close_fixture (void)
 {
   bt_drop_router (ctx, router);
   bt_drop_context (ctx);
 }
 
-/* Chooses for a request; the endpoint's number, or -1 with the reason. */
+/* Chooses an endpoint for a request and returns its number, or -1 if there is none. */
 static int32_t
 choose (int64_t now_ms, uint64_t prefix, int32_t excluded, bt_route_t *route)
 {
@@ -115,12 +115,12 @@
   return capacity.room;
 }
 
-/* All engines of a group were started anew, and callers who waited come back at once. Each pass
- * takes too long, so that no stream is in time: the engines may run two each, and eight entries
- * send one to each of them, since each endpoint alone had room for one more. All entries together
- * keep to what the engines may run. */
+/* Guards against entries that together exceed small limits. All engines of a group have restarted,
+ * their passes are slow, and each may run two requests; eight entries whose waiting callers return
+ * at once would send one request each to every engine, as each endpoint alone has room for one
+ * more. */
 static void
-test_entries_keep_small_limits_together (void)
+test_entries_together_stay_within_small_limits (void)
 {
   enum
   {
@@ -130,7 +130,7 @@
   };
   int32_t sent = 0;
 
-  start (ENDPOINTS);
+  open_fixture (ENDPOINTS);
   bt_set_router_entries (router, ENTRIES);
   for (int32_t i = 0; i < ENDPOINTS; i++)
     {
@@ -143,21 +143,21 @@
     sent++;
   CU_ASSERT_TRUE (sent > 0);
   CU_ASSERT_TRUE (sent * ENTRIES <= ENDPOINTS * (LIMIT + QUEUE_DEPTH) + ENTRIES);
-  stop ();
+  close_fixture ();
 }
 
-/* One endpoint stands still with more than it may run. The others have room all the same. */
+/* Guards against an overloaded endpoint that reduces the room at the others. */
 static void
-test_a_full_endpoint_leaves_the_others_room (void)
+test_overloaded_endpoint_keeps_room_at_others (void)
 {
-  start (4);
+  open_fixture (4);
   bt_set_router_entries (router, ENTRIES);
   report (0, 100, 0, 0);
   report (1, 0, 0, 0);
   report (2, 0, 0, 0);
   report (3, 0, 0, 0);
   CU_ASSERT_TRUE (get_room (0) >= 3 * SLOTS);
-  stop ();
+  close_fixture ();
 }
 
 static int32_t
@@ -176,7 +176,7 @@
   const bt_identity_t dead = identify (1);
   bt_route_t route;
 
-  start (4);
+  open_fixture (4);
   bt_set_endpoint_leaving (router, &leaving, true);
   bt_record_link_down (router, &dead, 0);
   for (int32_t i = 0; i < 100; i++)
@@ -184,59 +184,58 @@
   bt_remove_endpoint (ctx, router, &route.identity);
   CU_ASSERT_EQUAL (choose (0, 0, 2, &route), -1);
   CU_ASSERT_EQUAL (choose (0, 0, 0, &route), 2);
-  stop ();
+  close_fixture ();
 }
 
-/* A link dies with eight requests on it, and the agent is dialled again. Late ends of the eight
- * arrive from the sweep of old calls. If they were counted, the endpoint would look idle (or less)
- * while it is busy with new work. */
+/* Guards against counting the late ends of eight requests that were in flight on a dead link, after
+ * the agent was dialled again: the endpoint would look idle (or less) while it runs new
+ * requests. */
 static void
-test_dead_links_take_their_counts_along (void)
+test_dead_link_resets_its_counts (void)
 {
   const bt_identity_t identity = identify (0);
   bt_route_t old;
-  bt_route_t fresh;
+  bt_route_t current;
 
-  start (1);
+  open_fixture (1);
   choose (0, 0, -1, &old);
   for (int32_t i = 0; i < SLOTS; i++)
     bt_record_dispatch (router, &old, 0, 0);
   bt_record_link_down (router, &identity, 10);
   CU_ASSERT_EQUAL (get_in_flight (), 0);
   bt_record_link_up (router, &identity, 20);
-  CU_ASSERT_EQUAL (choose (20, 0, -1, &fresh), 0);
-  bt_record_dispatch (router, &fresh, 0, 20);
+  CU_ASSERT_EQUAL (choose (20, 0, -1, &current), 0);
+  bt_record_dispatch (router, &current, 0, 20);
   for (int32_t i = 0; i < SLOTS; i++)
     bt_record_attempt_end (router, &old, BT_ATTEMPT_FAILED, 10, 30);
   CU_ASSERT_EQUAL (get_in_flight (), 1);
-  stop ();
+  close_fixture ();
 }
 
-/* Something between the two ends loses a connection; the entry dials again and hears heartbeats of
- * the same start of the agent. Without taking it back, the healthy endpoint would stay unused until
- * its process is replaced. */
+/* Guards against a healthy endpoint that stays unused until its process is replaced, after its
+ * connection was lost and the entry has a new link to the same incarnation. */
 static void
-test_heartbeats_on_a_new_link_bring_an_endpoint_back (void)
+test_new_link_makes_endpoint_usable_again (void)
 {
   const bt_endpoint_t endpoint = make_endpoint (0, 1);
 
-  start (1);
+  open_fixture (1);
   bt_record_link_down (router, &endpoint.identity, 0);
   CU_ASSERT_EQUAL (dispatch (10), -1);
   bt_put_endpoint (ctx, router, &endpoint, 20);
   CU_ASSERT_EQUAL (dispatch (20), 0);
-  stop ();
+  close_fixture ();
 }
 
-/* A report says "three" but speaks of a moment before this entry filled the endpoint. Taking own
- * work of now out of a count of then would make the endpoint look free for as long as reports lag,
- * and it would be sent twice what it holds. */
+/* Guards against combining an old report with the current count of own requests. The report says
+ * three but describes a time before this entry filled the endpoint; it would look free as long as
+ * reports lag, and be sent twice its capacity. */
 static void
-test_late_reports_are_corrected_by_own_work (void)
+test_old_reports_are_corrected_by_own_requests (void)
 {
   bt_route_t route;
 
-  start (2);
+  open_fixture (2);
   report (0, 0, 0, 0);
   report (1, 4, 0, 0);
   CU_ASSERT_EQUAL (choose (100, 0, 1, &route), 0);
@@ -247,16 +246,16 @@
   CU_ASSERT_EQUAL (get_room (550), 2 * (SLOTS + 4) - 7 - 4);
   report (0, 7, 100, 700);
   CU_ASSERT_EQUAL (get_room (700), 2 * (SLOTS + 4) - 7 - 4);
-  stop ();
+  close_fixture ();
 }
 
-/* A burst reaches eight entries that all hold the same old report of idle endpoints. Each sees room
- * for everything, together they send eight times what fits, and most of it comes back as refused.
- * Cause: an entry doesn't see the others' work; so it takes theirs to grow as its own. */
+/* Guards against eight entries that hold the same old report of idle endpoints and each fill the
+ * whole room, so that most requests are refused. An entry does not see the others' requests; it
+ * assumes that they grow as its own. */
 static void
-test_entries_share_the_room_of_an_old_report (void)
+test_entries_share_room_of_an_old_report (void)
 {
-  start (4);
+  open_fixture (4);
   bt_set_router_entries (router, ENTRIES);
   for (int32_t i = 0; i < 4; i++)
     report (i, 0, 1000, 1000);
@@ -264,7 +263,7 @@
     CU_ASSERT (dispatch (1000) >= 0);
   CU_ASSERT (get_in_flight () * ENTRIES >= 4 * SLOTS);
   CU_ASSERT (get_in_flight () * ENTRIES <= 4 * (SLOTS + 4 + ENTRIES));
-  stop ();
+  close_fixture ();
 }
 
 static void
@@ -272,7 +271,7 @@
 {
   int32_t counts[5] = { 0 };
 
-  start (5);
+  open_fixture (5);
   for (int32_t i = 0; i < 50; i++)
     {
       bt_route_t route;
@@ -285,19 +284,19 @@
     }
   for (int32_t i = 0; i < 5; i++)
     CU_ASSERT_EQUAL (counts[i], 10);
-  stop ();
+  close_fixture ();
 }
 
-/* Thousands of callers fetch tickets within a second, before any of them is used. If each named the
- * endpoint that is least loaded now, all would meet at one home. */
+/* Guards against one home agent for all tickets that are issued within a second: before any ticket
+ * is used, the least loaded endpoint stays the same. */
 static void
-test_homes_of_tickets_go_round (void)
+test_home_agents_are_chosen_round_robin (void)
 {
-  const bt_identity_t gone = identify (2);
+  const bt_identity_t leaving = identify (2);
   int32_t counts[3] = { 0 };
   bt_identity_t home;
 
-  start (3);
+  open_fixture (3);
   report (0, SLOTS, 0, 0);
   for (int32_t i = 0; i < 60; i++)
     {
@@ -306,41 +305,41 @@
     }
   for (int32_t i = 0; i < 3; i++)
     CU_ASSERT_EQUAL (counts[i], 20);
-  bt_set_endpoint_leaving (router, &gone, true);
+  bt_set_endpoint_leaving (router, &leaving, true);
   for (int32_t i = 0; i < 10; i++)
     {
       bt_choose_home (router, "drafts", 0, &home);
-      CU_ASSERT_FALSE (bt_same_identity (&home, &gone));
+      CU_ASSERT_FALSE (bt_same_identity (&home, &leaving));
     }
   CU_ASSERT_EQUAL (bt_choose_home (router, "other", 0, &home), BT_REASON_NO_ENDPOINT);
-  stop ();
+  close_fixture ();
 }
 
 static void
-test_slow_endpoints_get_less (void)
+test_slow_endpoints_get_fewer_requests (void)
 {
   bt_load_t slow = { .slots = SLOTS, .service_ms = 5 * SERVICE_MS };
   const bt_identity_t identity = identify (0);
   int32_t sent = 0;
 
-  start (4);
+  open_fixture (4);
   bt_record_load (router, &identity, &slow, 0);
   for (int32_t i = 1; i < 4; i++)
     report (i, 0, 0, 0);
   for (int32_t i = 0; i < 3 * SLOTS; i++)
     sent += dispatch (0) == 0 ? 1 : 0;
   CU_ASSERT_EQUAL (sent, 0);
-  stop ();
+  close_fixture ();
 }
 
-/* An engine becomes so slow that every caller's time passes before its answer. No run ends, so its
- * mean time stays that of better days, and half of all requests go on being sent into the hole. */
+/* Guards against an engine so slow that every request misses its deadline: no run ends, its mean
+ * time keeps its earlier value, and half of all requests would still be sent to it. */
 static void
-test_an_endpoint_that_never_ends_a_run_in_time_is_found (void)
+test_endpoint_without_ended_runs_is_avoided (void)
 {
   int32_t sent = 0;
 
-  start (2);
+  open_fixture (2);
   for (int64_t now_ms = 0; now_ms < 100; now_ms++)
     {
       bt_route_t route;
@@ -353,18 +352,18 @@
       sent += slow ? 1 : 0;
     }
   CU_ASSERT (sent <= 5);
-  stop ();
+  close_fixture ();
 }
 
-/* The same engine, seen earlier: what was sent there is still in flight and nothing has ended, so
- * no mean can tell. Callers would be lost until the first deadline. */
+/* Guards against sending requests to the same engine before the first deadline passes: its requests
+ * are still in flight, so its mean time shows nothing. */
 static void
-test_a_quiet_endpoint_is_avoided_before_a_deadline_tells (void)
+test_quiet_endpoint_is_avoided_before_first_deadline (void)
 {
   bt_route_t quiet;
   bt_route_t busy;
 
-  start (2);
+  open_fixture (2);
   CU_ASSERT_EQUAL (choose (0, 0, 1, &quiet), 0);
   bt_record_dispatch (router, &quiet, 0, 0);
   CU_ASSERT_EQUAL (choose (0, 0, 0, &busy), 1);
@@ -373,19 +372,19 @@
   CU_ASSERT_EQUAL (choose (SERVICE_MS, 0, -1, &quiet), 0);
   bt_record_attempt_end (router, &busy, BT_ATTEMPT_ANSWERED, SERVICE_MS, 240);
   CU_ASSERT_EQUAL (choose (250, 0, -1, &busy), 1);
-  stop ();
+  close_fixture ();
 }
 
-/* An endpoint answers slowly once, at a bad moment, while the others have room for all that comes.
- * It would never be asked again, and its slots would stand idle beside busy ones. */
+/* Guards against an endpoint that answered slowly once and is never chosen again while the others
+ * have room: its slots would stay idle. */
 static void
-test_an_endpoint_that_was_slow_once_is_tried_again (void)
+test_once_slow_endpoint_is_tried_again (void)
 {
   int32_t early = 0;
   int32_t late = 0;
   bt_route_t route;
 
-  start (3);
+  open_fixture (3);
   for (int32_t i = 0; i < 3; i++)
     {
       const int32_t number = choose (0, 0, -1, &route);
@@ -407,18 +406,18 @@
     }
   CU_ASSERT_EQUAL (early, 0);
   CU_ASSERT (late > 0);
-  stop ();
+  close_fixture ();
 }
 
-/* An endpoint was out and is well again, but its record makes it the dearest. Without a probe it
- * would get no work until the others are full, and a third of the app would stay unused. */
+/* Guards against a recovered endpoint that gets no work after its ejection because its measured
+ * time makes it the most expensive: without a probe, a third of the app would stay unused. */
 static void
-test_a_returning_endpoint_gets_a_probe (void)
+test_recovering_endpoint_gets_a_probe (void)
 {
   bt_route_t route;
   int64_t now_ms = 100;
 
-  start (3);
+  open_fixture (3);
   while (choose (0, 0, -1, &route) != 0)
     continue;
   for (int32_t i = 0; i < 3; i++)
@@ -433,16 +432,16 @@
   CU_ASSERT_NOT_EQUAL (dispatch (now_ms), 0);
   bt_record_attempt_end (router, &route, BT_ATTEMPT_ANSWERED, SERVICE_MS, now_ms);
   CU_ASSERT_EQUAL (choose (now_ms, 0, -1, &route), 0);
-  stop ();
+  close_fixture ();
 }
 
 static void
-test_a_cached_prefix_is_followed_only_while_it_pays (void)
+test_cached_prefix_is_used_only_while_cheaper (void)
 {
   const bt_identity_t identity = identify (2);
   bt_route_t route;
 
-  start (4);
+  open_fixture (4);
   bt_record_prefix (router, &identity, PREFIX, true, 0);
   for (int32_t i = 0; i < 4; i++)
     report (i, SLOTS, 0, 0);
@@ -452,15 +451,15 @@
   for (int32_t i = 0; i < 2 * SLOTS; i++)
     bt_record_dispatch (router, &route, 0, 0);
   CU_ASSERT_NOT_EQUAL (choose (0, PREFIX, -1, &route), 2);
-  stop ();
+  close_fixture ();
 }
 
-/* An endpoint fails, its process is restarted and fails again, every second. With each start a new
- * incarnation comes, and with a fresh record each would cost callers three failures. */
+/* Guards against an endpoint that fails and restarts every second: with a new record for each
+ * incarnation, every restart would cost callers three failures. */
 static void
-test_restarts_do_not_clear_the_record (void)
+test_restarts_keep_the_outlier_record (void)
 {
-  start (4);
+  open_fixture (4);
   for (uint64_t incarnation = 2; incarnation < 6; incarnation++)
     {
       const bt_endpoint_t endpoint = make_endpoint (0, incarnation);
@@ -476,15 +475,15 @@
       bt_record_link_down (router, &endpoint.identity, now_ms + 1);
     }
   CU_ASSERT_EQUAL (bt_count_outliers (router, "drafts", 70), 1);
-  stop ();
+  close_fixture ();
 }
 
-/* A switch fails and every endpoint looks bad. If all were taken out, the app would be gone, though
- * each still answers some requests. */
+/* Guards against ejecting all endpoints of an app when a switch fails and every endpoint looks bad,
+ * though each still answers some requests. */
 static void
-test_some_endpoints_always_stay_in (void)
+test_some_endpoints_are_never_ejected (void)
 {
-  start (4);
+  open_fixture (4);
   for (int32_t i = 0; i < 200; i++)
     {
       bt_route_t route;
@@ -494,24 +493,24 @@
       bt_record_attempt_end (router, &route, BT_ATTEMPT_FAILED, 10, 0);
     }
   CU_ASSERT_EQUAL (bt_count_outliers (router, "drafts", 0), 2);
-  stop ();
+  close_fixture ();
 }
 
 static void
-test_replaced_instances_are_forgotten (void)
+test_replaced_instances_are_removed (void)
 {
   const bt_endpoint_t other = make_endpoint (9, 1);
   const bt_identity_t identity = identify (0);
 
-  start (2);
+  open_fixture (2);
   bt_record_link_down (router, &identity, 0);
   bt_put_endpoint (ctx, router, &other, 3600000);
   CU_ASSERT_FALSE (bt_remove_endpoint (ctx, router, &identity));
-  stop ();
+  close_fixture ();
 }
 
-/* A key's home is asked for by name: whatever the loads, no other endpoint is chosen in its place.
- */
+/* Guards against choosing another endpoint, whatever the loads, for a request that names its agent,
+ * as for the home agent of a key. */
 static void
 test_only_the_named_endpoint_is_chosen (void)
 {
@@ -521,7 +520,7 @@
   int64_t retry_after_ms = 0;
   bt_route_t route;
 
-  start (4);
+  open_fixture (4);
   for (int32_t i = 0; i < 20; i++)
     {
       request.seed = seed++;
@@ -533,11 +532,11 @@
   request.only = &unknown;
   CU_ASSERT_EQUAL (bt_choose_endpoint (router, &request, 0, &route, &retry_after_ms),
                    BT_REASON_NO_ENDPOINT);
-  stop ();
+  close_fixture ();
 }
 
-/* Guards against requests to a process that is known to have ended, and against an endpoint that is
- * out for good when that was wrong. */
+/* Guards against requests to a process that is known to have ended, and against an endpoint that
+ * stays unused for good if that was wrong. */
 static void
 test_ended_endpoint_is_suspended (void)
 {
@@ -545,7 +544,7 @@
   bt_endpoint_t next = make_endpoint (0, 2);
   bt_route_t route;
 
-  start (1);
+  open_fixture (1);
   CU_ASSERT_TRUE (bt_set_endpoint_ended (router, &ended, long_ms));
   CU_ASSERT_EQUAL (choose (long_ms - 1, 0, -1, &route), -1);
   CU_ASSERT_EQUAL (choose (long_ms, 0, -1, &route), 0);
@@ -553,7 +552,7 @@
   bt_put_endpoint (ctx, router, &next, long_ms);
   CU_ASSERT_EQUAL (choose (long_ms, 0, -1, &route), 0);
   CU_ASSERT_FALSE (bt_set_endpoint_ended (router, &ended, long_ms));
-  stop ();
+  close_fixture ();
 }
 
 int
@@ -567,23 +566,23 @@
   CU_ADD_TEST (suite, test_unusable_endpoints_are_never_chosen);
   CU_ADD_TEST (suite, test_ended_endpoint_is_suspended);
   CU_ADD_TEST (suite, test_only_the_named_endpoint_is_chosen);
-  CU_ADD_TEST (suite, test_dead_links_take_their_counts_along);
-  CU_ADD_TEST (suite, test_heartbeats_on_a_new_link_bring_an_endpoint_back);
-  CU_ADD_TEST (suite, test_late_reports_are_corrected_by_own_work);
-  CU_ADD_TEST (suite, test_entries_share_the_room_of_an_old_report);
-  CU_ADD_TEST (suite, test_entries_keep_small_limits_together);
-  CU_ADD_TEST (suite, test_a_full_endpoint_leaves_the_others_room);
+  CU_ADD_TEST (suite, test_dead_link_resets_its_counts);
+  CU_ADD_TEST (suite, test_new_link_makes_endpoint_usable_again);
+  CU_ADD_TEST (suite, test_old_reports_are_corrected_by_own_requests);
+  CU_ADD_TEST (suite, test_entries_share_room_of_an_old_report);
+  CU_ADD_TEST (suite, test_entries_together_stay_within_small_limits);
+  CU_ADD_TEST (suite, test_overloaded_endpoint_keeps_room_at_others);
   CU_ADD_TEST (suite, test_work_spreads_evenly_without_reports);
-  CU_ADD_TEST (suite, test_homes_of_tickets_go_round);
-  CU_ADD_TEST (suite, test_slow_endpoints_get_less);
-  CU_ADD_TEST (suite, test_an_endpoint_that_never_ends_a_run_in_time_is_found);
-  CU_ADD_TEST (suite, test_a_quiet_endpoint_is_avoided_before_a_deadline_tells);
-  CU_ADD_TEST (suite, test_an_endpoint_that_was_slow_once_is_tried_again);
-  CU_ADD_TEST (suite, test_a_returning_endpoint_gets_a_probe);
-  CU_ADD_TEST (suite, test_a_cached_prefix_is_followed_only_while_it_pays);
-  CU_ADD_TEST (suite, test_restarts_do_not_clear_the_record);
-  CU_ADD_TEST (suite, test_some_endpoints_always_stay_in);
-  CU_ADD_TEST (suite, test_replaced_instances_are_forgotten);
+  CU_ADD_TEST (suite, test_home_agents_are_chosen_round_robin);
+  CU_ADD_TEST (suite, test_slow_endpoints_get_fewer_requests);
+  CU_ADD_TEST (suite, test_endpoint_without_ended_runs_is_avoided);
+  CU_ADD_TEST (suite, test_quiet_endpoint_is_avoided_before_first_deadline);
+  CU_ADD_TEST (suite, test_once_slow_endpoint_is_tried_again);
+  CU_ADD_TEST (suite, test_recovering_endpoint_gets_a_probe);
+  CU_ADD_TEST (suite, test_cached_prefix_is_used_only_while_cheaper);
+  CU_ADD_TEST (suite, test_restarts_keep_the_outlier_record);
+  CU_ADD_TEST (suite, test_some_endpoints_are_never_ejected);
+  CU_ADD_TEST (suite, test_replaced_instances_are_removed);
   CU_basic_set_mode (CU_BRM_VERBOSE);
   CU_basic_run_tests ();
   failed = CU_get_number_of_failures ();
