--- a/include/bilberrytray/core/membership.h
+++ b/include/bilberrytray/core/membership.h
@@ -73,7 +73,7 @@
   bool link_leaving;
   bool admitting; /**< Entries only: it reports that it may act on its configuration. */
   bool near;      /**< One end selected the other for a permanent link. */
-  bool near_is_known;
+  bool neighbor_is_known;
   bool lost; /**< Its link closed, or another instance answered at its address; reset by a new link
                 or a new address. */
   uint64_t incarnation;          /**< Incarnation of the latest link; 0 before the first. */
--- a/include/bilberrytray/load/admission.h
+++ b/include/bilberrytray/load/admission.h
@@ -14,7 +14,7 @@
 /** Settings of admission control. */
 typedef struct bt_admission_options
 {
-  int32_t queue_limit;      /**< Requests that may wait for each app. */
+  int32_t queue_limit;      /**< Maximum number of queued requests for each app. */
   int32_t wait_percent;     /**< An estimated wait is multiplied by this percentage before it is
                                compared with the deadline. */
   int64_t demand_window_ms; /**< Time constant of the decaying average of each account's demand. */
@@ -27,7 +27,7 @@
 /** A request to decide on. The strings are only read during the call. */
 typedef struct bt_admission_request
 {
-  uint64_t id; /**< Number assigned by the calling code, unique among waiting requests. */
+  uint64_t id; /**< Number assigned by the calling code, unique among queued requests. */
   const char *app;
   const char *account;
   int32_t share;    /**< Weight of the account in fair sharing; 0 counts as 1. */
@@ -46,8 +46,8 @@
 typedef enum bt_admission_action
 {
   BT_ADMISSION_ADMIT = 0, /**< Choose an endpoint and send it now. */
-  BT_ADMISSION_QUEUE,  /**< It waits in the queue; bt_next_admission returns the decision later. */
-  BT_ADMISSION_REFUSE, /**< Refuse it at once; it did not run. */
+  BT_ADMISSION_QUEUE,     /**< Queued; bt_next_admission returns the decision later. */
+  BT_ADMISSION_REFUSE,    /**< Refuse it at once; it did not run. */
 } bt_admission_action_t;
 
 /** Decision on one request. */
@@ -60,7 +60,7 @@
   int64_t retry_after_ms; /**< Of a refusal: time after which the caller may retry. */
 } bt_admission_decision_t;
 
-/** Sets the defaults: 4096 waiting requests per app, waits multiplied by 150%, demand averaged over
+/** Sets the defaults: 4096 queued requests per app, waits multiplied by 150%, demand averaged over
  * 2 s, retry-after times spread over at least 1 s and at most 5 min. */
 void bt_default_admission_options (bt_admission_options_t *options);
 
@@ -77,16 +77,16 @@
                           int64_t now_ms,
                           bt_admission_decision_t *decision);
 
-/** Returns the next decision on a waiting request, ADMIT or REFUSE, in @p decision; false if there
+/** Returns the next decision on a queued request, ADMIT or REFUSE, in @p decision; false if there
  * is none. Call it until it returns false: after each end of an attempt, after each load report,
- * and every few milliseconds while requests wait. */
+ * and every few milliseconds while requests are queued. */
 bool
 bt_next_admission (bt_admission_t *admission, int64_t now_ms, bt_admission_decision_t *decision);
 
-/** Removes a waiting request whose caller has left; returns false if it is not waiting. */
+/** Removes a queued request whose caller has left; returns false if it is not queued. */
 bool bt_cancel_admission (bt_admission_t *admission, uint64_t id);
 
-/** Returns the number of requests that wait for an app. */
-int32_t bt_count_waiting (const bt_admission_t *admission, const char *name);
+/** Returns the number of queued requests of an app. */
+int32_t bt_count_queued_requests (const bt_admission_t *admission, const char *name);
 
 #endif
--- a/source/core/membership.c
+++ b/source/core/membership.c
@@ -148,7 +148,7 @@
  * large fleet. Both ends compute the same selection, so neither has to ask the other. An entry that
  * selected itself has one link fewer. */
 static void
-select_near_members (bt_context_t *ctx, bt_membership_t *membership)
+select_neighbors (bt_context_t *ctx, bt_membership_t *membership)
 {
   const char *self = membership->self.instance;
   bt_subset_candidate_t *candidates =
@@ -165,9 +165,9 @@
       const char *other = member->listed.instance;
       bool agent = member->listed.role == BT_LISTED_AGENT;
 
-      if (member->near_is_known && digest == membership->entries_digest)
+      if (member->neighbor_is_known && digest == membership->entries_digest)
         continue;
-      member->near_is_known = true;
+      member->neighbor_is_known = true;
       member->near = count <= BT_AGENT_LINKS
                      || (!agent && chooser_selects (ctx, self, other, candidates, count))
                      || (membership->role == BT_LISTED_ENTRY
@@ -202,7 +202,7 @@
       member->is_listed = true;
     }
   remove_gone_members (membership);
-  select_near_members (ctx, membership);
+  select_neighbors (ctx, membership);
   return true;
 }
 
--- a/source/load/admission.c
+++ b/source/load/admission.c
@@ -26,7 +26,7 @@
 typedef struct app
 {
   char name[BT_NAME_BYTES];
-  bt_fair_queue_t *waiting;
+  bt_fair_queue_t *queue;
   bt_demand_t demand;
   int64_t usable_ms; /* last time that an endpoint was usable */
 } app_t;
@@ -79,7 +79,7 @@
     return;
   for (int32_t i = 0; i < admission->app_count; i++)
     {
-      bt_drop_fair_queue (ctx, admission->apps[i].waiting);
+      bt_drop_fair_queue (ctx, admission->apps[i].queue);
       bt_clear_demand (ctx, &admission->apps[i].demand);
     }
   bt_free (ctx, admission->apps);
@@ -108,7 +108,7 @@
   app = &admission->apps[admission->app_count++];
   memset (app, 0, sizeof *app);
   bt_copy_name (app->name, name);
-  app->waiting = bt_new_fair_queue (ctx, admission->options.queue_limit);
+  app->queue = bt_new_fair_queue (ctx, admission->options.queue_limit);
   app->demand.window_ms = admission->options.demand_window_ms;
   app->usable_ms = now_ms;
   return app;
@@ -213,8 +213,9 @@
                   double rate)
 {
   const int32_t ahead =
-      bt_count_fair_ahead (app->waiting, request->account, request->share, request->priority) + 1;
-  const int32_t same_account = bt_count_fair_account (app->waiting, request->account) + 1;
+      bt_count_fair_items_ahead (app->queue, request->account, request->share, request->priority)
+      + 1;
+  const int32_t same_account = bt_count_fair_account_items (app->queue, request->account) + 1;
   const double by_order = ahead * SECOND_MS / rate;
   const double by_share = same_account * SECOND_MS / account_rate;
 
@@ -251,7 +252,7 @@
                   const bt_capacity_t *capacity)
 {
   const double wait_ms =
-      (bt_count_fair (app->waiting) + 1) * SECOND_MS / get_capacity_rate (capacity);
+      (bt_count_fair_items (app->queue) + 1) * SECOND_MS / get_capacity_rate (capacity);
   const int64_t end_ms = add_margin (admission, wait_ms) + capacity->full_queue_ms;
 
   return end_ms <= request->deadline_left_ms ? BT_REASON_ACCOUNT_SHARE
@@ -287,7 +288,7 @@
   if (late_ms > 0)
     refuse (admission, decision, find_late_reason (admission, app, request, capacity), late_ms,
             request->seed);
-  else if (bt_push_fair (ctx, app->waiting, request->account, &item))
+  else if (bt_push_fair_item (ctx, app->queue, request->account, &item))
     decision->action = BT_ADMISSION_QUEUE;
   else
     refuse (admission, decision, BT_REASON_QUEUE_FULL, wait_ms, request->seed);
@@ -316,7 +317,7 @@
   };
 
   if (request->deadline_left_ms > paused_ms
-      && bt_push_fair (ctx, app->waiting, request->account, &item))
+      && bt_push_fair_item (ctx, app->queue, request->account, &item))
     decision->action = BT_ADMISSION_QUEUE;
   else
     refuse (admission, decision, BT_REASON_NO_ENDPOINT, paused_ms / 2, request->seed);
@@ -350,7 +351,7 @@
   else if (capacity.endpoints == 0)
     refuse (admission, decision, BT_REASON_NO_ENDPOINT, admission->options.spread_ms,
             request->seed);
-  else if (has_room (&capacity) && bt_count_fair (app->waiting) == 0)
+  else if (has_room (&capacity) && bt_count_fair_items (app->queue) == 0)
     decision->action = BT_ADMISSION_ADMIT;
   else if (capacity.service_ms > request->deadline_left_ms)
     refuse (admission, decision, BT_REASON_DEADLINE_UNREACHABLE, 0, request->seed);
@@ -368,12 +369,12 @@
   bt_capacity_t capacity;
   bt_fair_item_t item;
 
-  if (bt_count_fair (app->waiting) == 0)
+  if (bt_count_fair_items (app->queue) == 0)
     return false;
   bt_get_capacity (admission->router, app->name, now_ms, &capacity);
   if (capacity.endpoints > 0)
     app->usable_ms = now_ms;
-  if (bt_expire_fair (app->waiting, now_ms, &item))
+  if (bt_expire_fair_item (app->queue, now_ms, &item))
     {
       decision->id = item.id;
       refuse (admission, decision, BT_REASON_DEADLINE_UNREACHABLE, 0, item.id);
@@ -381,13 +382,13 @@
     }
   if (now_ms - app->usable_ms > (capacity.paused > 0 ? admission->options.paused_wait_ms
                                                      : admission->options.no_endpoint_wait_ms)
-      && bt_pop_fair (app->waiting, now_ms, &item))
+      && bt_pop_fair_item (app->queue, now_ms, &item))
     {
       decision->id = item.id;
       refuse (admission, decision, BT_REASON_NO_ENDPOINT, admission->options.spread_ms, item.id);
       return true;
     }
-  if (!has_room (&capacity) || !bt_pop_fair (app->waiting, now_ms, &item))
+  if (!has_room (&capacity) || !bt_pop_fair_item (app->queue, now_ms, &item))
     return false;
   decision->id = item.id;
   decision->action = BT_ADMISSION_ADMIT;
@@ -411,15 +412,15 @@
 bt_cancel_admission (bt_admission_t *admission, uint64_t id)
 {
   for (int32_t i = 0; i < admission->app_count; i++)
-    if (bt_remove_fair (admission->apps[i].waiting, id))
+    if (bt_remove_fair_item (admission->apps[i].queue, id))
       return true;
   return false;
 }
 
 int32_t
-bt_count_waiting (const bt_admission_t *admission, const char *name)
+bt_count_queued_requests (const bt_admission_t *admission, const char *name)
 {
   const app_t *app = find_app (admission, name);
 
-  return app == NULL ? 0 : bt_count_fair (app->waiting);
+  return app == NULL ? 0 : bt_count_fair_items (app->queue);
 }
--- a/source/load/choice.c
+++ b/source/load/choice.c
@@ -67,7 +67,7 @@
       load += bt_get_endpoint_load (states[i]);
       slots += bt_get_endpoint_slots (states[i], options);
       averages->others += (double)(states[i]->total_at_report - states[i]->own_at_report) / count;
-      if (!bt_knows_endpoint_service (states[i]) || states[i]->stalled_ms > 0)
+      if (!bt_has_endpoint_service_time (states[i]) || states[i]->stalled_ms > 0)
         continue;
       weight = get_measurement_weight (states[i], averages->now_ms);
       averages->service_ms += weight * (double)bt_get_endpoint_service_ms (states[i], options);
@@ -90,9 +90,10 @@
   const double age_ms = (double)(averages->now_ms - state->load_at_ms);
   const double weight = state->reported ? exp (-age_ms / averages->service_ms) : 0;
   const double others_growth =
-      (double)(averages->entries - 1) * (state->own - state->own_at_report);
+      (double)(averages->entries - 1) * (state->own_in_flight - state->own_at_report);
 
-  return state->own + averages->others + (others - averages->others) * weight + others_growth;
+  return state->own_in_flight + averages->others + (others - averages->others) * weight
+         + others_growth;
 }
 
 /* Returns the mean time of a run. An endpoint that was slow once gets no work while the others have
@@ -106,7 +107,7 @@
 {
   const double weight = get_measurement_weight (state, averages->now_ms);
 
-  if (!bt_knows_endpoint_service (state))
+  if (!bt_has_endpoint_service_time (state))
     return averages->service_ms;
   return weight * (double)bt_get_endpoint_service_ms (state, options)
          + (1 - weight) * averages->service_ms;
@@ -144,7 +145,7 @@
 static bool
 is_probe_due (const bt_endpoint_state_t *state)
 {
-  return state->own == 0 && bt_get_outlier_share (&state->outlier) < WHOLE_PERCENT;
+  return state->own_in_flight == 0 && bt_get_outlier_share (&state->outlier) < WHOLE_PERCENT;
 }
 
 /* Returns the cost of sending a request to an endpoint, as time for its caller in ms. */
@@ -169,12 +170,12 @@
 }
 
 bt_endpoint_state_t *
-bt_choose_state (const bt_router_options_t *options,
-                 int32_t entries,
-                 bt_endpoint_state_t **states,
-                 int32_t count,
-                 const bt_route_request_t *request,
-                 int64_t now_ms)
+bt_choose_endpoint_state (const bt_router_options_t *options,
+                          int32_t entries,
+                          bt_endpoint_state_t **states,
+                          int32_t count,
+                          const bt_route_request_t *request,
+                          int64_t now_ms)
 {
   const int32_t choices = options->choices > 0 ? options->choices : count;
   averages_t averages = { .entries = entries, .now_ms = now_ms };
--- a/source/load/endpoint_state.c
+++ b/source/load/endpoint_state.c
@@ -20,15 +20,15 @@
 int32_t
 bt_get_endpoint_load (const bt_endpoint_state_t *state)
 {
-  const int32_t load = state->total_at_report + state->own - state->own_at_report;
+  const int32_t load = state->total_at_report + state->own_in_flight - state->own_at_report;
 
-  return load > state->own ? load : state->own;
+  return load > state->own_in_flight ? load : state->own_in_flight;
 }
 
 int32_t
-bt_get_endpoint_commitment (const bt_endpoint_state_t *state, int32_t entries)
+bt_get_endpoint_expected_load (const bt_endpoint_state_t *state, int32_t entries)
 {
-  const int32_t own_growth = state->own - state->own_at_report;
+  const int32_t own_growth = state->own_in_flight - state->own_at_report;
   int32_t multiplier = entries;
 
   if (own_growth <= 0)
@@ -41,7 +41,7 @@
 }
 
 bool
-bt_knows_endpoint_service (const bt_endpoint_state_t *state)
+bt_has_endpoint_service_time (const bt_endpoint_state_t *state)
 {
   return state->load.service_ms > 0 || state->service_ms > 0 || state->stalled_ms > 0;
 }
@@ -61,13 +61,13 @@
 int64_t
 bt_get_endpoint_quiet_ms (const bt_endpoint_state_t *state, int64_t now_ms)
 {
-  return state->own > 0 ? now_ms - state->quiet_since_ms : 0;
+  return state->own_in_flight > 0 ? now_ms - state->quiet_since_ms : 0;
 }
 
 int64_t
 bt_get_endpoint_idle_ms (const bt_endpoint_state_t *state, int64_t now_ms)
 {
-  if (state->own > 0 || state->change_count == 0)
+  if (state->own_in_flight > 0 || state->change_count == 0)
     return 0;
   return now_ms - state->history[(state->change_count - 1) % BT_HISTORY_SLOTS].at_ms;
 }
@@ -90,7 +90,7 @@
 }
 
 void
-bt_take_endpoint_load (bt_endpoint_state_t *state, const bt_load_t *load, int64_t now_ms)
+bt_record_endpoint_load (bt_endpoint_state_t *state, const bt_load_t *load, int64_t now_ms)
 {
   state->load = *load;
   state->load_at_ms = now_ms - load->age_ms;
@@ -106,29 +106,29 @@
 bt_forget_endpoint_load (bt_endpoint_state_t *state)
 {
   state->reported = false;
-  state->own = 0;
+  state->own_in_flight = 0;
   state->own_at_report = 0;
   state->total_at_report = 0;
   state->change_count = 0;
 }
 
 void
-bt_add_endpoint_own (bt_endpoint_state_t *state, int32_t change, int64_t now_ms)
+bt_add_endpoint_in_flight (bt_endpoint_state_t *state, int32_t change, int64_t now_ms)
 {
   bt_own_change_t *latest = &state->history[state->change_count % BT_HISTORY_SLOTS];
 
-  if (state->own == 0)
+  if (state->own_in_flight == 0)
     state->quiet_since_ms = now_ms;
-  state->own += change;
-  if (state->own < 0)
-    state->own = 0;
+  state->own_in_flight += change;
+  if (state->own_in_flight < 0)
+    state->own_in_flight = 0;
   latest->at_ms = now_ms;
-  latest->own = state->own;
+  latest->own = state->own_in_flight;
   state->change_count++;
 }
 
 void
-bt_take_endpoint_stall (bt_endpoint_state_t *state, int64_t took_ms)
+bt_record_endpoint_stall (bt_endpoint_state_t *state, int64_t took_ms)
 {
   /* If an endpoint is so slow that every caller cancels first, no run ends and its mean time keeps
    * its earlier value. The time that a request went without an answer is the only evidence. */
@@ -137,7 +137,7 @@
 }
 
 void
-bt_take_endpoint_time (bt_endpoint_state_t *state, int64_t took_ms, int64_t now_ms)
+bt_record_endpoint_time (bt_endpoint_state_t *state, int64_t took_ms, int64_t now_ms)
 {
   state->quiet_since_ms = now_ms;
   state->stalled_ms = 0;
--- a/source/load/endpoint_state.h
+++ b/source/load/endpoint_state.h
@@ -11,7 +11,7 @@
 enum
 {
   BT_PREFIX_SLOTS = 16,  /**< Prefixes recorded per endpoint. */
-  BT_HISTORY_SLOTS = 64, /**< Changes of own recorded per endpoint. */
+  BT_HISTORY_SLOTS = 64, /**< Changes of own_in_flight recorded per endpoint. */
 };
 
 /** A prefix that an endpoint probably has in its cache. */
@@ -42,11 +42,11 @@
   bool reported;          /**< A load report has arrived since the link came up. */
   bt_load_t load;
   int64_t load_at_ms;      /**< Time that the last load report describes. */
-  int32_t own;             /**< Requests of this entry in flight. */
+  int32_t own_in_flight;   /**< Requests of this entry in flight. */
   int32_t own_at_report;   /**< The same at load_at_ms. */
   int32_t total_at_report; /**< Requests of all entries in flight at load_at_ms. */
   bt_own_change_t history[BT_HISTORY_SLOTS];
-  uint32_t change_count;    /**< Number of changes of own since the link came up. */
+  uint32_t change_count;    /**< Number of changes of own_in_flight since the link came up. */
   double home_virtual_time; /**< Virtual time of its next selection as home agent of a ticket. */
   uint64_t last_dispatch; /**< Number that the router gave to the last dispatch to this endpoint. */
   double service_ms; /**< Mean run time measured by this entry; 0 before the first measurement. */
@@ -69,10 +69,10 @@
 /** The same estimate under the assumption that each other entry has sent as much as this one since
  * the report, in proportion to its part of the load. Otherwise eight entries with the same old
  * report of a free endpoint would all fill it. */
-int32_t bt_get_endpoint_commitment (const bt_endpoint_state_t *state, int32_t entries);
+int32_t bt_get_endpoint_expected_load (const bt_endpoint_state_t *state, int32_t entries);
 
 /** Returns true if the agent or this entry has measured the time of a run there. */
-bool bt_knows_endpoint_service (const bt_endpoint_state_t *state);
+bool bt_has_endpoint_service_time (const bt_endpoint_state_t *state);
 
 /** Returns the mean time of a run there, or the default, in ms. */
 int64_t bt_get_endpoint_service_ms (const bt_endpoint_state_t *state,
@@ -86,19 +86,19 @@
 int64_t bt_get_endpoint_idle_ms (const bt_endpoint_state_t *state, int64_t now_ms);
 
 /** Records a load report. */
-void bt_take_endpoint_load (bt_endpoint_state_t *state, const bt_load_t *load, int64_t now_ms);
+void bt_record_endpoint_load (bt_endpoint_state_t *state, const bt_load_t *load, int64_t now_ms);
 
 /** Resets the counts and the load after the link died. */
 void bt_forget_endpoint_load (bt_endpoint_state_t *state);
 
 /** Adds @p change to the number of own requests in flight. */
-void bt_add_endpoint_own (bt_endpoint_state_t *state, int32_t change, int64_t now_ms);
+void bt_add_endpoint_in_flight (bt_endpoint_state_t *state, int32_t change, int64_t now_ms);
 
 /** Records that a request was cancelled or failed after @p took_ms without an answer. */
-void bt_take_endpoint_stall (bt_endpoint_state_t *state, int64_t took_ms);
+void bt_record_endpoint_stall (bt_endpoint_state_t *state, int64_t took_ms);
 
 /** Records the time that an answer took, in ms. */
-void bt_take_endpoint_time (bt_endpoint_state_t *state, int64_t took_ms, int64_t now_ms);
+void bt_record_endpoint_time (bt_endpoint_state_t *state, int64_t took_ms, int64_t now_ms);
 
 bool bt_has_endpoint_prefix (const bt_endpoint_state_t *state, uint64_t prefix);
 
--- a/source/load/fair_queue.c
+++ b/source/load/fair_queue.c
@@ -77,8 +77,8 @@
   return NONE;
 }
 
-/* Returns an account that can be removed: it has no waiting items and its start tag is not ahead of
- * the virtual time. Without reuse, account names seen once would fill the table. */
+/* Returns an account that can be removed: it has no items and its start tag is not ahead of the
+ * virtual time. Without reuse, account names seen once would fill the table. */
 static int32_t
 find_reusable_account (const bt_fair_queue_t *queue)
 {
@@ -112,10 +112,10 @@
 }
 
 bool
-bt_push_fair (bt_context_t *ctx,
-              bt_fair_queue_t *queue,
-              const char *name,
-              const bt_fair_item_t *item)
+bt_push_fair_item (bt_context_t *ctx,
+                   bt_fair_queue_t *queue,
+                   const char *name,
+                   const bt_fair_item_t *item)
 {
   int32_t at = queue->free_head;
   account_t *account;
@@ -209,7 +209,7 @@
 }
 
 bool
-bt_pop_fair (bt_fair_queue_t *queue, int64_t now_ms, bt_fair_item_t *item)
+bt_pop_fair_item (bt_fair_queue_t *queue, int64_t now_ms, bt_fair_item_t *item)
 {
   candidate_t next = { NULL };
 
@@ -234,7 +234,7 @@
 }
 
 bool
-bt_expire_fair (bt_fair_queue_t *queue, int64_t now_ms, bt_fair_item_t *item)
+bt_expire_fair_item (bt_fair_queue_t *queue, int64_t now_ms, bt_fair_item_t *item)
 {
   int64_t next_ms = INT64_MAX;
 
@@ -259,7 +259,7 @@
 }
 
 bool
-bt_remove_fair (bt_fair_queue_t *queue, uint64_t id)
+bt_remove_fair_item (bt_fair_queue_t *queue, uint64_t id)
 {
   for (int32_t i = 0; i < queue->limit; i++)
     if (queue->nodes[i].account != NONE && queue->nodes[i].item.id == id)
@@ -281,9 +281,12 @@
 }
 
 bool
-bt_evict_fair (bt_fair_queue_t *queue, const char *name, int32_t priority, bt_fair_item_t *item)
+bt_evict_fair_item (bt_fair_queue_t *queue,
+                    const char *name,
+                    int32_t priority,
+                    bt_fair_item_t *item)
 {
-  const int32_t own = bt_count_fair_account (queue, name);
+  const int32_t own = bt_count_fair_account_items (queue, name);
   const account_t *longest = NULL;
   int32_t victim = NONE;
 
@@ -311,13 +314,13 @@
 }
 
 int32_t
-bt_count_fair (const bt_fair_queue_t *queue)
+bt_count_fair_items (const bt_fair_queue_t *queue)
 {
   return queue->count;
 }
 
 int32_t
-bt_count_fair_account (const bt_fair_queue_t *queue, const char *name)
+bt_count_fair_account_items (const bt_fair_queue_t *queue, const char *name)
 {
   const int32_t index = find_account (queue, name);
 
@@ -340,10 +343,10 @@
 }
 
 int32_t
-bt_count_fair_ahead (const bt_fair_queue_t *queue,
-                     const char *name,
-                     int32_t share,
-                     int32_t priority)
+bt_count_fair_items_ahead (const bt_fair_queue_t *queue,
+                           const char *name,
+                           int32_t share,
+                           int32_t priority)
 {
   const int32_t own_index = find_account (queue, name);
   int32_t own = 0;
--- a/source/load/fair_queue.h
+++ b/source/load/fair_queue.h
@@ -11,7 +11,7 @@
 
 typedef struct bt_fair_queue bt_fair_queue_t;
 
-/** One waiting request. */
+/** One queued request. */
 typedef struct bt_fair_item
 {
   uint64_t id;        /**< Number assigned by the owner of the queue. */
@@ -29,39 +29,41 @@
 void bt_drop_fair_queue (bt_context_t *ctx, bt_fair_queue_t *queue);
 
 /** Adds an item; returns false if the queue is full. */
-bool bt_push_fair (bt_context_t *ctx,
-                   bt_fair_queue_t *queue,
-                   const char *name,
-                   const bt_fair_item_t *item);
+bool bt_push_fair_item (bt_context_t *ctx,
+                        bt_fair_queue_t *queue,
+                        const char *name,
+                        const bt_fair_item_t *item);
 
 /** Removes the next item in fair order; returns false if there is none. At equal priority, items
  * that can still meet their caller's expectation are served before those that cannot. Under
  * overload, order of arrival alone would make every caller wait too long. */
-bool bt_pop_fair (bt_fair_queue_t *queue, int64_t now_ms, bt_fair_item_t *item);
+bool bt_pop_fair_item (bt_fair_queue_t *queue, int64_t now_ms, bt_fair_item_t *item);
 
 /** Removes an item whose give_up_ms has passed; returns false if there is none. */
-bool bt_expire_fair (bt_fair_queue_t *queue, int64_t now_ms, bt_fair_item_t *item);
+bool bt_expire_fair_item (bt_fair_queue_t *queue, int64_t now_ms, bt_fair_item_t *item);
 
 /** Removes one item by its number; returns false if it is not in the queue. */
-bool bt_remove_fair (bt_fair_queue_t *queue, uint64_t id);
+bool bt_remove_fair_item (bt_fair_queue_t *queue, uint64_t id);
 
-/** Removes the last item of the account with the most waiting items, to make room for an item of
- * account @p name with @p priority. Considers only items of lower priority, and items of equal
- * priority whose account would have more waiting than @p name with its new item. Returns false if
- * there is none. */
-bool
-bt_evict_fair (bt_fair_queue_t *queue, const char *name, int32_t priority, bt_fair_item_t *item);
+/** Removes the last item of the account with the most items, to make room for an item of account
+ * @p name with @p priority. Considers only items of lower priority, and items of equal priority
+ * whose account has more items than @p name would have with its new one. Returns false if there is
+ * none. */
+bool bt_evict_fair_item (bt_fair_queue_t *queue,
+                         const char *name,
+                         int32_t priority,
+                         bt_fair_item_t *item);
 
-int32_t bt_count_fair (const bt_fair_queue_t *queue);
+int32_t bt_count_fair_items (const bt_fair_queue_t *queue);
 
 /** Returns the number of items that would be served before a new one of this account, share and
  * priority. */
-int32_t bt_count_fair_ahead (const bt_fair_queue_t *queue,
-                             const char *name,
-                             int32_t share,
-                             int32_t priority);
+int32_t bt_count_fair_items_ahead (const bt_fair_queue_t *queue,
+                                   const char *name,
+                                   int32_t share,
+                                   int32_t priority);
 
 /** Returns the number of items of one account. */
-int32_t bt_count_fair_account (const bt_fair_queue_t *queue, const char *name);
+int32_t bt_count_fair_account_items (const bt_fair_queue_t *queue, const char *name);
 
 #endif
--- a/source/load/router.c
+++ b/source/load/router.c
@@ -213,7 +213,7 @@
 
   if (state == NULL || !state->linked)
     return false;
-  bt_take_endpoint_load (state, load, now_ms);
+  bt_record_endpoint_load (state, load, now_ms);
   return true;
 }
 
@@ -278,7 +278,8 @@
         usable[count++] = state;
     }
   *retry_after_ms = 0;
-  best = bt_choose_state (&router->options, router->entries, usable, count, request, now_ms);
+  best =
+      bt_choose_endpoint_state (&router->options, router->entries, usable, count, request, now_ms);
   if (best == NULL)
     {
       *retry_after_ms = NO_ENDPOINT_RETRY_AFTER_MS;
@@ -322,7 +323,7 @@
 
   if (state == NULL)
     return;
-  bt_add_endpoint_own (state, 1, now_ms);
+  bt_add_endpoint_in_flight (state, 1, now_ms);
   state->last_dispatch = ++router->last_dispatch;
   bt_set_endpoint_prefix (state, prefix, true, now_ms);
 }
@@ -394,7 +395,7 @@
   const bt_outlier_options_t *options = &router->options.outlier;
   const int64_t peers_ms = get_peers_service_ms (router, state);
 
-  bt_take_endpoint_stall (state, took_ms);
+  bt_record_endpoint_stall (state, took_ms);
   if (peers_ms == 0 || took_ms * WHOLE_PERCENT <= peers_ms * options->slow_percent)
     return BT_OUTLIER_NONE;
   return bt_record_outlier_answer (&state->outlier, options, took_ms, peers_ms);
@@ -413,16 +414,16 @@
 
   if (state == NULL)
     return;
-  bt_add_endpoint_own (state, -1, now_ms);
+  bt_add_endpoint_in_flight (state, -1, now_ms);
   if (end == BT_ATTEMPT_ANSWERED)
     {
-      bt_take_endpoint_time (state, took_ms, now_ms);
+      bt_record_endpoint_time (state, took_ms, now_ms);
       event = bt_record_outlier_answer (&state->outlier, options, took_ms,
                                         get_peers_service_ms (router, state));
     }
   else if (end == BT_ATTEMPT_FAILED)
     {
-      bt_take_endpoint_stall (state, took_ms);
+      bt_record_endpoint_stall (state, took_ms);
       event = bt_record_outlier_failure (&state->outlier, options);
     }
   else if (end == BT_ATTEMPT_CANCELLED)
@@ -438,7 +439,7 @@
 
   if (state == NULL || !state->linked)
     return;
-  if (state->own > 0
+  if (state->own_in_flight > 0
       && bt_record_outlier_failure (&state->outlier, &router->options.outlier) == BT_OUTLIER_EJECT)
     eject_endpoint (router, state, now_ms);
   state->linked = false;
@@ -467,9 +468,9 @@
                    const bt_router_options_t *options,
                    int32_t entries)
 {
-  int32_t commitment = bt_get_endpoint_commitment (state, entries);
-  int32_t estimated_growth = commitment - bt_get_endpoint_load (state);
-  int32_t room = bt_get_endpoint_slots (state, options) + options->queue_depth - commitment;
+  int32_t expected_load = bt_get_endpoint_expected_load (state, entries);
+  int32_t estimated_growth = expected_load - bt_get_endpoint_load (state);
+  int32_t room = bt_get_endpoint_slots (state, options) + options->queue_depth - expected_load;
 
   return room > -estimated_growth ? room : -estimated_growth;
 }
@@ -488,7 +489,7 @@
 
       if (strcmp (state->endpoint.app, app) == 0)
         {
-          capacity->in_flight += state->own;
+          capacity->in_flight += state->own_in_flight;
           capacity->paused += state->paused && !state->leaving ? 1 : 0;
         }
       if (!is_usable (router, state, app, now_ms))
@@ -497,7 +498,7 @@
       capacity->endpoints++;
       capacity->slots += slots;
       /* Other entries that hold more than their equal share return the excess under load. */
-      capacity->available_slots += slots - (bt_get_endpoint_load (state) - state->own);
+      capacity->available_slots += slots - (bt_get_endpoint_load (state) - state->own_in_flight);
       capacity->room += get_endpoint_room (state, options, router->entries);
       capacity->equal_share += (double)(slots + options->queue_depth) / router->entries;
       service_ms += bt_get_endpoint_service_ms (state, options);
--- a/source/load/run_queue.c
+++ b/source/load/run_queue.c
@@ -17,7 +17,7 @@
 struct bt_run_queue
 {
   bt_run_queue_options_t options;
-  bt_fair_queue_t *waiting;
+  bt_fair_queue_t *queued;
   int32_t running;
   double service_ms;
   bool measured; /* a run has ended with a measured time */
@@ -41,7 +41,7 @@
   bt_run_queue_t *queue = bt_calloc (ctx, 1, sizeof *queue);
 
   queue->options = *options;
-  queue->waiting = bt_new_fair_queue (ctx, options->queue_limit);
+  queue->queued = bt_new_fair_queue (ctx, options->queue_limit);
   queue->service_ms = (double)options->default_service_ms;
   return queue;
 }
@@ -51,12 +51,12 @@
 {
   if (queue == NULL)
     return;
-  bt_drop_fair_queue (ctx, queue->waiting);
+  bt_drop_fair_queue (ctx, queue->queued);
   bt_free (ctx, queue->evicted);
   bt_free (ctx, queue);
 }
 
-/* Returns the time until a request with @p ahead requests waiting before it gets a slot. */
+/* Returns the time until a request with @p ahead requests queued before it gets a slot. */
 static int64_t
 get_wait_ms (const bt_run_queue_t *queue, int32_t ahead)
 {
@@ -85,8 +85,8 @@
   queue->evicted[queue->evicted_count++] = *item;
 }
 
-/* Queues a request, if necessary in place of a waiting one of an account that has more of them.
- * Eight entries, each of them fair, can still fill one endpoint's queue with the requests of one
+/* Queues a request, if necessary by evicting one of an account that has more requests queued. Eight
+ * entries, each of them fair, can still fill one endpoint's queue with the requests of one
  * account. */
 static bool
 queue_request (bt_context_t *ctx,
@@ -103,12 +103,12 @@
   };
   bt_fair_item_t victim;
 
-  if (bt_push_fair (ctx, queue->waiting, request->account, &item))
+  if (bt_push_fair_item (ctx, queue->queued, request->account, &item))
     return true;
-  if (!bt_evict_fair (queue->waiting, request->account, request->priority, &victim))
+  if (!bt_evict_fair_item (queue->queued, request->account, request->priority, &victim))
     return false;
   add_evicted (ctx, queue, &victim);
-  return bt_push_fair (ctx, queue->waiting, request->account, &item);
+  return bt_push_fair_item (ctx, queue->queued, request->account, &item);
 }
 
 void
@@ -128,15 +128,15 @@
       refuse (decision, BT_REASON_ENDPOINT_LEAVING, 0);
       return;
     }
-  if (queue->running < queue->options.slots && bt_count_fair (queue->waiting) == 0)
+  if (queue->running < queue->options.slots && bt_count_fair_items (queue->queued) == 0)
     {
       queue->running++;
       decision->action = BT_RUN_START;
       return;
     }
-  wait_ms = get_wait_ms (queue, bt_count_fair_ahead (queue->waiting, request->account,
-                                                     request->share > 0 ? request->share : 1,
-                                                     request->priority));
+  wait_ms = get_wait_ms (queue, bt_count_fair_items_ahead (queue->queued, request->account,
+                                                           request->share > 0 ? request->share : 1,
+                                                           request->priority));
   late_ms = wait_ms + (int64_t)queue->service_ms - request->deadline_left_ms;
   if (late_ms > 0)
     refuse (decision, BT_REASON_DEADLINE_UNREACHABLE, late_ms);
@@ -156,17 +156,17 @@
     {
       decision->id = queue->evicted[--queue->evicted_count].id;
       refuse (decision, BT_REASON_ENDPOINT_FULL,
-              get_wait_ms (queue, bt_count_fair (queue->waiting)));
+              get_wait_ms (queue, bt_count_fair_items (queue->queued)));
       return true;
     }
-  if (bt_expire_fair (queue->waiting, now_ms, &item))
+  if (bt_expire_fair_item (queue->queued, now_ms, &item))
     {
       decision->id = item.id;
       refuse (decision, BT_REASON_DEADLINE_UNREACHABLE,
-              get_wait_ms (queue, bt_count_fair (queue->waiting)));
+              get_wait_ms (queue, bt_count_fair_items (queue->queued)));
       return true;
     }
-  if (queue->running >= queue->options.slots || !bt_pop_fair (queue->waiting, now_ms, &item))
+  if (queue->running >= queue->options.slots || !bt_pop_fair_item (queue->queued, now_ms, &item))
     return false;
   queue->running++;
   decision->id = item.id;
@@ -194,7 +194,7 @@
         queue->evicted[i] = queue->evicted[--queue->evicted_count];
         return true;
       }
-  return bt_remove_fair (queue->waiting, id);
+  return bt_remove_fair_item (queue->queued, id);
 }
 
 void
@@ -214,7 +214,7 @@
 {
   memset (load, 0, sizeof *load);
   load->running = queue->running;
-  load->queued = bt_count_fair (queue->waiting);
+  load->queued = bt_count_fair_items (queue->queued);
   load->slots = queue->options.slots;
   load->queue_limit = queue->options.queue_limit;
   /* The default time is not reported: an endpoint that has completed no run would look fast. */
--- a/test/core/test_membership.c
+++ b/test/core/test_membership.c
@@ -64,7 +64,7 @@
 }
 
 static bool
-is_offered (const fixture_t *fixture, const char *instance, int64_t now_ms)
+is_advertised (const fixture_t *fixture, const char *instance, int64_t now_ms)
 {
   const bt_member_t *chosen[ENTRIES];
   int32_t count =
@@ -83,7 +83,7 @@
 
   open_fixture (fixture, trust_list);
   open_link (fixture, "entry-1", 9, 0);
-  CU_ASSERT_TRUE (is_offered (fixture, "entry-1", 100));
+  CU_ASSERT_TRUE (is_advertised (fixture, "entry-1", 100));
   bt_close_member_link (fixture->ctx, fixture->membership, &peer);
   bt_take_member_list (fixture->ctx, fixture->membership, 6, fixture->listed, ENTRIES, 200);
 }
@@ -96,14 +96,14 @@
   fixture_t fixture;
 
   open_with_dead_entry (&fixture, false);
-  CU_ASSERT_FALSE (is_offered (&fixture, "entry-1", 300));
-  CU_ASSERT_TRUE (is_offered (&fixture, "entry-2", 300));
+  CU_ASSERT_FALSE (is_advertised (&fixture, "entry-1", 300));
+  CU_ASSERT_TRUE (is_advertised (&fixture, "entry-2", 300));
   open_link (&fixture, "entry-1", 10, 400);
-  CU_ASSERT_TRUE (is_offered (&fixture, "entry-1", 500));
-  CU_ASSERT_FALSE (is_offered (&fixture, "entry-1", LATER_MS));
+  CU_ASSERT_TRUE (is_advertised (&fixture, "entry-1", 500));
+  CU_ASSERT_FALSE (is_advertised (&fixture, "entry-1", LATER_MS));
   close_fixture (&fixture);
   open_with_dead_entry (&fixture, true);
-  CU_ASSERT_TRUE (is_offered (&fixture, "entry-1", 300));
+  CU_ASSERT_TRUE (is_advertised (&fixture, "entry-1", 300));
   close_fixture (&fixture);
 }
 
@@ -111,7 +111,7 @@
  * heartbeat sent before the leaving and delivered late must not revoke it; a new incarnation
  * does. */
 static void
-test_leaving_entry_is_not_offered (void)
+test_leaving_entry_is_not_advertised (void)
 {
   bt_identity_t peer = { "entry-1", 9 };
   fixture_t fixture;
@@ -120,14 +120,14 @@
   open_link (&fixture, "entry-1", 9, 0);
   bt_take_member_heartbeat (fixture.membership, &peer, true, true, 100);
   bt_take_member_heartbeat (fixture.membership, &peer, false, true, 200);
-  CU_ASSERT_FALSE (is_offered (&fixture, "entry-1", 300));
+  CU_ASSERT_FALSE (is_advertised (&fixture, "entry-1", 300));
   CU_ASSERT_EQUAL (open_link (&fixture, "entry-1", 10, 400), BT_LINK_REPLACES);
-  CU_ASSERT_TRUE (is_offered (&fixture, "entry-1", 500));
+  CU_ASSERT_TRUE (is_advertised (&fixture, "entry-1", 500));
   fixture.listed[2].leaving = true;
   bt_take_member_list (fixture.ctx, fixture.membership, 7, fixture.listed, ENTRIES, 600);
-  CU_ASSERT_FALSE (is_offered (&fixture, "entry-2", 700));
+  CU_ASSERT_FALSE (is_advertised (&fixture, "entry-2", 700));
   bt_set_self_leaving (fixture.membership, 800);
-  CU_ASSERT_FALSE (is_offered (&fixture, "entry-0", 900));
+  CU_ASSERT_FALSE (is_advertised (&fixture, "entry-0", 900));
   CU_ASSERT_FALSE (bt_are_answers_expired (fixture.membership, 900));
   CU_ASSERT_TRUE (bt_are_answers_expired (fixture.membership, LATER_MS));
   close_fixture (&fixture);
@@ -152,9 +152,10 @@
 
 /* Guards against callers that reach the wrong instance at a reused address. In a large fleet most
  * entries have no link here and are known from the list only. When dialling one of them meets
- * another instance, it must not be offered to callers until the list has a new address for it. */
+ * another instance, it must not be advertised to callers until the list has a new address for it.
+ */
 static void
-test_reused_address_is_not_offered (void)
+test_reused_address_is_not_advertised (void)
 {
   enum
   {
@@ -163,7 +164,7 @@
   bt_listed_instance_t listed[MANY];
   const bt_member_t *unlinked = NULL;
   fixture_t fixture;
-  int32_t near_count = 0;
+  int32_t neighbor_count = 0;
 
   open_fixture (&fixture, false);
   for (int32_t i = 0; i < MANY; i++)
@@ -176,11 +177,11 @@
     {
       const bt_member_t *member = bt_get_member (fixture.membership, i);
 
-      near_count += member->near ? 1 : 0;
+      neighbor_count += member->near ? 1 : 0;
       if (!member->near && !member->linked)
         unlinked = member;
     }
-  CU_ASSERT_TRUE (near_count >= 7 && near_count <= MANY / 2);
+  CU_ASSERT_TRUE (neighbor_count >= 7 && neighbor_count <= MANY / 2);
   CU_ASSERT_TRUE (bt_is_member_live (fixture.membership, unlinked, 200));
   bt_note_wrong_instance (fixture.membership, unlinked->listed.instance);
   CU_ASSERT_FALSE (bt_is_member_live (fixture.membership, unlinked, 200));
@@ -211,9 +212,9 @@
 
 /* Guards against callers that are sent to an entry which refuses all requests, because it was
  * started without rules during an outage or is partitioned, although its links are up. It is
- * offered only if there are no others. */
+ * advertised only if there are no others. */
 static void
-test_entry_without_configuration_is_not_offered (void)
+test_entry_without_configuration_is_not_advertised (void)
 {
   bt_identity_t peer = { "entry-2", 7 };
   bt_identity_t other = { "entry-3", 8 };
@@ -221,11 +222,11 @@
 
   open_fixture (&fixture, false);
   bt_take_member_heartbeat (fixture.membership, &peer, false, false, 100);
-  CU_ASSERT_FALSE (is_offered (&fixture, "entry-2", 200));
-  CU_ASSERT_TRUE (is_offered (&fixture, "entry-3", 200));
+  CU_ASSERT_FALSE (is_advertised (&fixture, "entry-2", 200));
+  CU_ASSERT_TRUE (is_advertised (&fixture, "entry-3", 200));
   bt_take_member_heartbeat (fixture.membership, &other, false, false, 300);
   bt_set_self_admitting (fixture.membership, false);
-  CU_ASSERT_TRUE (is_offered (&fixture, "entry-2", 400));
+  CU_ASSERT_TRUE (is_advertised (&fixture, "entry-2", 400));
   close_fixture (&fixture);
 }
 
@@ -260,11 +261,11 @@
   CU_initialize_registry ();
   suite = CU_add_suite ("membership", NULL, NULL);
   CU_ADD_TEST (suite, test_link_state_overrides_list);
-  CU_ADD_TEST (suite, test_leaving_entry_is_not_offered);
+  CU_ADD_TEST (suite, test_leaving_entry_is_not_advertised);
   CU_ADD_TEST (suite, test_replaced_incarnation_is_refused);
-  CU_ADD_TEST (suite, test_reused_address_is_not_offered);
+  CU_ADD_TEST (suite, test_reused_address_is_not_advertised);
   CU_ADD_TEST (suite, test_older_list_is_rejected);
-  CU_ADD_TEST (suite, test_entry_without_configuration_is_not_offered);
+  CU_ADD_TEST (suite, test_entry_without_configuration_is_not_advertised);
   CU_ADD_TEST (suite, test_first_addresses_are_spread_over_entries);
   CU_basic_set_mode (CU_BRM_VERBOSE);
   CU_basic_run_tests ();
--- a/test/load/test_admission.c
+++ b/test/load/test_admission.c
@@ -118,7 +118,7 @@
   CU_ASSERT_EQUAL (decision.action, BT_ADMISSION_REFUSE);
   CU_ASSERT_EQUAL (decision.reason, BT_REASON_DEADLINE_UNREACHABLE);
   CU_ASSERT (decision.retry_after_ms > 0);
-  CU_ASSERT_EQUAL (bt_count_waiting (admission, "drafts"), 20);
+  CU_ASSERT_EQUAL (bt_count_queued_requests (admission, "drafts"), 20);
   close_fixture ();
 }
 
--- a/test/load/test_policy_invariants.c
+++ b/test/load/test_policy_invariants.c
@@ -231,7 +231,7 @@
           if (decision.action == BT_ADMISSION_ADMIT)
             dispatch (&run, now_ms);
         }
-      CU_ASSERT_EQUAL (bt_count_waiting (run.admission, "drafts"), run.waiting);
+      CU_ASSERT_EQUAL (bt_count_queued_requests (run.admission, "drafts"), run.waiting);
       CU_ASSERT (run.waiting <= QUEUE_LIMIT);
       CU_ASSERT (run.waiting == 0 || run.in_flight == ENDPOINTS * SLOTS);
     }
