--- a/source/load/run_queue.c
+++ b/source/load/run_queue.c
@@ -10,21 +10,21 @@
   DEFAULT_SLOTS = 8,
   DEFAULT_QUEUE_LIMIT = 16,
   DEFAULT_SERVICE_MS = 500,
-  /* A new measurement counts for 1 / MEAN_WEIGHT of the mean. */
+  /* Weight of a new measurement in the mean: 1 / MEAN_WEIGHT. */
   MEAN_WEIGHT = 8,
 };
 
 struct bt_run_queue
 {
   bt_run_queue_options_t options;
-  bt_fair_queue_t *waiting;
+  bt_fair_queue_t *queued;
   int32_t running;
   double service_ms;
-  bool measured; /* a run has ended */
+  bool measured; /* a run has ended with a measured time */
   bool leaving;
-  bt_fair_item_t *pushed_out; /* lost their place, not yet told */
-  int32_t pushed_out_count;
-  int32_t pushed_out_capacity;
+  bt_fair_item_t *evicted; /* evicted items whose refusals are not yet returned */
+  int32_t evicted_count;
+  int32_t evicted_capacity;
 };
 
 void
@@ -41,7 +41,7 @@
   bt_run_queue_t *queue = bt_calloc (ctx, 1, sizeof *queue);
 
   queue->options = *options;
-  queue->waiting = bt_new_fair_queue (ctx, options->queue_limit);
+  queue->queued = bt_new_fair_queue (ctx, options->queue_limit);
   queue->service_ms = (double)options->default_service_ms;
   return queue;
 }
@@ -51,12 +51,12 @@
 {
   if (queue == NULL)
     return;
-  bt_drop_fair_queue (ctx, queue->waiting);
-  bt_free (ctx, queue->pushed_out);
+  bt_drop_fair_queue (ctx, queue->queued);
+  bt_free (ctx, queue->evicted);
   bt_free (ctx, queue);
 }
 
-/* Time until a request with so many waiting before it gets a slot. */
+/* Returns the time until a request with @p ahead requests queued before it gets a slot. */
 static int64_t
 get_wait_ms (const bt_run_queue_t *queue, int32_t ahead)
 {
@@ -74,19 +74,20 @@
 }
 
 static void
-keep_pushed_out (bt_context_t *ctx, bt_run_queue_t *queue, const bt_fair_item_t *item)
+add_evicted (bt_context_t *ctx, bt_run_queue_t *queue, const bt_fair_item_t *item)
 {
-  if (queue->pushed_out_count == queue->pushed_out_capacity)
+  if (queue->evicted_count == queue->evicted_capacity)
     {
-      queue->pushed_out_capacity = 2 * queue->pushed_out_capacity + 1;
-      queue->pushed_out = bt_realloc (ctx, queue->pushed_out, (size_t)queue->pushed_out_capacity,
-                                      sizeof *queue->pushed_out);
+      queue->evicted_capacity = 2 * queue->evicted_capacity + 1;
+      queue->evicted =
+          bt_realloc (ctx, queue->evicted, (size_t)queue->evicted_capacity, sizeof *queue->evicted);
     }
-  queue->pushed_out[queue->pushed_out_count++] = *item;
+  queue->evicted[queue->evicted_count++] = *item;
 }
 
-/* Queues a request, if need be in the place of one of an account that has more waiting: eight
- * entries, each fair by itself, can still fill one endpoint's queue with one account's work. */
+/* Queues a request, if necessary by evicting one of an account that has more requests queued. Eight
+ * entries, each of them fair, can still fill one endpoint's queue with the requests of one
+ * account. */
 static bool
 queue_request (bt_context_t *ctx,
                bt_run_queue_t *queue,
@@ -102,12 +103,12 @@
   };
   bt_fair_item_t victim;
 
-  if (bt_push_fair (ctx, queue->waiting, request->account, &item))
+  if (bt_push_fair_item (ctx, queue->queued, request->account, &item))
     return true;
-  if (!bt_push_out_fair (queue->waiting, request->account, request->priority, &victim))
+  if (!bt_evict_fair_item (queue->queued, request->account, request->priority, &victim))
     return false;
-  keep_pushed_out (ctx, queue, &victim);
-  return bt_push_fair (ctx, queue->waiting, request->account, &item);
+  add_evicted (ctx, queue, &victim);
+  return bt_push_fair_item (ctx, queue->queued, request->account, &item);
 }
 
 void
@@ -127,15 +128,15 @@
       refuse (decision, BT_REASON_ENDPOINT_LEAVING, 0);
       return;
     }
-  if (queue->running < queue->options.slots && bt_count_fair (queue->waiting) == 0)
+  if (queue->running < queue->options.slots && bt_count_fair_items (queue->queued) == 0)
     {
       queue->running++;
       decision->action = BT_RUN_START;
       return;
     }
-  wait_ms = get_wait_ms (queue, bt_count_fair_ahead (queue->waiting, request->account,
-                                                     request->share > 0 ? request->share : 1,
-                                                     request->priority));
+  wait_ms = get_wait_ms (queue, bt_count_fair_items_ahead (queue->queued, request->account,
+                                                           request->share > 0 ? request->share : 1,
+                                                           request->priority));
   late_ms = wait_ms + (int64_t)queue->service_ms - request->deadline_left_ms;
   if (late_ms > 0)
     refuse (decision, BT_REASON_DEADLINE_UNREACHABLE, late_ms);
@@ -151,21 +152,21 @@
   bt_fair_item_t item;
 
   memset (decision, 0, sizeof *decision);
-  if (queue->pushed_out_count > 0)
+  if (queue->evicted_count > 0)
     {
-      decision->id = queue->pushed_out[--queue->pushed_out_count].id;
+      decision->id = queue->evicted[--queue->evicted_count].id;
       refuse (decision, BT_REASON_ENDPOINT_FULL,
-              get_wait_ms (queue, bt_count_fair (queue->waiting)));
+              get_wait_ms (queue, bt_count_fair_items (queue->queued)));
       return true;
     }
-  if (bt_expire_fair (queue->waiting, now_ms, &item))
+  if (bt_expire_fair_item (queue->queued, now_ms, &item))
     {
       decision->id = item.id;
       refuse (decision, BT_REASON_DEADLINE_UNREACHABLE,
-              get_wait_ms (queue, bt_count_fair (queue->waiting)));
+              get_wait_ms (queue, bt_count_fair_items (queue->queued)));
       return true;
     }
-  if (queue->running >= queue->options.slots || !bt_pop_fair (queue->waiting, now_ms, &item))
+  if (queue->running >= queue->options.slots || !bt_pop_fair_item (queue->queued, now_ms, &item))
     return false;
   queue->running++;
   decision->id = item.id;
@@ -187,13 +188,13 @@
 bool
 bt_cancel_run (bt_run_queue_t *queue, uint64_t id)
 {
-  for (int32_t i = 0; i < queue->pushed_out_count; i++)
-    if (queue->pushed_out[i].id == id)
+  for (int32_t i = 0; i < queue->evicted_count; i++)
+    if (queue->evicted[i].id == id)
       {
-        queue->pushed_out[i] = queue->pushed_out[--queue->pushed_out_count];
+        queue->evicted[i] = queue->evicted[--queue->evicted_count];
         return true;
       }
-  return bt_remove_fair (queue->waiting, id);
+  return bt_remove_fair_item (queue->queued, id);
 }
 
 void
@@ -213,10 +214,10 @@
 {
   memset (load, 0, sizeof *load);
   load->running = queue->running;
-  load->queued = bt_count_fair (queue->waiting);
+  load->queued = bt_count_fair_items (queue->queued);
   load->slots = queue->options.slots;
   load->queue_limit = queue->options.queue_limit;
-  /* The default is no measurement: an endpoint that has ended nothing would look fast by it. */
+  /* The default time is not reported: an endpoint that has completed no run would look fast. */
   if (queue->measured)
     load->service_ms = queue->service_ms < 1 ? 1 : (int32_t)lround (queue->service_ms);
 }
