--- a/include/bilberrytray/maps/map_planner.h
+++ b/include/bilberrytray/maps/map_planner.h
@@ -2,10 +2,10 @@
 #define BILBERRYTRAY_MAPS_MAP_PLANNER_H
 
 /** @file
- * Planners: pure functions from the current map and the experts' loads to the next map. The load of
- * an expert is taken to spread evenly over its replicas. All ranks wait for the slowest in each
- * layer, so the step-time skew is the sum over layers of the busiest rank's load over the sum of
- * the mean rank's.
+ * Map planners: pure functions that compute the next map from the current map and the experts'
+ * loads. They assume that the load of an expert spreads evenly over its replicas. All ranks wait
+ * for the slowest one in each layer, so the step-time skew is the sum over the layers of the
+ * busiest rank's load, divided by the sum over the layers of the mean load per rank.
  */
 
 #include <stdbool.h>
@@ -14,76 +14,78 @@
 #include "bilberrytray/maps/expert_load.h"
 #include "bilberrytray/maps/expert_map.h"
 
-/** What a deployment cares for. */
+/** How a deployment weighs gains against costs. */
 typedef struct bt_map_weights
 {
-  double skew_weight;        /**< Worth of one millisecond of step time saved. */
-  double cost_weight;        /**< Price of one millisecond of step time spent on moving. */
-  int64_t horizon_ms;        /**< How long a gain is taken to last. */
-  int64_t held_step_cost_ms; /**< Price of one held step, in milliseconds of step time. */
+  double skew_weight;        /**< Value of one millisecond of step time saved. */
+  double cost_weight;        /**< Cost of one millisecond of step time spent on transfers. */
+  int64_t horizon_ms;        /**< How long a gain is assumed to last. */
+  int64_t held_step_cost_ms; /**< Cost of one held step, in milliseconds of step time. */
   double pay_ratio;          /**< Hysteresis: the gain must be this many times the cost. */
-  int64_t min_stay_ms;       /**< A replica stays at least so long after its expert last moved. */
+  int64_t min_stay_ms; /**< A replica is not removed within this time after a change of its expert's
+                          replicas. */
 } bt_map_weights_t;
 
-/** What the group can bear. */
+/** The limits and measured costs of a group. */
 typedef struct bt_map_limits
 {
-  int32_t slots;             /**< Replicas that fit a rank in each layer. */
+  int32_t slots;             /**< Replicas that one rank can hold in each layer. */
   int64_t expert_bytes;      /**< Size of one expert of one layer. */
-  int64_t move_us_per_mb;    /**< Step time lost to each megabyte moved, in microseconds. */
-  int64_t round_bytes;       /**< Most bytes that one round stages; 0: no bound. */
-  double expert_share;       /**< Share of a balanced step that the experts take, 0 to 1. */
-  double held_steps_a_round; /**< Held steps that past rounds came to; 0 without faults. */
-  double copy_ms;    /**< Time in which a rank copies one replica; ranks copy side by side. */
-  double round_ms;   /**< Time of a round beside the copying; above 0 for short rounds. */
-  int32_t rank_adds; /**< Most new replicas of a layer on one rank in a round; 0: no bound. */
+  int64_t move_us_per_mb;    /**< Step time lost per megabyte transferred, in microseconds. */
+  int64_t round_bytes;       /**< Maximum number of bytes that one round stages; 0: no limit. */
+  double expert_share;       /**< Share of a balanced step's time spent in experts, 0 to 1. */
+  double held_steps_a_round; /**< Held steps per round, as seen in past rounds; 0 without faults. */
+  double copy_ms;            /**< Time a rank takes to copy one replica; ranks copy in parallel. */
+  double round_ms;           /**< Duration of a round without copying; above 0 for short rounds. */
+  int32_t rank_adds;         /**< Most new replicas per rank and layer in one round; 0: no limit. */
 } bt_map_limits_t;
 
-/** When each expert's replicas last changed, for the minimum stay. */
+/** When the replicas of each expert last changed, for min_stay_ms. */
 typedef struct bt_map_history bt_map_history_t;
 
 bt_map_history_t *bt_new_map_history (bt_context_t *ctx, bt_map_shape_t shape);
 void bt_drop_map_history (bt_context_t *ctx, bt_map_history_t *history);
 
-/** Records where two maps differ, once @p next is in use. */
+/** Records which experts differ between two maps; call it once @p next is in use. */
 void bt_record_map_change (bt_map_history_t *history,
                            const bt_expert_map_t *current,
                            const bt_expert_map_t *next,
                            int64_t now_ms);
 
-/** All that a planner may look at. */
+/** The input of a planner. */
 typedef struct bt_map_input
 {
   const bt_expert_map_t *current;
   const bt_expert_load_t *load;
-  const bt_map_history_t *history; /**< NULL: nothing has moved yet. */
+  const bt_map_history_t *history; /**< NULL: nothing has changed yet. */
   bt_map_weights_t weights;
   bt_map_limits_t limits;
   int64_t now_ms;
-  const double *paces; /**< By rank: how many times as long as usual its work takes; NULL: all 1. */
+  const double *paces; /**< By rank: slowdown factor, the time that work takes relative to a normal
+                          rank; NULL: all 1. */
 } bt_map_input_t;
 
-/** One replica that comes or goes. */
+/** The addition or removal of one replica. */
 typedef struct bt_map_move
 {
   int32_t layer;
   int32_t expert;
   int32_t rank;
-  bool add; /**< A transfer of expert_bytes; false: the rank forgets the replica. */
+  bool add; /**< True: a transfer of expert_bytes. False: the rank drops the replica. */
 } bt_map_move_t;
 
-/** What a planner proposes. */
+/** The result of a planner. */
 typedef struct bt_map_plan
 {
-  bt_expert_map_t *next; /**< Never NULL; equal to the current map when nothing pays. */
+  bt_expert_map_t *next; /**< Never NULL; equal to the current map when no change pays. */
   bt_map_move_t *moves;
   int32_t move_count;
   int32_t move_capacity;
   double skew_before;  /**< Predicted for the current map. */
   double skew_after;   /**< Predicted for the next map. */
-  int64_t moved_bytes; /**< Bytes to transfer, over all ranks. */
-  double gain_ms;      /**< Step time saved over the horizon, before the skew weight. */
-  double cost_ms;      /**< Step time spent on moving and holding, before the cost weight. */
+  int64_t moved_bytes; /**< Bytes to transfer, summed over all ranks. */
+  double gain_ms;      /**< Step time saved over the horizon, before applying skew_weight. */
+  double cost_ms; /**< Step time spent on transfers and held steps, before applying cost_weight. */
 } bt_map_plan_t;
 
 typedef struct bt_map_planner bt_map_planner_t;
@@ -94,33 +96,37 @@
   bt_map_plan_t *(*plan) (bt_context_t *ctx, const bt_map_input_t *input);
 } bt_map_planner_vtable_t;
 
-/** A planner; it keeps no state of its own. */
+/** A stateless planner. */
 struct bt_map_planner
 {
   const bt_map_planner_vtable_t *vtable;
 };
 
-/** Moves experts only where the gain over the horizon pays the move. */
+/** The planner that changes the map only where the gain over the horizon exceeds the cost of the
+ * transfers. */
 const bt_map_planner_t *bt_paying_map_planner (void);
 
-/** Plans the next of many short rounds: as few copies on each rank as lower the skew most for the
- * time until they are in use. Meant for demand that moves within seconds. */
+/** The planner for many short rounds in a row: it picks the number of copies per rank that lowers
+ * the skew most per millisecond until the copies are in use. Meant for demand that shifts within
+ * seconds. */
 const bt_map_planner_t *bt_round_map_planner (void);
 
-/** Baseline: never changes the map. */
+/** Baseline planner that never changes the map. */
 const bt_map_planner_t *bt_static_map_planner (void);
 
-/** Baseline: packs every layer anew from the loads, whatever stands where. */
+/** Baseline planner that packs every layer from scratch by the loads, regardless of the current
+ * placement. */
 const bt_map_planner_t *bt_full_map_planner (void);
 
-/** Asks a planner for the next map. Same input, same plan. */
+/** Runs a planner. The same input always gives the same plan. */
 bt_map_plan_t *
 bt_plan_map (bt_context_t *ctx, const bt_map_planner_t *planner, const bt_map_input_t *input);
 
 void bt_drop_map_plan (bt_context_t *ctx, bt_map_plan_t *plan);
 
-/** The step-time skew that a map would have under given loads; 1 is perfect, also without load. A
- * slow rank's load counts by its pace; @p paces may be NULL. */
+/** Predicts the step-time skew of a map under given loads: 1 is perfect balance, and the result
+ * without load. @p paces holds each rank's slowdown factor, by which its load is multiplied; it
+ * may be NULL. */
 double
 bt_predict_map_skew (const bt_expert_map_t *map, const bt_expert_load_t *load, const double *paces);
 
--- a/include/bilberrytray/maps/rank_set.h
+++ b/include/bilberrytray/maps/rank_set.h
@@ -2,8 +2,9 @@
 #define BILBERRYTRAY_MAPS_RANK_SET_H
 
 /** @file
- * Sets of the ranks of a group: words of 64 bits, the lowest bit of the first word for rank 0. All
- * sets of one group have as many words. Whoever keeps the words lends them as a bt_rank_set_t.
+ * Sets of ranks of a group, as bit sets in 64-bit words: rank 0 is the lowest bit of the first
+ * word. All sets of one group have the same number of words. A bt_rank_set_t refers to words that
+ * its creator owns.
  */
 
 #include <stdbool.h>
@@ -13,19 +14,19 @@
 enum
 {
   BT_RANK_WORD_BITS = 64,
-  /** Most ranks of a group. */
+  /** Maximum number of ranks in a group. */
   BT_MAX_RANKS = 2048,
   BT_NO_RANK = -1,
 };
 
-/** A set to be read; valid as long as its words are. */
+/** A read-only set; valid as long as its words are. */
 typedef struct bt_rank_set
 {
   const uint64_t *words;
-  int32_t count; /**< Words. */
+  int32_t count; /**< Number of words. */
 } bt_rank_set_t;
 
-/** How many words a set of so many ranks has. */
+/** The number of words in a set for @p ranks ranks. */
 static inline int32_t
 bt_count_rank_words (int32_t ranks)
 {
@@ -60,7 +61,7 @@
   return ranks;
 }
 
-/** The first rank of a set that is not below @p from; BT_NO_RANK when there is none. */
+/** The first rank in a set that is not below @p from; BT_NO_RANK when there is none. */
 static inline int32_t
 bt_find_rank (bt_rank_set_t set, int32_t from)
 {
@@ -75,7 +76,7 @@
   return left == 0 ? BT_NO_RANK : word * BT_RANK_WORD_BITS + __builtin_ctzll (left);
 }
 
-/** For two sets of one group. */
+/** Compares two sets of the same group. */
 static inline bool
 bt_are_rank_sets_equal (bt_rank_set_t one, bt_rank_set_t other)
 {
--- a/source/maps/copy_price.c
+++ b/source/maps/copy_price.c
@@ -2,16 +2,16 @@
 
 #include <math.h>
 
-/* Time in which what was seen of the group's fullness fades, ms. Requests take one to two seconds,
- * and a group that empties for a pass or two is as busy as before. */
+/* Time constant of the smoothing of the fullness. Requests take one to two seconds, and a group
+ * that is empty for a pass or two is as busy as before. */
 static const double fade_ms = 1000;
 
-/* Below the one part of its room a group has no need of shorter passes, above the other all who
- * come wait for them. Between them the weight falls by equal factors. */
+/* Below the lower fullness the group does not need shorter passes; above the upper one all new
+ * requests wait for them. In between the weight falls geometrically. */
 static const double empty_part = 0.5;
 static const double full_part = 0.85;
 
-/* Weights of the time spent on copies, at both ends. */
+/* Weights of the time spent on copying, at and beyond both limits. */
 static const double full_weight = 5;
 static const double empty_weight = 40;
 
--- a/source/maps/expert_map.c
+++ b/source/maps/expert_map.c
@@ -4,8 +4,9 @@
 
 #include "bilberrytray/core/identity.h"
 
-/* A number a replica: the rank in the low bits, and a flag in the highest while more of the same
- * expert follow. Numbers have one byte, or two, the low one first, where a rank needs them. */
+/* Each replica is encoded as one number: the rank in the low bits, and the highest bit set while
+ * more replicas of the same expert follow. Numbers take one byte, or two in little-endian order
+ * where the ranks do not fit one byte. */
 enum
 {
   MAGIC_0 = 'B',
@@ -13,7 +14,7 @@
   FORMAT_VERSION = 2,
   HEADER_BYTES = 8,
   DIGEST_BYTES = 8,
-  NARROW_RANKS = 128, /* most ranks whose numbers fit one byte */
+  NARROW_RANKS = 128, /* the largest group whose numbers fit one byte */
   WIDE_BYTES = 2,
   BYTE_BITS = 8,
   BYTE_MASK = 0xff,
@@ -27,7 +28,7 @@
 {
   bt_map_shape_t shape;
   int32_t words_a_set;
-  uint64_t words[]; /* layer-major, one set an expert */
+  uint64_t words[]; /* layer-major, one set per expert */
 };
 
 static bool
@@ -181,14 +182,14 @@
   data[AT_RANKS + 1] = (uint8_t)(shape.ranks >> BYTE_BITS);
 }
 
-/* Bytes of a replica's number. */
+/* The size of a replica's number in bytes. */
 static int32_t
 get_number_bytes (int32_t ranks)
 {
   return ranks > NARROW_RANKS ? WIDE_BYTES : 1;
 }
 
-/* The flag of a number: its highest bit. */
+/* The flag that marks a number with successors: its highest bit. */
 static uint32_t
 get_more_flag (int32_t number_bytes)
 {
@@ -278,7 +279,8 @@
   return check_shape (*shape, error);
 }
 
-/* Reads one expert's replicas; NULL when they run past the end, repeat or leave the group. */
+/* Reads the replicas of one expert. Returns NULL when they run past the end, are not in ascending
+ * order, or name a rank outside the group. */
 static const uint8_t *
 read_cell (const uint8_t *at, const uint8_t *end, int32_t ranks, uint64_t *words)
 {
--- a/source/maps/group_orders.c
+++ b/source/maps/group_orders.c
@@ -2,9 +2,9 @@
 
 #include <string.h>
 
-/* What a rank is to be ordered while a round that was given up is cleared: disarm first, since an
- * armed rank prepares nothing; then another version, which raises its count; when that is done
- * everywhere, the group is let go. */
+/* Finds the order for a rank while an abandoned round is cleared. Disarming comes first, since an
+ * armed rank refuses to prepare; then another version is prepared, which raises the rank's order
+ * count; once every rank has done so, the group is released. */
 static bool
 get_clearing_order (const bt_group_rounds_t *rounds, int32_t index, bt_group_order_t *order)
 {
@@ -27,8 +27,8 @@
   return bt_is_engine_held (rank) && bt_is_group_cleared (rounds);
 }
 
-/* The rank whose agent gives the hold: another one with each try, never the holder's own unless it
- * is alone. */
+/* Chooses the rank whose agent sends the hold: another one with each attempt, never the holder's
+ * own unless it is the only rank. */
 static int32_t
 choose_giver (const bt_group_rounds_t *rounds)
 {
@@ -39,7 +39,7 @@
   return (rounds->holder + 1 + rounds->hold_tries % others) % rounds->settings.ranks;
 }
 
-/* What a rank is to be ordered now, if anything. */
+/* Finds the order that a rank needs now; false when it needs none. */
 static bool
 get_order (const bt_group_rounds_t *rounds, int32_t index, bt_group_order_t *order)
 {
@@ -77,14 +77,14 @@
 static bool
 is_order_due (const bt_group_rounds_t *rounds, const bt_rank_state_t *rank, int64_t now_ms)
 {
-  /* The effect of an order that was accepted shows in a later report: a copy takes its time. */
+  /* The effect of an accepted order shows in a later report, since copying takes time. */
   return rank->known
          && ((rank->order_id == 0 && !rank->accepted)
              || now_ms - rank->sent_ms >= rounds->settings.resend_ms);
 }
 
-/* One search goes once over the ranks, however many orders it finds. With each report it starts
- * anew: an order rests on all that is known. */
+/* One search passes over the ranks once, regardless of how many orders it finds. Each report
+ * restarts it, because an order depends on the state of all ranks. */
 bool
 bt_next_group_order (bt_group_rounds_t *rounds, int64_t now_ms, bt_group_order_t *order)
 {
--- a/source/maps/group_phases.c
+++ b/source/maps/group_phases.c
@@ -4,14 +4,14 @@
 
 enum
 {
-  /* Refusals of one rank that end a try to prepare or to hold. */
+  /* Refusals by one rank that end the PREPARING phase. */
   MOST_REFUSALS = 3,
-  /* Steps between the latest known one and that of a change, beside those that the orders take: one
-   * that has begun since the last report, and one to spare. */
+  /* Steps from the latest known one to that of the switch, in addition to those that pass while the
+   * orders are sent: one that has begun since the last report, and one in reserve. */
   SPARE_STEPS = 2,
-  /* The time of a step is the mean of so many. */
+  /* Number of steps over which the step time is averaged. */
   PACED_STEPS = 3,
-  /* Reports of ranks overtake each other by no more. */
+  /* The steps in reports of different ranks may decrease by this much. */
   LATE_STEPS = 2,
 };
 
@@ -26,8 +26,9 @@
     {
       rounds->ranks[i].refusals = 0;
       rounds->ranks[i].accepted = false;
-      /* An answer to an order of an earlier phase says nothing of this one. Taken for the proof of
-       * an own hold it let ranks be disarmed while another leader could let the group go. */
+      /* A result of an order from an earlier phase says nothing about this one. Taken as proof of
+       * an own hold, it once let ranks be disarmed while another leader could still release the
+       * group. */
       rounds->ranks[i].order_id = 0;
     }
 }
@@ -40,12 +41,11 @@
   bt_set_group_phase (rounds, BT_GROUP_CLEARING, now_ms);
 }
 
-/* Makes sure of a hold before the armed step. Where every rank holds, because the answers to
- * earlier tries were lost, none can take another hold, and the group would stand for ever. One of
- * the holds is then taken over: its rank prepares a version of this leader, and refuses
- * all earlier leaders from then on. A hold later than the armed step would not do; that step comes
- * by itself.
- */
+/* Begins to take a hold before the armed step. If every rank already holds because the answers to
+ * earlier attempts were lost, no rank can take another hold and the group would stand still
+ * forever. In that case one of the holds is taken over: its rank prepares a version of this leader
+ * and from then on refuses all earlier leaders. A hold later than the armed step is of no use; that
+ * step is reached without help. */
 static void
 secure (bt_group_rounds_t *rounds, int64_t now_ms)
 {
@@ -63,10 +63,10 @@
   bt_set_group_phase (rounds, BT_GROUP_SECURING, now_ms);
 }
 
-/* Decides what is to be done with a group that is whole, and with which no round is under way. What
- * another leader armed is taken back, even where it looks complete: that leader may be taking it
- * back itself. The ranks must not change meanwhile, so the group is first held before the step for
- * which they are armed. Is that refused, the step has begun. */
+/* Decides what to do with a complete group that has no round in progress. Whatever another leader
+ * armed is cancelled, even where it looks complete, since that leader may be cancelling it itself.
+ * The ranks must not switch meanwhile, so the group is first held before the step for which they
+ * are armed. If that hold is refused, the step has already begun. */
 static void
 look (bt_group_rounds_t *rounds, int64_t now_ms)
 {
@@ -95,15 +95,15 @@
 
   if (rounds->paced_ms != 0 && steps >= -LATE_STEPS && steps < PACED_STEPS)
     return;
-  /* A group that was formed anew counts from wherever it stands. */
+  /* A re-formed group may count its steps from any number. */
   if (rounds->paced_ms != 0 && steps >= 0)
     rounds->pass_ms = (double)(now_ms - rounds->paced_ms) / (double)steps;
   rounds->paced_step = step;
   rounds->paced_ms = now_ms;
 }
 
-/* Notes how long the orders of a round took. A time that was longer fades, since a group that comes
- * to the held step before it is let go makes all its streams wait. */
+/* Records how long the orders of a round took. A longer earlier time only decays by half, since a
+ * group that reaches the held step before it is released stalls all its streams. */
 static void
 note_orders (bt_group_rounds_t *rounds, int64_t now_ms)
 {
@@ -114,8 +114,8 @@
   rounds->orders_ms = fmax (taken_ms, (rounds->orders_ms + taken_ms) / 2);
 }
 
-/* Steps from the latest known one to that of a change. Each one too many leaves the ranks as they
- * are for a pass, at the very time when passes are long. */
+/* Computes the number of steps from the latest known one to that of the switch. Each step too many
+ * keeps the old map for another pass, at the very time when passes are long. */
 static int64_t
 count_steps_ahead (const bt_group_rounds_t *rounds)
 {
@@ -132,7 +132,7 @@
 {
   int64_t latest = bt_find_latest_step (rounds);
 
-  /* A step is never used twice: an order for it may still be on its way. */
+  /* A step is never used twice, since a delayed order for it may still arrive. */
   if (latest < rounds->last_step)
     latest = rounds->last_step;
   rounds->step = latest + count_steps_ahead (rounds);
@@ -143,8 +143,9 @@
   bt_set_group_phase (rounds, BT_GROUP_HOLDING, now_ms);
 }
 
-/* True once this leader's hold is reported. It stays in force until this leader lets the group go:
- * every rank has prepared this leader's map by then, and refuses all earlier leaders. */
+/* True once this leader's hold has been reported. The hold stays in force until this leader
+ * releases the group: by then every rank has prepared this leader's map and refuses all earlier
+ * leaders. */
 static bool
 is_own_hold_seen (bt_group_rounds_t *rounds, int64_t now_ms)
 {
@@ -185,8 +186,8 @@
     bt_set_group_phase (rounds, BT_GROUP_LOOKING, now_ms);
 }
 
-/* Until this leader's hold is seen. An order that was lost is not sent again once the end of the
- * lease is near: it could hold the group with nobody in office. */
+/* Handles HOLDING until this leader's hold is reported. A lost order is not sent again near the end
+ * of the lease: it could hold the group when there is no leader to release it. */
 static void
 advance_unheld (bt_group_rounds_t *rounds, int64_t now_ms)
 {
@@ -197,8 +198,8 @@
     choose_step (rounds, now_ms);
 }
 
-/* Nothing is armed yet and nothing will be, so the group can be let go without knowing what became
- * of the silent rank. */
+/* Abandons a round during its hold. Nothing is armed yet and nothing will be, so the group can be
+ * released without knowing the state of the silent rank. */
 static void
 give_hold_up (bt_group_rounds_t *rounds, int64_t now_ms)
 {
--- a/source/maps/group_ranks.c
+++ b/source/maps/group_ranks.c
@@ -141,7 +141,7 @@
   return true;
 }
 
-/* The rank that holds the earliest step, where all hold. */
+/* Finds the rank that holds the earliest step, when all ranks hold. */
 static int32_t
 find_earliest_holder (const bt_group_rounds_t *rounds)
 {
--- a/source/maps/group_rounds.c
+++ b/source/maps/group_rounds.c
@@ -4,8 +4,8 @@
 
 enum
 {
-  /* Versions of one leader: its fencing number leads, so that no other leader ever uses the same
-   * version for another map. */
+  /* Number of versions per leader. The fencing number forms the high part of a version, so that no
+   * other leader ever uses the same version for a different map. */
   VERSIONS_OF_LEADER = 1 << 20,
 };
 
@@ -55,7 +55,7 @@
   rounds->pass_ms = 0;
   rounds->paced_ms = 0;
   rounds->hold_until_ms = INT64_MAX;
-  /* A leader that pauses and goes on with its own fencing number goes on with its versions too. */
+  /* A leader that resumes with its own fencing number also continues its own versions. */
   if (rounds->last_version < (int64_t)fence * VERSIONS_OF_LEADER)
     rounds->last_version = (int64_t)fence * VERSIONS_OF_LEADER;
   bt_set_group_phase (rounds, BT_GROUP_LOOKING, 0);
@@ -75,8 +75,8 @@
   rounds->phase = BT_GROUP_LOOKING;
 }
 
-/* Remembers the steps that orders of any leader have named. An order to let the group go may be on
- * its way for seconds; a hold before the same step would be taken back by it. */
+/* Records the steps named in orders of any leader. A delayed GO order may arrive seconds later and
+ * would cancel a new hold before the same step. */
 static void
 note_steps (bt_group_rounds_t *rounds, const bt_rank_report_t *report)
 {
@@ -86,7 +86,7 @@
     rounds->last_step = report->armed_step;
 }
 
-/* A group that was formed anew has dropped all maps, holds and arms. */
+/* Handles a new epoch. A re-formed group has dropped all maps, holds and arms. */
 static void
 notice_epoch (bt_group_rounds_t *rounds, const bt_rank_report_t *report, int64_t now_ms)
 {
@@ -96,9 +96,9 @@
   bt_set_group_phase (rounds, BT_GROUP_LOOKING, now_ms);
 }
 
-/* An engine that was started anew has the first map, nothing prepared, armed or held, and counts
- * its orders from zero. An order that names the count of before could by chance fit the new one,
- * and an order that was accepted before has no effect to wait for. */
+/* Handles a restart of an engine. The new process has the first map, nothing prepared, armed or
+ * held, and an order count of zero. An order with an old count could match the new count by chance,
+ * and the effect of an order accepted before the restart will never show. */
 static void
 notice_start (bt_group_rounds_t *rounds,
               bt_rank_state_t *state,
@@ -135,7 +135,7 @@
   bt_advance_group (rounds, now_ms);
 }
 
-/* The rank that an order under way is for; NULL for one that is no longer waited for. */
+/* Finds the rank with a pending order; NULL when the result of the order is no longer expected. */
 static bt_rank_state_t *
 find_order (bt_group_rounds_t *rounds, uint64_t id)
 {
@@ -166,13 +166,13 @@
         state->refusals++;
       if (result == BT_ORDER_FENCED)
         rounds->fenced = true;
-      /* Only an order that was accepted at the count of a report without a hold proves that the
-       * hold is this leader's own; one that is merely seen may be another's, who can take it back.
-       */
+      /* Only an order accepted at the order count of a report without a hold proves that the hold
+       * is this leader's own. A hold that is merely reported may belong to another leader, who can
+       * release it. */
       if (result == BT_ORDER_DONE && rounds->phase == BT_GROUP_SECURING && !rounds->takes_hold)
         rounds->own_hold = true;
-      /* The answer comes from another rank's agent: that the group is held is for the holder's own
-       * to say. */
+      /* The result comes from another rank's agent; only the holder's own report shows whether the
+       * group is held. */
       rounds->ask = rounds->ask || rounds->phase == BT_GROUP_HOLDING;
     }
   bt_take_rank_report (rounds, rank, report, now_ms);
--- a/source/maps/map_controller.c
+++ b/source/maps/map_controller.c
@@ -29,7 +29,8 @@
   controller->result = result;
 }
 
-/* A round cut off by the end of a lease may end either way once rank 0 could have decided. */
+/* Ends the round at the end of the lease. Its result is unknown, since rank 0 may already have
+ * decided either way. */
 static void
 abandon_round (bt_map_controller_t *controller)
 {
@@ -50,14 +51,15 @@
   controller->ids = 0;
   controller->fresh_id = 1;
   controller->sequence = 0;
-  /* Another controller may have dropped that round since, after rank 0 was replaced. Orders of the
-   * earlier lease that are still under way are fenced off by the first look at the ranks. */
+  /* After a replacement of rank 0, another controller may have dropped that round. Delayed orders
+   * of the earlier lease are fenced off by the first queries to the ranks. */
   controller->taken = (bt_round_id_t){ 0 };
   memset (controller->views, 0, sizeof controller->views);
 }
 
-/* The holder of a lapsed lease may have been paused for long; another may hold it by now, though
- * the answer to an old renewal still arrives. Only a new grant with a new number goes on. */
+/* After an expired lease this controller may have been paused for long and another one may hold the
+ * lease, even though the answer to an old renewal still arrives. Only a new grant with a new
+ * fencing number allows it to continue. */
 bool
 bt_holds_map_lease (const bt_map_controller_t *controller, int64_t now_ms)
 {
@@ -160,27 +162,27 @@
       || report->rank < 0 || report->rank >= controller->settings.ranks)
     return;
   view = &controller->views[report->rank];
-  /* An agent that is starting knows nothing of its engine, and reports can overtake each other. */
+  /* A starting agent does not know its engine's state, and reports can arrive out of order. */
   if (report->refusal == BT_MAP_STARTING || report->refusal == BT_MAP_FENCED
       || report->id < view->id)
     return;
   view->id = report->id;
   view->seen_ms = now_ms;
-  /* An agent that refuses speaks from memory, which may be steps behind its engine, and may still
-   * be passing on what rank 0 told it. Only an order that was carried out makes a report to build
-   * on; after any other the rank is asked again. */
+  /* A refusing agent reports its remembered state, which may be steps behind its engine, and may
+   * still be passing on a decision of rank 0. Only the report of an executed order is reliable;
+   * after any other the rank is queried again. */
   if (report->refusal != BT_MAP_ACCEPTED)
     {
       if (report->refusal != BT_MAP_BUSY)
         view->fresh_id = 0;
       return;
     }
-  /* A replaced engine without a map stops the group. What is put together for it must come from
-   * reports made after it was seen: older ones may tell of a step that has since been made. */
+  /* A replaced engine without a map stops the group. The state it needs must come from reports made
+   * after the replacement was seen: older ones may name a step that has passed since. */
   if (!report->engine.joined
       && (!view->known || view->engine.incarnation != report->engine.incarnation))
     controller->fresh_id = controller->ids + 1;
-  /* Rank 0's agent may have dropped the round and said so before it restarted. */
+  /* Rank 0's agent may have dropped the round and told other ranks so before it restarted. */
   if (report->rank == 0 && view->known && view->agent != report->agent)
     drop_round (controller);
   view->known = true;
@@ -223,7 +225,7 @@
                             actions);
 }
 
-/* Asks the ranks whose reports are missing or too old; false while there are any. */
+/* Queries the ranks whose reports are missing or outdated; false while there are any. */
 static bool
 refresh_views (bt_context_t *ctx,
                bt_map_controller_t *controller,
@@ -244,7 +246,7 @@
   return fresh;
 }
 
-/* The state of any rank in the group; NULL when the group has never run. */
+/* The engine state of any joined rank; NULL when the group has never run. */
 static const bt_engine_state_t *
 find_member (const bt_map_controller_t *controller)
 {
@@ -254,8 +256,9 @@
   return NULL;
 }
 
-/* A replaced rank would step with whatever map it started with. It gets the group's map, and any
- * change that waits for its step, before it joins; until then the group cannot step at all. */
+/* Joins replaced ranks. A replaced rank would otherwise run steps with the map it started with. It
+ * gets the group's map and any pending change before it joins; until then the group cannot run a
+ * step. */
 static void
 join_ranks (bt_context_t *ctx,
             bt_map_controller_t *controller,
@@ -321,7 +324,7 @@
         drop_round (controller);
       return;
     }
-  /* Staging may have taken long; the step is chosen from reports of now. */
+  /* Staging may have taken long, so the step is chosen from fresh reports. */
   if (!controller->looked)
     {
       controller->looked = true;
@@ -350,14 +353,15 @@
         armed = false;
         late = late || controller->views[rank].engine.next_step >= controller->step;
       }
-  /* Deciding before all are armed would let an unarmed rank run past the step with the old map. */
+  /* Deciding before all ranks are armed would let an unarmed rank pass the step with the old map.
+   */
   if (armed
       || ((controller->settings.test_options & BT_MAP_NO_ARM_ALL) != 0
           && is_armed_for (&controller->views[0].engine, controller->round)))
     controller->phase = BT_ROUND_DECIDING;
   else if (now_ms >= controller->limit_ms || late)
     {
-      /* Orders take longer than the steps ahead allowed for; the next round arms further ahead. */
+      /* The orders took longer than the steps ahead allowed; the next round arms further ahead. */
       if (controller->widened < MAX_WIDENED)
         controller->widened++;
       drop_round (controller);
@@ -382,7 +386,8 @@
   bt_send_controller_order (ctx, controller, 0, order, now_ms, actions);
 }
 
-/* Sees a decided round through: all learn it, and a taken map comes into use at its step. */
+/* Completes a decided round: all ranks learn the decision, and an applied map comes into use at its
+ * step. */
 static void
 drive_settled (bt_context_t *ctx,
                bt_map_controller_t *controller,
@@ -438,8 +443,9 @@
     }
 }
 
-/* A round that a rank is armed for and that this controller did not begin, or a round of its own
- * that a replaced rank has cut short. True while there is something to do about it. */
+/* Ends a round that some rank is armed for and that this controller did not begin, or a round of
+ * its own that a replaced rank interrupted, and joins replaced ranks. True while there is work
+ * left. */
 static bool
 mend_group (bt_context_t *ctx,
             bt_map_controller_t *controller,
@@ -467,7 +473,8 @@
   return true;
 }
 
-/* A replaced rank may not speak up by itself, so each is looked at from time to time. */
+/* Queries ranks that have not reported for a while, since a replaced rank may not report by itself.
+ */
 static void
 look_around (bt_context_t *ctx,
              bt_map_controller_t *controller,
@@ -479,7 +486,7 @@
       send_query (ctx, controller, rank, now_ms, actions);
 }
 
-/* Ranks that wait for a taken map's step are looked at until it is in use. */
+/* Queries ranks that wait for the step of an applied map until it is in use. */
 static void
 watch_open_round (bt_context_t *ctx,
                   bt_map_controller_t *controller,
