--- a/source/maps/map_controller_private.h
+++ b/source/maps/map_controller_private.h
@@ -36,10 +36,9 @@
   bt_round_id_t round;
   uint64_t digest;
   uint64_t step;
-  bt_round_id_t
-      taken; /* the last round known to be applied; kept because reports may arrive out of order */
-  int32_t widened; /* how often the steps to arm ahead were doubled */
-  bool looked;     /* reports were requested after staging */
+  bt_round_id_t taken; /* the last round known to be applied: reports may arrive out of order */
+  int32_t widened;     /* how often the steps to arm ahead were doubled */
+  bool looked;         /* reports were requested after staging */
   bt_round_phase_t phase;
   bt_round_result_t result;
   int64_t limit_ms;
--- a/source/maps/map_layer.c
+++ b/source/maps/map_layer.c
@@ -6,7 +6,7 @@
 
 enum
 {
-  CHANGES_A_RANK = 4, /* a layer's chain of changes ends after so many times its ranks */
+  CHANGES_A_RANK = 4, /* maximum number of changes per rank in a layer */
 };
 
 static const double us_per_ms = 1000.0;
@@ -77,8 +77,7 @@
   return &layer->held[(size_t)rank * (size_t)layer->room];
 }
 
-/* Lists each rank's experts, so that a search looks at a rank's few and not at all of the layer's.
- */
+/* Lists the experts of each rank, so that a search need not scan all experts of the layer. */
 static void
 list_held (bt_context_t *ctx, bt_map_layer_t *layer, int32_t slots)
 {
@@ -142,7 +141,7 @@
     bt_set_map_ranks (map, index, expert, bt_get_layer_holders (layer, expert));
 }
 
-/* Adds an expert's share to the load of each of its holders, or takes it off. */
+/* Adds an expert's share to the load of each of its holders (sign 1), or subtracts it (sign -1). */
 static void
 shift_share (bt_map_layer_t *layer, int32_t expert, double sign)
 {
@@ -212,8 +211,8 @@
 
   search->pinned = pinned;
   search->transfer_load = prices->load > 0 ? prices->transfer / prices->load : 0;
-  /* One change seldom pays alone where several ranks are equally busy, so the whole chain is
-   * followed and cut behind its best point. */
+  /* A single change seldom pays when several ranks are equally busy, so the search continues past
+   * changes that do not pay and keeps the best state seen. */
   for (int32_t left = CHANGES_A_RANK * layer->ranks;
        left > 0 && bt_find_map_change (search, &change); left--)
     {
@@ -234,7 +233,7 @@
   return gain;
 }
 
-/* A replica to be packed. */
+/* A replica to place. */
 typedef struct replica
 {
   int32_t expert;
@@ -273,7 +272,7 @@
     }
 }
 
-/* Lists the replicas of all experts, those with the largest share first. */
+/* Lists the replicas of all experts in descending order of their share. */
 static replica_t *
 list_replicas (bt_context_t *ctx, const bt_map_layer_t *layer, int32_t slots, int32_t *count)
 {
@@ -300,7 +299,7 @@
         && (best == BT_NO_RANK || layer->load[rank] < layer->load[best]))
       best = rank;
   if (best == BT_NO_RANK)
-    return; /* only ranks that hold it already have room left */
+    return; /* only ranks that already hold it have a free slot */
   bt_add_rank (find_holders (layer, replica.expert), best);
   layer->load[best] += replica.share * layer->pace[best];
   layer->used[best]++;
--- a/source/maps/map_layer.h
+++ b/source/maps/map_layer.h
@@ -2,41 +2,42 @@
 #define BILBERRYTRAY_MAP_LAYER_H
 
 /** @file
- * One layer of a map while it is planned; private to the planners.
+ * One layer of a map during planning; private to the planners.
  */
 
 #include "bilberrytray/maps/map_planner.h"
 
-/** The ranks' loads in one layer, and who holds what. */
+/** The loads of the ranks in one layer, and the experts that they hold. */
 typedef struct bt_map_layer
 {
   int32_t experts;
   int32_t ranks;
-  int32_t words;     /**< Of a set of ranks. */
-  int32_t room;      /**< Experts that the list of a rank takes at most. */
+  int32_t words;     /**< Words per set of ranks. */
+  int32_t room;      /**< Capacity of a rank's list of experts. */
   double *tokens;    /**< By expert: its load over all its replicas. */
-  uint64_t *holders; /**< By expert: the set of the ranks that hold it. */
-  int32_t *replicas; /**< By expert: how many do. */
-  double *load;      /**< By rank: tokens, times the rank's pace. */
-  double *pace;      /**< By rank. */
-  int32_t *used;     /**< By rank: experts that it holds. */
-  int16_t *held;     /**< By rank: these experts, in no order. */
+  uint64_t *holders; /**< By expert: the set of ranks that hold it. */
+  int32_t *replicas; /**< By expert: number of ranks that hold it. */
+  double *load;      /**< By rank: tokens times the rank's slowdown factor. */
+  double *pace;      /**< By rank: slowdown factor. */
+  int32_t *used;     /**< By rank: number of experts that it holds. */
+  int16_t *held;     /**< By rank: the experts that it holds, unordered. */
 } bt_map_layer_t;
 
-/** Weighted prices, in one unit. */
+/** Weighted values and costs, in the same unit. */
 typedef struct bt_map_prices
 {
-  double load;     /**< Worth of one token less on the busiest rank. */
-  double transfer; /**< Price of one replica moved, with hysteresis. */
+  double load;     /**< Value of one token less on the busiest rank. */
+  double transfer; /**< Cost of one transfer, with hysteresis. */
 } bt_map_prices_t;
 
-/** Milliseconds of step time over the horizon that one unit of skew costs. */
+/** The step time in milliseconds that one unit of skew costs over the horizon. */
 double bt_price_skew_ms (const bt_map_input_t *input);
 
-/** Milliseconds of step time that one transfer costs. */
+/** The step time in milliseconds that one transfer costs. */
 double bt_price_transfer_ms (const bt_map_input_t *input);
 
-/** Reads a layer of a map. No rank gets more than @p slots experts, unless it has them already. */
+/** Reads layer @p index of a map. The lists of experts have room for @p slots experts per rank, or
+ * for as many as a rank already holds. */
 bt_map_layer_t *bt_read_map_layer (bt_context_t *ctx,
                                    const bt_expert_map_t *map,
                                    const bt_expert_load_t *load,
@@ -47,38 +48,40 @@
 /** NULL is accepted. */
 void bt_drop_map_layer (bt_context_t *ctx, bt_map_layer_t *layer);
 
-/** Writes the holders back into a layer of a map. */
+/** Writes the holders back into layer @p index of a map. */
 void bt_keep_map_layer (const bt_map_layer_t *layer, bt_expert_map_t *map, int32_t index);
 
-/** The experts that a rank holds, as many as the layer says are used there. */
+/** The list of the experts that a rank holds. */
 int16_t *bt_get_layer_held (const bt_map_layer_t *layer, int32_t rank);
 
-/** The ranks that hold an expert, as the layer has them. */
+/** The ranks that hold an expert in this layer. */
 bt_rank_set_t bt_get_layer_holders (const bt_map_layer_t *layer, int32_t expert);
 
-/** Has a rank hold an expert, or hold it no more. Its load is spread anew over its holders. */
+/** Add a rank to the holders of an expert, or remove it, and spread the expert's load evenly over
+ * the new holders. */
 void bt_add_layer_holder (bt_map_layer_t *layer, int32_t expert, int32_t rank);
 void bt_remove_layer_holder (bt_map_layer_t *layer, int32_t expert, int32_t rank);
 
 int32_t bt_find_busiest_rank (const bt_map_layer_t *layer);
 
-/** Packs a layer anew: replicas go to the experts with most load a replica, then each, heaviest
- * first, to the least loaded rank with a free slot. A layer that cannot fit is left alone. */
+/** Packs a layer from scratch: spare slots go to the experts with the highest load per replica;
+ * then the replicas, heaviest first, go to the least loaded rank with a free slot. A layer that
+ * does not fit is left unchanged. */
 void bt_pack_map_layer (bt_context_t *ctx,
                         bt_expert_map_t *map,
                         const bt_map_input_t *input,
                         int32_t index);
 
-/** What a layer's changes come to. */
+/** The total effect of the changes to a layer. */
 typedef struct bt_layer_gain
 {
   int32_t layer;
-  double worth; /**< Weighted, less the price of the transfers. */
+  double worth; /**< Weighted value, less the cost of the transfers. */
   int64_t transfers;
 } bt_layer_gain_t;
 
-/** Relieves the busiest rank again and again, and keeps the changes up to where they pay best.
- * Replicas of @p pinned experts stay where they are. */
+/** Relieves the busiest rank repeatedly, and keeps the changes up to the point of the highest net
+ * value. Replicas of @p pinned experts are not removed. */
 bt_layer_gain_t bt_improve_map_layer (bt_context_t *ctx,
                                       bt_expert_map_t *map,
                                       const bt_map_input_t *input,
--- a/source/maps/map_planner.c
+++ b/source/maps/map_planner.c
@@ -65,7 +65,7 @@
   return sum / shape.ranks;
 }
 
-/* Adds a layer's loads to those of the ranks that hold its experts. */
+/* Adds the loads of a layer's experts to the ranks that hold them. */
 static void
 add_rank_loads (const bt_expert_map_t *map,
                 const bt_expert_load_t *load,
@@ -121,7 +121,7 @@
   plan->moves[plan->move_count++] = move;
 }
 
-/* Lists the ranks that are in one set and not in the other. */
+/* Adds a move for each rank that is in one set and not in the other. */
 static void
 list_differences (
     bt_context_t *ctx, bt_map_plan_t *plan, bt_map_move_t move, bt_rank_set_t in, bt_rank_set_t out)
@@ -150,7 +150,7 @@
   list_differences (ctx, plan, move, after, before);
 }
 
-/* Fills in what follows from the current and the next map. */
+/* Fills in the moves, skews, gain and cost from the current and the next map. */
 static void
 complete_plan (bt_context_t *ctx, const bt_map_input_t *input, bt_map_plan_t *plan)
 {
@@ -211,7 +211,7 @@
     }
 }
 
-/* A round as a whole has a price too: where rounds hold steps, a plan must pay for them. */
+/* True when a plan pays for the round as a whole, including the steps that a round holds. */
 static bool
 is_round_paid (const bt_map_input_t *input, const bt_map_plan_t *plan)
 {
@@ -243,8 +243,9 @@
     bt_set_map_ranks (plan->next, layer, expert, bt_get_map_ranks (input->current, layer, expert));
 }
 
-/* Relief that is all staged before any of it counts comes late. Where a round is bounded, the
- * layers that gain most for their bytes go first; the others follow with the next plan. */
+/* Limits a round to its maximum number of bytes: a round that stages everything before anything
+ * takes effect comes late. The layers with the highest gain per byte go first; the others follow
+ * with the next plan. */
 static void
 bound_round (const bt_map_input_t *input, bt_map_plan_t *plan, bt_layer_gain_t *gains)
 {
--- a/source/maps/map_rank.c
+++ b/source/maps/map_rank.c
@@ -2,41 +2,41 @@
 
 #include <string.h>
 
-/** Why a call to the engine was made; decides what its answer leads to. */
+/** Why a call to the engine was made; determines how its answer is handled. */
 typedef enum call_purpose
 {
   CALL_NONE = 0,
-  CALL_START,  /* first look at the engine */
+  CALL_START,  /* first query of the engine's state */
   CALL_ORDER,  /* a controller's order */
-  CALL_ANSWER, /* a look at the decision for an asking rank */
-  CALL_SETTLE, /* a decision learned or given without a controller */
+  CALL_ANSWER, /* query of the decision for an asking rank */
+  CALL_SETTLE, /* a decision learned from rank 0, or made by it, without a controller */
 } call_purpose_t;
 
 struct bt_map_rank
 {
   bt_map_rank_settings_t settings;
-  uint64_t floor;             /* highest fencing number seen */
+  uint64_t floor;             /* highest fencing number seen; lower ones are refused */
   bt_round_id_t newest_round; /* highest round staged or armed */
   bt_round_id_t dropped;      /* highest round dropped through this agent */
   bool floor_read;
   bool engine_known;
-  bt_engine_state_t engine; /* as last heard */
-  int64_t ready_ms;         /* nothing is asked of the engine before */
-  int64_t read_ms;          /* next READ_FLOOR */
+  bt_engine_state_t engine; /* last known state */
+  int64_t ready_ms;         /* the engine is not called before */
+  int64_t read_ms;          /* time of the next READ_FLOOR */
 
-  uint64_t call; /* counts calls; the last one's number */
+  uint64_t call; /* number of the last call */
   call_purpose_t purpose;
   int64_t called_ms;
-  bt_map_order_t order; /* with the engine */
+  bt_map_order_t order; /* the order that the engine is executing */
   bt_map_ask_t answering;
 
-  uint64_t nonce; /* of the question that waits, 0: none */
+  uint64_t nonce; /* nonce of the pending question; 0: none */
   uint64_t nonces;
-  int64_t ask_ms;           /* next question */
-  int64_t undecided_ms;     /* when the round was seen armed here */
-  bt_round_id_t asked;      /* rank 0: the round others ask about */
-  int64_t asked_ms;         /* rank 0: since when */
-  bt_round_id_t remembered; /* NO_DECISION_IN_ENGINE: instead of the engine's */
+  int64_t ask_ms;           /* time of the next question */
+  int64_t undecided_ms;     /* when this agent first saw the armed round undecided */
+  bt_round_id_t asked;      /* rank 0: the undecided round that ranks ask about */
+  int64_t asked_ms;         /* rank 0: when they began to ask about it */
+  bt_round_id_t remembered; /* NO_DECISION_IN_ENGINE: replaces the engine's decision */
   bool remembered_apply;
 };
 
@@ -107,9 +107,9 @@
     rank->newest_round = round;
 }
 
-/* A restarted agent has forgotten which controllers and rounds it has seen, and an old controller's
- * late order would pass. What the engine holds and the one read of the service put the floor back
- * to where it was, also where the engine itself ignores fences. */
+/* Takes over the engine's state. A restarted agent has lost the fencing numbers and rounds it had
+ * seen, and would accept a delayed order of an old controller. The engine's state and one read from
+ * the lease service restore the floor, even where the engine itself ignores fencing numbers. */
 static void
 take_state (bt_map_rank_t *rank, const bt_engine_state_t *state, int64_t now_ms)
 {
@@ -119,7 +119,7 @@
     rank->nonce = 0;
   rank->engine = *state;
   rank->engine_known = true;
-  /* An engine may keep no record of a round that was dropped before it was armed for it. */
+  /* An engine may not record the dropping of a round that it was not armed for. */
   if (bt_compare_rounds (rank->dropped, state->decided) > 0)
     {
       rank->engine.decided = rank->dropped;
@@ -165,8 +165,9 @@
   action->report.engine = rank->engine;
 }
 
-/* The decision as far as this agent knows; false when there is none. A round that rank 0 has passed
- * was dropped: it was not armed here when the next one came, and can be armed here no more. */
+/* Finds the decision of a round as far as this agent knows it; false when there is none. A round
+ * older than rank 0's state was dropped: it was not armed here when the next one came, and can no
+ * longer be armed. */
 static bool
 find_decision (const bt_map_rank_t *rank, bt_round_id_t round, bool *apply)
 {
@@ -232,7 +233,7 @@
 
   if (rank->settings.rank != 0)
     return BT_MAP_NOT_DECIDER;
-  /* The first decision stands; the report shows it. */
+  /* The first decision is final; the report shows it. */
   if (find_decision (rank, order->round, &apply))
     return BT_MAP_OLD_ROUND;
   if (order->apply && !armed)
@@ -282,10 +283,11 @@
     }
 }
 
-/* A controller that was paused past its lease wakes and goes on where it stopped; its orders would
- * follow those of its successor. Each agent refuses what is below the highest number it has seen.
- * An order for an engine that has been replaced meant the old one's state, and is refused too; so
- * is one for an agent before its restart, which may have dropped the order's round and said so. */
+/* Checks an order. A controller that was paused beyond its lease resumes where it stopped, and its
+ * orders would follow those of its successor, so each agent refuses fencing numbers below the
+ * highest it has seen. An order for a replaced engine was based on the old engine's state and is
+ * refused. So is an order for the agent before its restart, since that agent may have dropped the
+ * round of the order and told other ranks so. */
 static bt_map_refusal_t
 check_order (const bt_map_rank_t *rank, const bt_map_order_t *order)
 {
@@ -321,7 +323,7 @@
     }
   if (order->kind == BT_MAP_STAGE || order->kind == BT_MAP_ARM)
     raise_round (rank, order->round);
-  /* What a controller reads here it may act on, so no earlier question may be answered after. */
+  /* The controller may act on this report, so the answer to an earlier question must be ignored. */
   rank->nonce = 0;
   if (order->kind == BT_MAP_DECIDE && has_option (rank, BT_MAP_NO_DECISION_IN_ENGINE))
     {
@@ -359,9 +361,10 @@
   call_engine (ctx, rank, purpose, &order, now_ms, actions);
 }
 
-/* The controller died between arming and deciding, the service is down, so that none follows, and
- * the armed ranks hold for good. Rank 0 may drop the round by itself: it is the one place where the
- * round is decided, so no one can have been told otherwise. No other rank may. */
+/* Drops a round whose controller is presumed dead. It died between arming and deciding, the lease
+ * service is down so that no successor takes over, and the armed ranks would hold forever. Rank 0
+ * may drop the round by itself: the round is decided only there, so no rank can have been told
+ * otherwise. No other rank may do so. */
 static void
 drop_abandoned_round (bt_context_t *ctx,
                       bt_map_rank_t *rank,
@@ -438,7 +441,8 @@
   if (rank->settings.rank != 0 || !rank->engine_known || rank->purpose != CALL_NONE)
     return;
   rank->answering = *ask;
-  /* The engine is asked, not this agent's memory: it may have been replaced since. */
+  /* The engine is queried rather than this agent's memory, since it may have been replaced since.
+   */
   call_engine (ctx, rank, CALL_ANSWER, &query, now_ms, actions);
 }
 
@@ -473,7 +477,7 @@
   rank->nonce = ++rank->nonces;
   ask.nonce = rank->nonce;
   ask.round = rank->engine.armed;
-  /* Rank 0 asks itself, so that its own abandoned round ends too. */
+  /* Rank 0 asks itself, so that its own abandoned round also ends. */
   if (rank->settings.rank == 0)
     bt_take_map_ask (ctx, rank, &ask, now_ms, actions);
   else
--- a/source/maps/map_search.c
+++ b/source/maps/map_search.c
@@ -4,33 +4,33 @@
 
 enum
 {
-  /* Ranks whose load is to be lowered in one step. */
+  /* Number of busiest ranks that one step tries to relieve. */
   HOT_RANKS = 2,
-  /* Ranks that are tried as targets, the least loaded ones: what lowers the sum most goes there. */
+  /* Number of least loaded ranks that are tried as targets; they lower the sum most. */
   MOST_TARGETS = 10,
 };
 
-/* What a step lowers is the sum of the ranks' loads to this power, not the busiest rank's load
- * alone: where several ranks are nearly as busy, no single change lowers the busiest, and a search
- * for that ends early. */
+/* A step minimizes the sum of the ranks' loads to this power rather than the busiest rank's load
+ * alone. Where several ranks are nearly equally busy, no single change lowers the maximum, and a
+ * search by the maximum would end early. */
 static const double exponent = 8;
 
-/* A change must be worth this part of the sum for rounding not to lead in circles. */
+/* Minimum gain of a change, so that rounding errors cannot make the search cycle. */
 static const double least_gain = 1e-7;
 
-/** A search in progress. */
+/** One step of a search: the choice of one change. */
 typedef struct step
 {
   bt_map_search_t *search;
   double inverse_mean;
-  double transfer_price; /* in units of the sum */
+  double transfer_price; /* cost of a transfer in units of the sum */
   int32_t targets[MOST_TARGETS];
   int32_t target_count;
   bt_map_change_t best;
   double best_gain;
 } step_t;
 
-/* x to the eighth. */
+/* Raises x to the eighth power, the exponent of the sum. */
 static double
 raise (double x)
 {
@@ -74,7 +74,7 @@
   return search->pinned != NULL && search->pinned[expert];
 }
 
-/* True when the map in use lacks a replica: it has to be copied. */
+/* True when the map in use lacks a replica, so that it has to be copied. */
 static bool
 is_new (const bt_map_search_t *search, int32_t expert, int32_t rank)
 {
@@ -87,9 +87,9 @@
   return search->copies == NULL || search->copies[rank] < search->most_copies;
 }
 
-/* True when a rank may get a replica of an expert: it had it before, or may copy one more. An
- * engine refuses a map with more new experts than it has spare places for, and a round lasts as
- * long as the rank that copies most. */
+/* True when a rank may receive a replica of an expert: the map in use already has it, or the rank
+ * may copy one more. An engine refuses a map with more new experts than it has spare slots for, and
+ * a round lasts as long as the rank that copies most. */
 static bool
 may_add (const bt_map_search_t *search, int32_t expert, int32_t rank)
 {
@@ -106,7 +106,7 @@
          && (change->back == BT_NO_RANK || may_add (search, change->other, change->back));
 }
 
-/* The same while a search goes on, which notes what it leaves out. */
+/* Like may_add, and records when the limit of copies excludes the replica. */
 static bool
 try_add (bt_map_search_t *search, int32_t expert, int32_t rank)
 {
@@ -133,11 +133,11 @@
   return transfers;
 }
 
-/* What a change does to the shares of one of its experts. */
+/* The effect of a change on the load share of one of its experts. */
 typedef struct share_shift
 {
-  bt_rank_set_t holders; /* before */
-  double before;         /* share of each holder */
+  bt_rank_set_t holders; /* before the change */
+  double before;         /* share of each holder before the change */
   double after;
 } share_shift_t;
 
@@ -150,7 +150,7 @@
                           layer->tokens[expert] / (replicas + more) };
 }
 
-/* What it takes off the sum when a rank's load shifts by so many tokens. */
+/* The reduction of the sum when a rank's load changes by a number of tokens. */
 static double
 weigh_rank (const step_t *step, int32_t rank, double shift)
 {
@@ -160,8 +160,9 @@
          - raise ((layer->load[rank] + shift * layer->pace[rank]) * step->inverse_mean);
 }
 
-/* What the ranks that hold an expert before and after a change gain by its new share, those apart
- * that the change names and those that hold the second expert too, if there is one. */
+/* The reduction of the sum at the ranks that hold an expert both before and after a change, due to
+ * its new share. Leaves out the ranks named in the change, and those that also hold the second
+ * expert, if there is one. */
 static double
 weigh_holders (const step_t *step,
                const share_shift_t *shares,
@@ -215,7 +216,7 @@
   return gain;
 }
 
-/* What the second expert's part of a change does to the rank that gives the first one up. */
+/* The load that the second expert's part of a change adds to the rank that drops the first one. */
 static double
 get_second_shift (const share_shift_t *second, const bt_map_change_t *change)
 {
@@ -239,8 +240,9 @@
   return gain + weigh_rank (step, change->to, one.after - other.before);
 }
 
-/* Weighs a change by what it takes off the sum, less what its transfers cost. Two changes of equal
- * worth keep the first, so that a plan is the same on every machine. */
+/* Compares a change with the best one so far by its reduction of the sum less the cost of its
+ * transfers. Of two equal changes the first one stays, so that a plan is the same on every machine.
+ */
 static void
 weigh (step_t *step, bt_map_change_t change)
 {
@@ -255,7 +257,7 @@
   step->best_gain = gain;
 }
 
-/* What the target could give up for an expert of a hot rank. */
+/* Tries each expert that the target could drop to receive an expert of a hot rank. */
 static void
 try_exchanges (step_t *step, int32_t expert, int32_t hot, int32_t target)
 {
@@ -295,8 +297,9 @@
   try_exchanges (step, expert, hot, target);
 }
 
-/* The most that any change of an expert can take off the sum at the ranks that hold it: all of its
- * load. What the target gives up and two transfers that need not be made come on top. */
+/* The upper bound of what any change of an expert can take off the sum: all of its load at the
+ * ranks that hold it, and two saved transfers. The relief of the target, which may drop another
+ * expert, is not included. */
 static double
 bound_relief (const step_t *step, int32_t expert)
 {
@@ -311,7 +314,7 @@
   return relief;
 }
 
-/* All that could be done about one expert of a hot rank. */
+/* Tries all changes of one expert of a hot rank. */
 static void
 try_expert (step_t *step, int32_t expert, int32_t hot)
 {
@@ -335,7 +338,7 @@
     }
 }
 
-/* Lists the least loaded ranks, lightest first. */
+/* Lists the least loaded ranks in ascending order of load. */
 static void
 list_targets (step_t *step)
 {
@@ -368,7 +371,7 @@
   return hot;
 }
 
-/* Fills in what all changes of one search are weighed by; false when there is no load. */
+/* Computes the values shared by all changes of one step; false when there is no load. */
 static bool
 start_step (step_t *step)
 {
@@ -390,7 +393,7 @@
       if (part > busiest)
         busiest = part;
     }
-  /* What lowering the busiest rank by so much would take off the sum. */
+  /* The reduction of the sum by lowering the busiest rank's load by transfer_load. */
   step->transfer_price =
       search->transfer_load * step->inverse_mean * exponent * raise (busiest) / busiest;
   list_targets (step);
@@ -420,7 +423,8 @@
   return step.best_gain > least_gain;
 }
 
-/* Counts a replica that comes to a rank or goes, if it is new there. */
+/* Counts a replica that is added to a rank (more is 1) or removed from it (-1), if the map in use
+ * lacks it. */
 static void
 count_add (bt_map_search_t *search, int32_t expert, int32_t rank, int32_t more)
 {
@@ -445,7 +449,7 @@
   count_add (search, expert, rank, -1);
 }
 
-/* What a rank gives up goes first, so that no rank ever holds more than it has room for. */
+/* Removes experts before adding others, so that no rank ever exceeds its slots. */
 void
 bt_apply_map_change (bt_map_search_t *search, const bt_map_change_t *change)
 {
--- a/source/maps/map_settle.c
+++ b/source/maps/map_settle.c
@@ -6,8 +6,8 @@
   return bt_compare_rounds (engine->decided, round) >= 0;
 }
 
-/* True when an engine can no longer be armed for a round, nor is waiting for its decision: it holds
- * that decision or a newer one, or it has gone on to a newer round. */
+/* True when an engine can no longer be armed for a round and does not wait for its decision: it
+ * knows that decision or a newer one, or has moved on to a newer round. */
 static bool
 is_past_round (const bt_engine_state_t *engine, bt_round_id_t round)
 {
@@ -16,7 +16,7 @@
          || bt_compare_rounds (engine->staged, round) > 0;
 }
 
-/* True when an engine holds that the round's map is to be used, or uses it. */
+/* True when an engine knows that the round's map is to be applied, or uses it. */
 static bool
 has_taken (const bt_engine_state_t *engine, bt_round_id_t round)
 {
@@ -51,9 +51,10 @@
   return bt_compare_rounds (controller->taken, round) == 0;
 }
 
-/* The decision for a round while rank 0 is outside the group: no rank can learn another any more,
- * since each has reported after rank 0's engine was gone and no longer heeds earlier answers. If
- * one knows that the map was taken, it was; if none does, no step used it, and it is dropped. */
+/* Finds the decision of a round while rank 0 is outside the group. No rank can learn a decision any
+ * more, since each has reported after rank 0's engine was gone and ignores earlier answers from
+ * then on. If some rank knows that the map was applied, it was; if none does, no step used it, and
+ * the round is dropped. */
 static bool
 find_learned_decision (const bt_map_controller_t *controller, bt_round_id_t round)
 {
@@ -73,8 +74,8 @@
   return false;
 }
 
-/* Gets the decision of an open round from rank 0, or has it dropped there; false while the decision
- * is not recorded there. */
+/* Reads the decision of an open round from rank 0, or has rank 0 drop the round; false until rank 0
+ * has recorded a decision. */
 static bool
 settle_decider (bt_context_t *ctx,
                 bt_map_controller_t *controller,
--- a/source/maps/moving_load.c
+++ b/source/maps/moving_load.c
@@ -5,18 +5,19 @@
 
 enum
 {
-  /* Each rank reports its counts every 100 ms, so one window holds about one report of each. */
+  /* Each rank reports its counts every 100 ms, so one window holds about one report per rank. */
   WINDOW_MS = 100,
   NO_WINDOW = -1,
 };
 
-/* A window differs from the mean by chance; a jump that moves the busiest expert differs by that
- * expert's part of the demand at least. A mean that goes on over a jump names the old experts while
- * the new ones make passes long. */
+/* Minimum distance of a jump, and its minimum ratio to the usual distance. A window differs from
+ * the mean by chance; a jump that moves the busiest expert changes the distance by at least that
+ * expert's share of the demand. A mean that continues across a jump favors the old experts while
+ * the new ones lengthen passes. */
 static const double least_jump = 0.1;
 static const double jump_factor = 2;
 
-/* How fast the usual distance of a layer follows that of its windows. */
+/* Weight of a new window in a layer's usual distance. */
 static const double noise_part = 0.1;
 
 struct bt_moving_load
@@ -24,11 +25,11 @@
   int32_t layers;
   int32_t experts;
   bt_expert_load_t *mean;
-  double *window;    /* counts since it was opened, by layer and expert */
-  int64_t opened_ms; /* the window; NO_WINDOW before the first */
-  double *noise;     /* by layer: usual distance of a window from the mean; 0: not known */
-  bool jumped;       /* since it was last asked */
-  bool keep;         /* the mean, also when demand jumps */
+  double *window;    /* counts since the window was opened, by layer and expert */
+  int64_t opened_ms; /* when the window was opened; NO_WINDOW before the first */
+  double *noise;     /* by layer: usual distance of a window from the mean; 0: unknown */
+  bool jumped;       /* demand has jumped since the last bt_take_load_jump */
+  bool keep;         /* keep the mean when demand jumps */
 };
 
 bt_moving_load_t *
@@ -68,8 +69,8 @@
   return &load->window[(size_t)layer * (size_t)load->experts];
 }
 
-/* The part of a layer's demand that lies elsewhere in the window than in the mean, 0 to 1 (the
- * total variation distance); 0 where one of them holds nothing. */
+/* The share of a layer's demand that is on other experts in the window than in the mean, 0 to 1
+ * (the total variation distance); 0 when the window or the mean is empty. */
 static double
 measure_distance (const bt_moving_load_t *load, int32_t layer)
 {
--- a/source/maps/round_planner.c
+++ b/source/maps/round_planner.c
@@ -3,38 +3,39 @@
 
 enum
 {
-  /* Copies on one rank that a round may have at most. */
+  /* Maximum number of copies per rank in one round. */
   MOST_COPIES = 24,
-  /* Budgets in a row that lower the skew no faster before the search ends. The first copies often
-   * do little alone: one expert comes where another one then can leave. */
+  /* The search ends after this many consecutive budgets without a better rate of skew reduction.
+   * The first copies often have little effect alone: one expert has to arrive before another one
+   * can leave. */
   MOST_WORSE = 3,
-  /* Changes that one budget tries, for each rank and layer. What a transfer is worth falls with the
-   * busiest rank's load, so that changes can undo each other in a circle: without a bound a plan
-   * need not end, and its process stands still. */
+  /* Maximum number of changes per budget, rank and layer. The value of a transfer falls with the
+   * busiest rank's load, so changes can undo each other in a cycle. Without this bound a plan may
+   * not terminate and blocks its process. */
   CHANGES_A_RANK = 2,
 };
 
-/** One layer, as far as the round has changed it. */
+/** One layer with the changes that the round has made so far. */
 typedef struct part
 {
   bt_map_layer_t *layer;
   bt_map_search_t *search;
-  bt_map_change_t change; /* the best one, if there is one */
+  bt_map_change_t change; /* the best next change, if there is one */
   bool open;
-  double mean; /* load of a rank */
+  double mean; /* mean load per rank */
 } part_t;
 
-/** A round in planning. */
+/** The state of planning one round. */
 typedef struct short_round
 {
   const bt_map_input_t *input;
   part_t *parts; /* by layer */
   int32_t layers;
-  double mean;     /* load of a rank over all layers */
+  double mean;     /* mean load per rank, summed over all layers */
   int32_t *copies; /* new replicas by rank, over all layers */
 } short_round_t;
 
-/* What a transfer has to take off the skew, as a part of a layer's mean load. */
+/* The skew reduction that one transfer must be worth, as a fraction of a layer's mean load. */
 static double
 price_transfer (const bt_map_input_t *input)
 {
@@ -57,7 +58,7 @@
   part->search = bt_new_map_search (ctx, part->layer, input, index);
   part->search->copies = round->copies;
   part->search->transfer_load = price_transfer (input) * round->layers * part->mean;
-  /* It has not been searched: the first number of copies has to try it. */
+  /* The layer has not been searched yet, so the first budget has to search it. */
   part->search->short_of_copies = true;
   round->mean += part->mean;
 }
@@ -100,8 +101,8 @@
   return best;
 }
 
-/* Carries out a layer's best change, unless another layer took the copy that it needs: the next
- * best of all layers comes first then. */
+/* Applies a layer's best change, unless another layer has used up the copy that it needs, and
+ * searches for the next one, which then competes with the best of the other layers. */
 static void
 spend_copy (part_t *part)
 {
@@ -110,9 +111,9 @@
   find_change (part);
 }
 
-/* Carries out the best changes of all layers that a number of copies on each rank allows. A layer
- * in which nothing was found, though no rank was short of copies, has nothing with more of them
- * either. */
+/* Applies the best changes of all layers that a budget of copies per rank allows. A layer is
+ * searched again only if its last search was limited by copies: otherwise a larger budget finds
+ * nothing new. */
 static void
 spend_copies (short_round_t *round, int32_t most_copies)
 {
@@ -138,9 +139,10 @@
     bt_keep_map_layer (round->parts[i].layer, map, i);
 }
 
-/* Where demand moves every few seconds, relief that comes late is none. A round is in use only once
- * its slowest rank has copied all, and the next one follows at once, so the copies that bring the
- * most for each millisecond go first and the others wait. */
+/* Chooses the budget of copies per rank. Where demand shifts every few seconds, late relief is
+ * useless. A round is in use only when its slowest rank has copied everything, and the next round
+ * follows at once, so the round takes the copies with the highest skew reduction per millisecond
+ * and leaves the others for later. */
 static void
 plan_copies (short_round_t *round, bt_expert_map_t *next)
 {
