--- a/include/bilberrytray/maps/map_round.h
+++ b/include/bilberrytray/maps/map_round.h
@@ -29,7 +29,7 @@
 int32_t bt_compare_rounds (bt_round_id_t left, bt_round_id_t right);
 
 /** True for an id that identifies no round. */
-bool bt_is_no_round (bt_round_id_t round);
+bool bt_is_null_round (bt_round_id_t round);
 
 /** Test-only options that each disable one safeguard; the schedule tests must then find a fault. */
 typedef enum bt_map_option
--- a/source/maps/copy_price.c
+++ b/source/maps/copy_price.c
@@ -4,12 +4,12 @@
 
 /* Time constant of the smoothing of the fullness. Requests take one to two seconds, and a group
  * that is empty for a pass or two is as busy as before. */
-static const double fade_ms = 1000;
+static const double smoothing_ms = 1000;
 
 /* Below the lower fullness the group does not need shorter passes; above the upper one all new
  * requests wait for them. In between the weight falls geometrically. */
-static const double empty_part = 0.5;
-static const double full_part = 0.85;
+static const double low_fullness = 0.5;
+static const double high_fullness = 0.85;
 
 /* Weights of the time spent on copying, at and beyond both limits. */
 static const double full_weight = 5;
@@ -44,16 +44,16 @@
     bt_copy_price_t *price, int32_t rank, int32_t running, int32_t limit, int64_t now_ms)
 {
   double sum = 0;
-  double part;
+  double share;
 
   if (rank < 0 || rank >= price->ranks || limit < 1)
     return;
   price->running[rank] = running;
   for (int32_t i = 0; i < price->ranks; i++)
     sum += price->running[i];
-  part = sum / price->ranks / limit;
+  share = sum / price->ranks / limit;
   price->fullness =
-      part + (price->fullness - part) * exp ((double)(price->updated_ms - now_ms) / fade_ms);
+      share + (price->fullness - share) * exp ((double)(price->updated_ms - now_ms) / smoothing_ms);
   price->updated_ms = now_ms;
 }
 
@@ -66,8 +66,8 @@
 double
 bt_get_copy_weight (const bt_copy_price_t *price)
 {
-  double part = (price->fullness - empty_part) / (full_part - empty_part);
+  double share = (price->fullness - low_fullness) / (high_fullness - low_fullness);
 
-  part = fmin (fmax (part, 0), 1);
-  return empty_weight * pow (full_weight / empty_weight, part);
+  share = fmin (fmax (share, 0), 1);
+  return empty_weight * pow (full_weight / empty_weight, share);
 }
--- a/source/maps/expert_map.c
+++ b/source/maps/expert_map.c
@@ -14,20 +14,20 @@
   FORMAT_VERSION = 2,
   HEADER_BYTES = 8,
   DIGEST_BYTES = 8,
-  NARROW_RANKS = 128, /* the largest group whose numbers fit one byte */
+  MAX_ONE_BYTE_RANKS = 128, /* the largest group whose numbers fit one byte */
   WIDE_BYTES = 2,
   BYTE_BITS = 8,
   BYTE_MASK = 0xff,
   DIGEST_SEED = 0x6d6170,
-  AT_LAYERS = 3,
-  AT_EXPERTS = 4,
-  AT_RANKS = 6,
+  LAYERS_OFFSET = 3,
+  EXPERTS_OFFSET = 4,
+  RANKS_OFFSET = 6,
 };
 
 struct bt_expert_map
 {
   bt_map_shape_t shape;
-  int32_t words_a_set;
+  int32_t words_per_set;
   uint64_t words[]; /* layer-major, one set per expert */
 };
 
@@ -56,27 +56,27 @@
 }
 
 static size_t
-size_map (bt_map_shape_t shape)
+get_map_bytes (bt_map_shape_t shape)
 {
   return sizeof (bt_expert_map_t) + count_words (shape) * sizeof (uint64_t);
 }
 
 static bt_rank_set_t
-get_cell (const bt_expert_map_t *map, size_t cell)
+get_cell_holders (const bt_expert_map_t *map, size_t cell)
 {
-  return (bt_rank_set_t){ &map->words[cell * (size_t)map->words_a_set], map->words_a_set };
+  return (bt_rank_set_t){ &map->words[cell * (size_t)map->words_per_set], map->words_per_set };
 }
 
 static size_t
-index_cell (const bt_expert_map_t *map, int32_t layer, int32_t expert)
+get_cell_index (const bt_expert_map_t *map, int32_t layer, int32_t expert)
 {
   return (size_t)layer * (size_t)map->shape.experts + (size_t)expert;
 }
 
 static uint64_t *
-find_words (bt_expert_map_t *map, int32_t layer, int32_t expert)
+get_holder_words (bt_expert_map_t *map, int32_t layer, int32_t expert)
 {
-  return &map->words[index_cell (map, layer, expert) * (size_t)map->words_a_set];
+  return &map->words[get_cell_index (map, layer, expert) * (size_t)map->words_per_set];
 }
 
 bt_expert_map_t *
@@ -86,9 +86,9 @@
 
   if (!check_shape (shape, error))
     return NULL;
-  map = bt_calloc (ctx, 1, size_map (shape));
+  map = bt_calloc (ctx, 1, get_map_bytes (shape));
   map->shape = shape;
-  map->words_a_set = bt_count_rank_words (shape.ranks);
+  map->words_per_set = bt_count_rank_words (shape.ranks);
   return map;
 }
 
@@ -109,7 +109,7 @@
 bt_expert_map_t *
 bt_copy_expert_map (bt_context_t *ctx, const bt_expert_map_t *map)
 {
-  return bt_memdup (ctx, map, size_map (map->shape));
+  return bt_memdup (ctx, map, get_map_bytes (map->shape));
 }
 
 void
@@ -127,20 +127,20 @@
 bt_rank_set_t
 bt_get_map_ranks (const bt_expert_map_t *map, int32_t layer, int32_t expert)
 {
-  return get_cell (map, index_cell (map, layer, expert));
+  return get_cell_holders (map, get_cell_index (map, layer, expert));
 }
 
 void
 bt_set_map_ranks (bt_expert_map_t *map, int32_t layer, int32_t expert, bt_rank_set_t ranks)
 {
-  memcpy (find_words (map, layer, expert), ranks.words,
-          (size_t)map->words_a_set * sizeof *ranks.words);
+  memcpy (get_holder_words (map, layer, expert), ranks.words,
+          (size_t)map->words_per_set * sizeof *ranks.words);
 }
 
 void
 bt_add_map_holder (bt_expert_map_t *map, int32_t layer, int32_t expert, int32_t rank)
 {
-  bt_add_rank (find_words (map, layer, expert), rank);
+  bt_add_rank (get_holder_words (map, layer, expert), rank);
 }
 
 bool
@@ -175,18 +175,18 @@
   data[0] = MAGIC_0;
   data[1] = MAGIC_1;
   data[2] = FORMAT_VERSION;
-  data[AT_LAYERS] = (uint8_t)shape.layers;
-  data[AT_EXPERTS] = (uint8_t)(shape.experts & BYTE_MASK);
-  data[AT_EXPERTS + 1] = (uint8_t)(shape.experts >> BYTE_BITS);
-  data[AT_RANKS] = (uint8_t)(shape.ranks & BYTE_MASK);
-  data[AT_RANKS + 1] = (uint8_t)(shape.ranks >> BYTE_BITS);
+  data[LAYERS_OFFSET] = (uint8_t)shape.layers;
+  data[EXPERTS_OFFSET] = (uint8_t)(shape.experts & BYTE_MASK);
+  data[EXPERTS_OFFSET + 1] = (uint8_t)(shape.experts >> BYTE_BITS);
+  data[RANKS_OFFSET] = (uint8_t)(shape.ranks & BYTE_MASK);
+  data[RANKS_OFFSET + 1] = (uint8_t)(shape.ranks >> BYTE_BITS);
 }
 
 /* The size of a replica's number in bytes. */
 static int32_t
 get_number_bytes (int32_t ranks)
 {
-  return ranks > NARROW_RANKS ? WIDE_BYTES : 1;
+  return ranks > MAX_ONE_BYTE_RANKS ? WIDE_BYTES : 1;
 }
 
 /* The flag that marks a number with successors: its highest bit. */
@@ -197,7 +197,7 @@
 }
 
 static uint8_t *
-write_cell (uint8_t *at, bt_rank_set_t ranks, int32_t number_bytes)
+write_replicas (uint8_t *at, bt_rank_set_t ranks, int32_t number_bytes)
 {
   int32_t rank = bt_find_rank (ranks, 0);
 
@@ -242,7 +242,7 @@
 
   for (size_t i = 0; i < count_cells (map->shape); i++)
     {
-      int32_t replicas = bt_count_ranks (get_cell (map, i));
+      int32_t replicas = bt_count_ranks (get_cell_holders (map, i));
 
       if (replicas == 0)
         {
@@ -257,7 +257,7 @@
   write_header (encoded->data, map->shape);
   at = encoded->data + HEADER_BYTES;
   for (size_t i = 0; i < count_cells (map->shape); i++)
-    at = write_cell (at, get_cell (map, i), number_bytes);
+    at = write_replicas (at, get_cell_holders (map, i), number_bytes);
   write_digest (at, bt_hash_bytes (encoded->data, encoded->bytes - DIGEST_BYTES, DIGEST_SEED));
   return true;
 }
@@ -273,16 +273,16 @@
   if (read_digest (data + bytes - DIGEST_BYTES)
       != bt_hash_bytes (data, bytes - DIGEST_BYTES, DIGEST_SEED))
     return bt_set_error (error, BT_ERROR_FORMAT, "The expert map's digest does not fit its bytes.");
-  shape->layers = data[AT_LAYERS];
-  shape->experts = data[AT_EXPERTS] | data[AT_EXPERTS + 1] << BYTE_BITS;
-  shape->ranks = data[AT_RANKS] | data[AT_RANKS + 1] << BYTE_BITS;
+  shape->layers = data[LAYERS_OFFSET];
+  shape->experts = data[EXPERTS_OFFSET] | data[EXPERTS_OFFSET + 1] << BYTE_BITS;
+  shape->ranks = data[RANKS_OFFSET] | data[RANKS_OFFSET + 1] << BYTE_BITS;
   return check_shape (*shape, error);
 }
 
 /* Reads the replicas of one expert. Returns NULL when they run past the end, are not in ascending
  * order, or name a rank outside the group. */
 static const uint8_t *
-read_cell (const uint8_t *at, const uint8_t *end, int32_t ranks, uint64_t *words)
+read_replicas (const uint8_t *at, const uint8_t *end, int32_t ranks, uint64_t *words)
 {
   const int32_t number_bytes = get_number_bytes (ranks);
   const uint32_t more_flag = get_more_flag (number_bytes);
@@ -326,7 +326,7 @@
     }
   map = bt_new_expert_map (ctx, shape, error);
   for (size_t i = 0; i < count_cells (shape) && at != NULL; i++)
-    at = read_cell (at, end, shape.ranks, &map->words[i * (size_t)map->words_a_set]);
+    at = read_replicas (at, end, shape.ranks, &map->words[i * (size_t)map->words_per_set]);
   if (at == end)
     return map;
   bt_set_error (error, BT_ERROR_FORMAT, "The expert map's replicas are malformed.");
--- a/source/maps/group_orders.c
+++ b/source/maps/group_orders.c
@@ -16,10 +16,10 @@
       order->version = rank->report.armed_version;
       return true;
     }
-  if (!bt_is_rank_cleared_of_orders (rounds, rank))
+  if (!bt_is_rank_cleared (rounds, rank))
     {
       order->kind = BT_GROUP_PREPARE;
-      order->version = rounds->clearing;
+      order->version = rounds->clearing_version;
       return true;
     }
   order->kind = BT_GROUP_GO;
@@ -30,13 +30,13 @@
 /* Chooses the rank whose agent sends the hold: another one with each attempt, never the holder's
  * own unless it is the only rank. */
 static int32_t
-choose_giver (const bt_group_rounds_t *rounds)
+choose_hold_sender (const bt_group_rounds_t *rounds)
 {
   int32_t others = rounds->settings.ranks - 1;
 
   if (others == 0)
     return rounds->holder;
-  return (rounds->holder + 1 + rounds->hold_tries % others) % rounds->settings.ranks;
+  return (rounds->holder + 1 + rounds->hold_attempts % others) % rounds->settings.ranks;
 }
 
 /* Finds the order that a rank needs now; false when it needs none. */
@@ -53,12 +53,12 @@
       order->kind = BT_GROUP_PREPARE;
       return rank->report.prepared != rounds->target;
     case BT_GROUP_SECURING:
-      if (rounds->takes_hold)
+      if (rounds->takes_over_hold)
         return index == rounds->holder && get_clearing_order (rounds, index, order);
       /* fall through */
     case BT_GROUP_HOLDING:
       order->kind = BT_GROUP_HOLD;
-      order->via = choose_giver (rounds);
+      order->via = choose_hold_sender (rounds);
       return index == rounds->holder && !rounds->own_hold;
     case BT_GROUP_ARMING:
       order->kind = BT_GROUP_ARM;
@@ -110,7 +110,7 @@
       rank->order_id = order->id;
       rank->accepted = false;
       rank->sent_ms = now_ms;
-      rounds->hold_tries += order->kind == BT_GROUP_HOLD ? 1 : 0;
+      rounds->hold_attempts += order->kind == BT_GROUP_HOLD ? 1 : 0;
       return true;
     }
   rounds->next_rank = 0;
--- a/source/maps/group_phases.c
+++ b/source/maps/group_phases.c
@@ -5,14 +5,14 @@
 enum
 {
   /* Refusals by one rank that end the PREPARING phase. */
-  MOST_REFUSALS = 3,
+  MAX_REFUSALS = 3,
   /* Steps from the latest known one to that of the switch, in addition to those that pass while the
    * orders are sent: one that has begun since the last report, and one in reserve. */
   SPARE_STEPS = 2,
   /* Number of steps over which the step time is averaged. */
-  PACED_STEPS = 3,
+  STEPS_AVERAGED = 3,
   /* The steps in reports of different ranks may decrease by this much. */
-  LATE_STEPS = 2,
+  MAX_REORDERED_STEPS = 2,
 };
 
 void
@@ -20,8 +20,8 @@
 {
   rounds->phase = phase;
   rounds->phase_ms = now_ms;
-  rounds->hold_tries = 0;
-  rounds->ask = false;
+  rounds->hold_attempts = 0;
+  rounds->reports_requested = false;
   for (int32_t i = 0; i < rounds->settings.ranks; i++)
     {
       rounds->ranks[i].refusals = 0;
@@ -37,7 +37,7 @@
 start_clearing (bt_group_rounds_t *rounds, int64_t now_ms)
 {
   rounds->target = 0;
-  rounds->clearing = ++rounds->last_version;
+  rounds->clearing_version = ++rounds->last_version;
   bt_set_group_phase (rounds, BT_GROUP_CLEARING, now_ms);
 }
 
@@ -47,17 +47,17 @@
  * and from then on refuses all earlier leaders. A hold later than the armed step is of no use; that
  * step is reached without help. */
 static void
-secure (bt_group_rounds_t *rounds, int64_t now_ms)
+start_securing (bt_group_rounds_t *rounds, int64_t now_ms)
 {
   const bt_rank_state_t *rank;
 
   rounds->holder = bt_choose_group_holder (rounds);
   rank = &rounds->ranks[rounds->holder];
-  rounds->takes_hold = bt_is_engine_held (rank);
-  if (rounds->takes_hold && rank->report.held_step > rounds->step)
+  rounds->takes_over_hold = bt_is_engine_held (rank);
+  if (rounds->takes_over_hold && rank->report.held_step > rounds->step)
     return;
-  if (rounds->takes_hold)
-    rounds->clearing = ++rounds->last_version;
+  if (rounds->takes_over_hold)
+    rounds->clearing_version = ++rounds->last_version;
   else if (now_ms >= rounds->hold_until_ms)
     return;
   bt_set_group_phase (rounds, BT_GROUP_SECURING, now_ms);
@@ -68,7 +68,7 @@
  * The ranks must not switch meanwhile, so the group is first held before the step for which they
  * are armed. If that hold is refused, the step has already begun. */
 static void
-look (bt_group_rounds_t *rounds, int64_t now_ms)
+assess_group (bt_group_rounds_t *rounds, int64_t now_ms)
 {
   rounds->target = 0;
   rounds->own_hold = false;
@@ -85,33 +85,33 @@
       start_clearing (rounds, now_ms);
       return;
     }
-  secure (rounds, now_ms);
+  start_securing (rounds, now_ms);
 }
 
 void
-bt_note_group_step (bt_group_rounds_t *rounds, int64_t step, int64_t now_ms)
+bt_update_step_time (bt_group_rounds_t *rounds, int64_t step, int64_t now_ms)
 {
-  int64_t steps = step - rounds->paced_step;
+  int64_t steps = step - rounds->timed_step;
 
-  if (rounds->paced_ms != 0 && steps >= -LATE_STEPS && steps < PACED_STEPS)
+  if (rounds->timed_ms != 0 && steps >= -MAX_REORDERED_STEPS && steps < STEPS_AVERAGED)
     return;
   /* A re-formed group may count its steps from any number. */
-  if (rounds->paced_ms != 0 && steps >= 0)
-    rounds->pass_ms = (double)(now_ms - rounds->paced_ms) / (double)steps;
-  rounds->paced_step = step;
-  rounds->paced_ms = now_ms;
+  if (rounds->timed_ms != 0 && steps >= 0)
+    rounds->mean_step_ms = (double)(now_ms - rounds->timed_ms) / (double)steps;
+  rounds->timed_step = step;
+  rounds->timed_ms = now_ms;
 }
 
 /* Records how long the orders of a round took. A longer earlier time only decays by half, since a
  * group that reaches the held step before it is released stalls all its streams. */
 static void
-note_orders (bt_group_rounds_t *rounds, int64_t now_ms)
+record_order_time (bt_group_rounds_t *rounds, int64_t now_ms)
 {
-  double taken_ms = (double)(now_ms - rounds->held_ms);
+  double elapsed_ms = (double)(now_ms - rounds->hold_due_ms);
 
   if (rounds->target == 0)
     return;
-  rounds->orders_ms = fmax (taken_ms, (rounds->orders_ms + taken_ms) / 2);
+  rounds->orders_ms = fmax (elapsed_ms, (rounds->orders_ms + elapsed_ms) / 2);
 }
 
 /* Computes the number of steps from the latest known one to that of the switch. Each step too many
@@ -121,9 +121,9 @@
 {
   double steps;
 
-  if (rounds->orders_ms <= 0 || rounds->pass_ms <= 0)
+  if (rounds->orders_ms <= 0 || rounds->mean_step_ms <= 0)
     return rounds->settings.hold_steps;
-  steps = SPARE_STEPS + ceil (rounds->orders_ms / rounds->pass_ms);
+  steps = SPARE_STEPS + ceil (rounds->orders_ms / rounds->mean_step_ms);
   return (int64_t)fmin (steps, 2.0 * (double)rounds->settings.hold_steps);
 }
 
@@ -137,7 +137,7 @@
     latest = rounds->last_step;
   rounds->step = latest + count_steps_ahead (rounds);
   rounds->last_step = rounds->step;
-  rounds->held_ms = now_ms;
+  rounds->hold_due_ms = now_ms;
   rounds->own_hold = false;
   rounds->holder = bt_choose_group_holder (rounds);
   bt_set_group_phase (rounds, BT_GROUP_HOLDING, now_ms);
@@ -147,25 +147,25 @@
  * releases the group: by then every rank has prepared this leader's map and refuses all earlier
  * leaders. */
 static bool
-is_own_hold_seen (bt_group_rounds_t *rounds, int64_t now_ms)
+update_own_hold (bt_group_rounds_t *rounds, int64_t now_ms)
 {
   if (!rounds->own_hold && rounds->ranks[rounds->holder].report.held_step == rounds->step)
     {
       rounds->own_hold = true;
-      rounds->seen_ms = now_ms;
-      rounds->ask = true;
+      rounds->hold_seen_ms = now_ms;
+      rounds->reports_requested = true;
     }
   return rounds->own_hold;
 }
 
 /* True once the rank whose hold is taken over refuses all earlier leaders and still holds. */
 static bool
-is_hold_taken (const bt_group_rounds_t *rounds)
+is_hold_taken_over (const bt_group_rounds_t *rounds)
 {
   const bt_rank_state_t *rank = &rounds->ranks[rounds->holder];
 
-  return rounds->takes_hold && bt_is_rank_cleared_of_orders (rounds, rank)
-         && !bt_is_engine_armed (rank) && bt_is_engine_held (rank);
+  return rounds->takes_over_hold && bt_is_rank_cleared (rounds, rank) && !bt_is_engine_armed (rank)
+         && bt_is_engine_held (rank);
 }
 
 static void
@@ -173,23 +173,23 @@
 {
   const bt_rank_state_t *rank = &rounds->ranks[rounds->holder];
 
-  if (is_hold_taken (rounds))
+  if (is_hold_taken_over (rounds))
     {
       rounds->own_hold = true;
       bt_set_group_phase (rounds, BT_GROUP_CLEARING, now_ms);
     }
   else if (rounds->own_hold)
     start_clearing (rounds, now_ms);
-  else if (rank->refusals > 0 || bt_is_engine_held (rank) != rounds->takes_hold
+  else if (rank->refusals > 0 || bt_is_engine_held (rank) != rounds->takes_over_hold
            || bt_find_latest_step (rounds) >= rounds->step
-           || (!rounds->takes_hold && now_ms >= rounds->hold_until_ms))
+           || (!rounds->takes_over_hold && now_ms >= rounds->hold_until_ms))
     bt_set_group_phase (rounds, BT_GROUP_LOOKING, now_ms);
 }
 
 /* Handles HOLDING until this leader's hold is reported. A lost order is not sent again near the end
  * of the lease: it could hold the group when there is no leader to release it. */
 static void
-advance_unheld (bt_group_rounds_t *rounds, int64_t now_ms)
+advance_until_held (bt_group_rounds_t *rounds, int64_t now_ms)
 {
   if (now_ms - rounds->phase_ms > rounds->settings.arm_limit_ms || now_ms >= rounds->hold_until_ms)
     bt_set_group_phase (rounds, BT_GROUP_LOOKING, now_ms);
@@ -201,7 +201,7 @@
 /* Abandons a round during its hold. Nothing is armed yet and nothing will be, so the group can be
  * released without knowing the state of the silent rank. */
 static void
-give_hold_up (bt_group_rounds_t *rounds, int64_t now_ms)
+abandon_hold (bt_group_rounds_t *rounds, int64_t now_ms)
 {
   rounds->target = 0;
   bt_set_group_phase (rounds, BT_GROUP_LETTING_GO, now_ms);
@@ -210,13 +210,13 @@
 void
 bt_advance_group (bt_group_rounds_t *rounds, int64_t now_ms)
 {
-  const int64_t taken_ms = now_ms - rounds->phase_ms;
+  const int64_t elapsed_ms = now_ms - rounds->phase_ms;
 
   switch (rounds->phase)
     {
     case BT_GROUP_LOOKING:
-      if (bt_is_group_whole (rounds, now_ms))
-        look (rounds, now_ms);
+      if (bt_is_group_complete (rounds, now_ms))
+        assess_group (rounds, now_ms);
       break;
     case BT_GROUP_CALM:
       if (bt_is_group_armed_or_held (rounds) || !bt_has_group_one_version (rounds))
@@ -225,32 +225,32 @@
     case BT_GROUP_PREPARING:
       if (bt_is_group_prepared (rounds, rounds->target) && now_ms < rounds->hold_until_ms)
         choose_step (rounds, now_ms);
-      else if (taken_ms > rounds->settings.prepare_limit_ms
-               || bt_count_most_refusals (rounds) >= MOST_REFUSALS)
+      else if (elapsed_ms > rounds->settings.prepare_limit_ms
+               || bt_get_max_refusals (rounds) >= MAX_REFUSALS)
         bt_set_group_phase (rounds, BT_GROUP_LOOKING, now_ms);
       break;
     case BT_GROUP_HOLDING:
-      if (is_own_hold_seen (rounds, now_ms) && bt_is_group_heard (rounds))
+      if (update_own_hold (rounds, now_ms) && bt_have_all_ranks_reported (rounds))
         bt_set_group_phase (rounds, BT_GROUP_ARMING, now_ms);
       else if (rounds->own_hold)
         {
-          if (now_ms - rounds->seen_ms > rounds->settings.silence_ms)
-            give_hold_up (rounds, now_ms);
+          if (now_ms - rounds->hold_seen_ms > rounds->settings.silence_ms)
+            abandon_hold (rounds, now_ms);
         }
       else
-        advance_unheld (rounds, now_ms);
+        advance_until_held (rounds, now_ms);
       break;
     case BT_GROUP_ARMING:
       if (bt_is_group_armed (rounds))
         bt_set_group_phase (rounds, BT_GROUP_LETTING_GO, now_ms);
-      else if (taken_ms > rounds->settings.arm_limit_ms)
+      else if (elapsed_ms > rounds->settings.arm_limit_ms)
         start_clearing (rounds, now_ms);
       break;
     case BT_GROUP_LETTING_GO:
       rounds->own_hold = false;
       if (bt_is_group_held (rounds))
         break;
-      note_orders (rounds, now_ms);
+      record_order_time (rounds, now_ms);
       bt_set_group_phase (rounds, BT_GROUP_SETTLING, now_ms);
       break;
     case BT_GROUP_SETTLING:
--- a/source/maps/group_ranks.c
+++ b/source/maps/group_ranks.c
@@ -18,14 +18,14 @@
 }
 
 bool
-bt_is_group_whole (const bt_group_rounds_t *rounds, int64_t now_ms)
+bt_is_group_complete (const bt_group_rounds_t *rounds, int64_t now_ms)
 {
   for (int32_t i = 0; i < rounds->settings.ranks; i++)
     {
       const bt_rank_state_t *rank = &rounds->ranks[i];
 
       if (!rank->known || !rank->report.open || rank->report.epoch != rounds->ranks[0].report.epoch
-          || now_ms - rank->heard_ms > rounds->settings.stale_ms)
+          || now_ms - rank->reported_ms > rounds->settings.stale_ms)
         return false;
     }
   return true;
@@ -106,7 +106,7 @@
 }
 
 int32_t
-bt_count_most_refusals (const bt_group_rounds_t *rounds)
+bt_get_max_refusals (const bt_group_rounds_t *rounds)
 {
   int32_t most = 0;
 
@@ -117,26 +117,25 @@
 }
 
 bool
-bt_is_rank_cleared_of_orders (const bt_group_rounds_t *rounds, const bt_rank_state_t *rank)
+bt_is_rank_cleared (const bt_group_rounds_t *rounds, const bt_rank_state_t *rank)
 {
-  return rank->report.prepared == rounds->clearing;
+  return rank->report.prepared == rounds->clearing_version;
 }
 
 bool
 bt_is_group_cleared (const bt_group_rounds_t *rounds)
 {
   for (int32_t i = 0; i < rounds->settings.ranks; i++)
-    if (bt_is_engine_armed (&rounds->ranks[i])
-        || !bt_is_rank_cleared_of_orders (rounds, &rounds->ranks[i]))
+    if (bt_is_engine_armed (&rounds->ranks[i]) || !bt_is_rank_cleared (rounds, &rounds->ranks[i]))
       return false;
   return true;
 }
 
 bool
-bt_is_group_heard (const bt_group_rounds_t *rounds)
+bt_have_all_ranks_reported (const bt_group_rounds_t *rounds)
 {
   for (int32_t i = 0; i < rounds->settings.ranks; i++)
-    if (rounds->ranks[i].heard_ms <= rounds->seen_ms)
+    if (rounds->ranks[i].reported_ms <= rounds->hold_seen_ms)
       return false;
   return true;
 }
@@ -162,7 +161,7 @@
     if (!bt_is_engine_held (&rounds->ranks[i])
         && (best == NO_RANK || rounds->ranks[i].refusals < rounds->ranks[best].refusals
             || (rounds->ranks[i].refusals == rounds->ranks[best].refusals
-                && rounds->ranks[i].heard_ms > rounds->ranks[best].heard_ms)))
+                && rounds->ranks[i].reported_ms > rounds->ranks[best].reported_ms)))
       best = i;
   return best == NO_RANK ? find_earliest_holder (rounds) : best;
 }
--- a/source/maps/group_rounds.c
+++ b/source/maps/group_rounds.c
@@ -6,7 +6,7 @@
 {
   /* Number of versions per leader. The fencing number forms the high part of a version, so that no
    * other leader ever uses the same version for a different map. */
-  VERSIONS_OF_LEADER = 1 << 20,
+  VERSIONS_PER_LEADER = 1 << 20,
 };
 
 static const char *const order_names[] = { "prepare", "hold", "arm", "disarm", "go" };
@@ -52,12 +52,12 @@
   rounds->own_hold = false;
   rounds->target = 0;
   rounds->orders_ms = 0;
-  rounds->pass_ms = 0;
-  rounds->paced_ms = 0;
+  rounds->mean_step_ms = 0;
+  rounds->timed_ms = 0;
   rounds->hold_until_ms = INT64_MAX;
   /* A leader that resumes with its own fencing number also continues its own versions. */
-  if (rounds->last_version < (int64_t)fence * VERSIONS_OF_LEADER)
-    rounds->last_version = (int64_t)fence * VERSIONS_OF_LEADER;
+  if (rounds->last_version < (int64_t)fence * VERSIONS_PER_LEADER)
+    rounds->last_version = (int64_t)fence * VERSIONS_PER_LEADER;
   bt_set_group_phase (rounds, BT_GROUP_LOOKING, 0);
 }
 
@@ -78,7 +78,7 @@
 /* Records the steps named in orders of any leader. A delayed GO order may arrive seconds later and
  * would cancel a new hold before the same step. */
 static void
-note_steps (bt_group_rounds_t *rounds, const bt_rank_report_t *report)
+record_ordered_steps (bt_group_rounds_t *rounds, const bt_rank_report_t *report)
 {
   if (report->held_step > rounds->last_step)
     rounds->last_step = report->held_step;
@@ -88,7 +88,7 @@
 
 /* Handles a new epoch. A re-formed group has dropped all maps, holds and arms. */
 static void
-notice_epoch (bt_group_rounds_t *rounds, const bt_rank_report_t *report, int64_t now_ms)
+handle_new_epoch (bt_group_rounds_t *rounds, const bt_rank_report_t *report, int64_t now_ms)
 {
   if (rounds->phase == BT_GROUP_LOOKING || (report->open && report->epoch == rounds->epoch))
     return;
@@ -100,10 +100,10 @@
  * held, and an order count of zero. An order with an old count could match the new count by chance,
  * and the effect of an order accepted before the restart will never show. */
 static void
-notice_start (bt_group_rounds_t *rounds,
-              bt_rank_state_t *state,
-              const bt_rank_report_t *report,
-              int64_t now_ms)
+handle_engine_restart (bt_group_rounds_t *rounds,
+                       bt_rank_state_t *state,
+                       const bt_rank_report_t *report,
+                       int64_t now_ms)
 {
   if (!state->known || state->report.started_ms == report->started_ms)
     return;
@@ -124,20 +124,20 @@
   if (rounds->fence == 0 || rank < 0 || rank >= rounds->settings.ranks)
     return;
   state = &rounds->ranks[rank];
-  notice_start (rounds, state, report, now_ms);
+  handle_engine_restart (rounds, state, report, now_ms);
   state->known = true;
   state->report = *report;
-  state->heard_ms = now_ms;
-  note_steps (rounds, report);
-  bt_note_group_step (rounds, report->step, now_ms);
-  notice_epoch (rounds, report, now_ms);
+  state->reported_ms = now_ms;
+  record_ordered_steps (rounds, report);
+  bt_update_step_time (rounds, report->step, now_ms);
+  handle_new_epoch (rounds, report, now_ms);
   rounds->next_rank = 0;
   bt_advance_group (rounds, now_ms);
 }
 
 /* Finds the rank with a pending order; NULL when the result of the order is no longer expected. */
 static bt_rank_state_t *
-find_order (bt_group_rounds_t *rounds, uint64_t id)
+find_ordered_rank (bt_group_rounds_t *rounds, uint64_t id)
 {
   for (int32_t i = 0; i < rounds->settings.ranks; i++)
     if (id != 0 && rounds->ranks[i].order_id == id)
@@ -157,7 +157,7 @@
 
   if (rounds->fence == 0 || rank < 0 || rank >= rounds->settings.ranks)
     return;
-  state = find_order (rounds, id);
+  state = find_ordered_rank (rounds, id);
   if (state != NULL)
     {
       state->order_id = 0;
@@ -169,11 +169,11 @@
       /* Only an order accepted at the order count of a report without a hold proves that the hold
        * is this leader's own. A hold that is merely reported may belong to another leader, who can
        * release it. */
-      if (result == BT_ORDER_DONE && rounds->phase == BT_GROUP_SECURING && !rounds->takes_hold)
+      if (result == BT_ORDER_DONE && rounds->phase == BT_GROUP_SECURING && !rounds->takes_over_hold)
         rounds->own_hold = true;
       /* The result comes from another rank's agent; only the holder's own report shows whether the
        * group is held. */
-      rounds->ask = rounds->ask || rounds->phase == BT_GROUP_HOLDING;
+      rounds->reports_requested = rounds->reports_requested || rounds->phase == BT_GROUP_HOLDING;
     }
   bt_take_rank_report (rounds, rank, report, now_ms);
 }
@@ -181,8 +181,8 @@
 int64_t
 bt_begin_group_round (bt_group_rounds_t *rounds, int64_t now_ms)
 {
-  if (rounds->fence == 0 || rounds->phase != BT_GROUP_CALM || !bt_is_group_whole (rounds, now_ms)
-      || rounds->last_version + 2 >= ((int64_t)rounds->fence + 1) * VERSIONS_OF_LEADER)
+  if (rounds->fence == 0 || rounds->phase != BT_GROUP_CALM || !bt_is_group_complete (rounds, now_ms)
+      || rounds->last_version + 2 >= ((int64_t)rounds->fence + 1) * VERSIONS_PER_LEADER)
     return 0;
   rounds->target = ++rounds->last_version;
   bt_set_group_phase (rounds, BT_GROUP_PREPARING, now_ms);
@@ -198,9 +198,9 @@
 bool
 bt_take_group_ask (bt_group_rounds_t *rounds)
 {
-  bool ask = rounds->ask;
+  bool ask = rounds->reports_requested;
 
-  rounds->ask = false;
+  rounds->reports_requested = false;
   return ask;
 }
 
--- a/source/maps/group_rounds_private.h
+++ b/source/maps/group_rounds_private.h
@@ -13,7 +13,7 @@
 {
   bool known;
   bt_rank_report_t report;
-  int64_t heard_ms;
+  int64_t reported_ms;
   uint64_t order_id; /* the pending order; 0: none */
   int64_t sent_ms;
   bool accepted;    /* the last order was accepted, and its effect may not be reported yet */
@@ -31,22 +31,22 @@
   bt_group_phase_t phase;
   int64_t phase_ms; /* when the phase began */
   int64_t epoch;
-  int64_t target;     /* the version that the round switches to; 0: no round */
-  int64_t clearing;   /* the version that is prepared only to raise the order counts */
-  int64_t step;       /* the step of the switch */
-  int64_t last_step;  /* the highest step named in any order so far */
-  int64_t held_ms;    /* when the hold order was first due */
-  double orders_ms;   /* time from the hold order until the group is released; 0: unknown */
-  double pass_ms;     /* mean step time; 0: unknown */
-  int64_t paced_step; /* the step and time from which the step time is measured next */
-  int64_t paced_ms;
-  int32_t holder;     /* the rank that holds the group, or is to hold it, for this leader */
-  int32_t hold_tries; /* hold orders sent in this phase */
-  bool own_hold;      /* the hold was seen in force and has not been released since */
-  bool takes_hold;    /* in SECURING: the hold of another leader is taken over */
-  int64_t seen_ms;    /* when own_hold was set */
-  bool ask;           /* a report is to be requested from all agents */
-  int32_t next_rank;  /* the next rank that the current search for orders looks at */
+  int64_t target;           /* the version that the round switches to; 0: no round */
+  int64_t clearing_version; /* the version that is prepared only to raise the order counts */
+  int64_t step;             /* the step of the switch */
+  int64_t last_step;        /* the highest step named in any order so far */
+  int64_t hold_due_ms;      /* when the hold order was first due */
+  double orders_ms;         /* time from the hold order until the group is released; 0: unknown */
+  double mean_step_ms;      /* mean step time; 0: unknown */
+  int64_t timed_step;       /* the step and time from which the step time is measured next */
+  int64_t timed_ms;
+  int32_t holder;         /* the rank that holds the group, or is to hold it, for this leader */
+  int32_t hold_attempts;  /* hold orders sent in this phase */
+  bool own_hold;          /* the hold was seen in force and has not been released since */
+  bool takes_over_hold;   /* in SECURING: the hold of another leader is taken over */
+  int64_t hold_seen_ms;   /* when own_hold was set */
+  bool reports_requested; /* a report is to be requested from all agents */
+  int32_t next_rank;      /* the next rank that the current search for orders looks at */
   bt_rank_state_t ranks[];
 };
 
@@ -57,7 +57,7 @@
 bool bt_is_engine_held (const bt_rank_state_t *rank);
 
 /** True when all ranks have reported recently, from one open group. */
-bool bt_is_group_whole (const bt_group_rounds_t *rounds, int64_t now_ms);
+bool bt_is_group_complete (const bt_group_rounds_t *rounds, int64_t now_ms);
 
 /** True when all ranks report the same version of the map. */
 bool bt_has_group_one_version (const bt_group_rounds_t *rounds);
@@ -84,17 +84,17 @@
 bool bt_is_group_armed (const bt_group_rounds_t *rounds);
 
 /** The highest number of refusals by one rank in this phase. */
-int32_t bt_count_most_refusals (const bt_group_rounds_t *rounds);
+int32_t bt_get_max_refusals (const bt_group_rounds_t *rounds);
 
 /** True when a rank has prepared the version of the clearing. It has accepted an order with this
  * leader's fencing number since, and refuses all orders sent before. */
-bool bt_is_rank_cleared_of_orders (const bt_group_rounds_t *rounds, const bt_rank_state_t *rank);
+bool bt_is_rank_cleared (const bt_group_rounds_t *rounds, const bt_rank_state_t *rank);
 
 /** True when no rank is armed and all ranks refuse the orders sent before. */
 bool bt_is_group_cleared (const bt_group_rounds_t *rounds);
 
 /** True when every rank has reported after the hold was seen. */
-bool bt_is_group_heard (const bt_group_rounds_t *rounds);
+bool bt_have_all_ranks_reported (const bt_group_rounds_t *rounds);
 
 /** Chooses a rank to take a hold: among the ranks that hold nothing and have refused least, the one
  * that reported last, whose agent is known to answer. If all ranks hold, chooses the one that
@@ -102,7 +102,7 @@
 int32_t bt_choose_group_holder (const bt_group_rounds_t *rounds);
 
 /** Updates the mean step time from the step that a rank reports. */
-void bt_note_group_step (bt_group_rounds_t *rounds, int64_t step, int64_t now_ms);
+void bt_update_step_time (bt_group_rounds_t *rounds, int64_t step, int64_t now_ms);
 
 /** Begins a phase and resets the refusals and results of the previous one. */
 void bt_set_group_phase (bt_group_rounds_t *rounds, bt_group_phase_t phase, int64_t now_ms);
--- a/source/maps/map_controller.c
+++ b/source/maps/map_controller.c
@@ -4,7 +4,7 @@
 
 enum
 {
-  MAX_WIDENED = 4,
+  MAX_ARM_DOUBLINGS = 4,
 };
 
 bt_map_controller_t *
@@ -48,12 +48,12 @@
   controller->fence = fence;
   controller->stop_ms = sent_ms + lease_ms - controller->settings.lease_margin_ms;
   controller->granted = true;
-  controller->ids = 0;
-  controller->fresh_id = 1;
+  controller->last_id = 0;
+  controller->min_executed_id = 1;
   controller->sequence = 0;
   /* After a replacement of rank 0, another controller may have dropped that round. Delayed orders
    * of the earlier lease are fenced off by the first queries to the ranks. */
-  controller->taken = (bt_round_id_t){ 0 };
+  controller->applied_round = (bt_round_id_t){ 0 };
   memset (controller->views, 0, sizeof controller->views);
 }
 
@@ -109,7 +109,7 @@
 }
 
 static bool
-is_anyone_outside (const bt_map_controller_t *controller)
+is_any_rank_outside (const bt_map_controller_t *controller)
 {
   for (int32_t rank = 0; rank < controller->settings.ranks; rank++)
     if (!controller->views[rank].engine.joined)
@@ -124,7 +124,7 @@
 
   for (int32_t rank = 0; rank < controller->settings.ranks; rank++)
     if (!views[rank].known || !views[rank].engine.joined
-        || !bt_is_no_round (views[rank].engine.armed)
+        || !bt_is_null_round (views[rank].engine.armed)
         || bt_compare_rounds (views[rank].engine.in_use, views[0].engine.in_use) != 0)
       return false;
   return true;
@@ -139,10 +139,10 @@
   controller->round = (bt_round_id_t){ controller->fence, ++controller->sequence };
   controller->digest = digest;
   controller->step = 0;
-  controller->looked = false;
+  controller->reports_requested = false;
   controller->phase = BT_ROUND_STAGING;
   controller->result = BT_ROUND_NO_RESULT;
-  controller->limit_ms = now_ms + controller->settings.stage_limit_ms;
+  controller->deadline_ms = now_ms + controller->settings.stage_limit_ms;
   return true;
 }
 
@@ -167,29 +167,29 @@
       || report->id < view->id)
     return;
   view->id = report->id;
-  view->seen_ms = now_ms;
+  view->reported_ms = now_ms;
   /* A refusing agent reports its remembered state, which may be steps behind its engine, and may
    * still be passing on a decision of rank 0. Only the report of an executed order is reliable;
    * after any other the rank is queried again. */
   if (report->refusal != BT_MAP_ACCEPTED)
     {
       if (report->refusal != BT_MAP_BUSY)
-        view->fresh_id = 0;
+        view->executed_id = 0;
       return;
     }
   /* A replaced engine without a map stops the group. The state it needs must come from reports made
    * after the replacement was seen: older ones may name a step that has passed since. */
   if (!report->engine.joined
       && (!view->known || view->engine.incarnation != report->engine.incarnation))
-    controller->fresh_id = controller->ids + 1;
+    controller->min_executed_id = controller->last_id + 1;
   /* Rank 0's agent may have dropped the round and told other ranks so before it restarted. */
   if (report->rank == 0 && view->known && view->agent != report->agent)
     drop_round (controller);
   view->known = true;
   view->agent = report->agent;
   view->engine = report->engine;
-  view->fresh_id = report->id;
-  view->send_ms = 0;
+  view->executed_id = report->id;
+  view->resend_at_ms = 0;
 }
 
 void
@@ -202,13 +202,13 @@
 {
   bt_rank_view_t *view = &controller->views[rank];
 
-  if (view->sent == order.kind && now_ms < view->send_ms)
+  if (view->sent_kind == order.kind && now_ms < view->resend_at_ms)
     return;
-  view->sent = order.kind;
-  view->send_ms = now_ms + controller->settings.resend_ms;
+  view->sent_kind = order.kind;
+  view->resend_at_ms = now_ms + controller->settings.resend_ms;
   order.rank = rank;
   order.fence = controller->fence;
-  order.id = ++controller->ids;
+  order.id = ++controller->last_id;
   order.incarnation = view->engine.incarnation;
   order.agent = view->agent;
   bt_add_map_action (ctx, actions, BT_MAP_SEND_ORDER)->order = order;
@@ -238,7 +238,7 @@
     {
       const bt_rank_view_t *view = &controller->views[rank];
 
-      if (view->known && view->fresh_id >= controller->fresh_id)
+      if (view->known && view->executed_id >= controller->min_executed_id)
         continue;
       send_query (ctx, controller, rank, now_ms, actions);
       fresh = false;
@@ -248,7 +248,7 @@
 
 /* The engine state of any joined rank; NULL when the group has never run. */
 static const bt_engine_state_t *
-find_member (const bt_map_controller_t *controller)
+find_joined_engine (const bt_map_controller_t *controller)
 {
   for (int32_t rank = 0; rank < controller->settings.ranks; rank++)
     if (controller->views[rank].engine.joined)
@@ -265,7 +265,7 @@
             int64_t now_ms,
             bt_map_actions_t *actions)
 {
-  const bt_engine_state_t *member = find_member (controller);
+  const bt_engine_state_t *member = find_joined_engine (controller);
   bt_map_order_t order = { BT_MAP_JOIN };
 
   order.round = (bt_round_id_t){ controller->fence, 0 };
@@ -300,7 +300,7 @@
   for (int32_t rank = 0; rank < controller->settings.ranks; rank++)
     if (controller->views[rank].engine.next_step > latest)
       latest = controller->views[rank].engine.next_step;
-  return latest + (controller->settings.arm_steps << controller->widened);
+  return latest + (controller->settings.arm_steps << controller->arm_doublings);
 }
 
 static void
@@ -320,20 +320,20 @@
       }
   if (!staged)
     {
-      if (now_ms >= controller->limit_ms)
+      if (now_ms >= controller->deadline_ms)
         drop_round (controller);
       return;
     }
   /* Staging may have taken long, so the step is chosen from fresh reports. */
-  if (!controller->looked)
+  if (!controller->reports_requested)
     {
-      controller->looked = true;
-      controller->fresh_id = controller->ids + 1;
+      controller->reports_requested = true;
+      controller->min_executed_id = controller->last_id + 1;
       return;
     }
   controller->step = choose_step (controller);
   controller->phase = BT_ROUND_ARMING;
-  controller->limit_ms = now_ms + controller->settings.arm_limit_ms;
+  controller->deadline_ms = now_ms + controller->settings.arm_limit_ms;
 }
 
 static void
@@ -359,11 +359,11 @@
       || ((controller->settings.test_options & BT_MAP_NO_ARM_ALL) != 0
           && is_armed_for (&controller->views[0].engine, controller->round)))
     controller->phase = BT_ROUND_DECIDING;
-  else if (now_ms >= controller->limit_ms || late)
+  else if (now_ms >= controller->deadline_ms || late)
     {
       /* The orders took longer than the steps ahead allowed; the next round arms further ahead. */
-      if (controller->widened < MAX_WIDENED)
-        controller->widened++;
+      if (controller->arm_doublings < MAX_ARM_DOUBLINGS)
+        controller->arm_doublings++;
       drop_round (controller);
     }
 }
@@ -378,7 +378,7 @@
 
   if (bt_has_decided_round (&controller->views[0].engine, controller->round))
     {
-      bt_note_decision (controller, controller->round);
+      bt_record_decision (controller, controller->round);
       controller->phase = BT_ROUND_SETTLED;
       return;
     }
@@ -397,8 +397,8 @@
   bt_map_order_t order = describe_round (controller, BT_MAP_LEARN);
   bool in_use = true;
 
-  order.apply = bt_compare_rounds (controller->taken, controller->round) == 0;
-  if (!bt_spread_decision (ctx, controller, &order, now_ms, actions))
+  order.apply = bt_compare_rounds (controller->applied_round, controller->round) == 0;
+  if (!bt_send_decision (ctx, controller, &order, now_ms, actions))
     return;
   if (!order.apply)
     {
@@ -413,7 +413,7 @@
       }
   if (!in_use)
     return;
-  controller->widened = 0;
+  controller->arm_doublings = 0;
   end_round (controller, BT_ROUND_APPLIED);
 }
 
@@ -447,16 +447,16 @@
  * its own that a replaced rank interrupted, and joins replaced ranks. True while there is work
  * left. */
 static bool
-mend_group (bt_context_t *ctx,
-            bt_map_controller_t *controller,
-            int64_t now_ms,
-            bt_map_actions_t *actions)
+repair_group (bt_context_t *ctx,
+              bt_map_controller_t *controller,
+              int64_t now_ms,
+              bt_map_actions_t *actions)
 {
   bt_map_order_t open = bt_find_open_round (controller);
-  bool outside = is_anyone_outside (controller);
+  bool outside = is_any_rank_outside (controller);
   bool own =
       controller->phase != BT_ROUND_NONE
-      && (bt_is_no_round (open.round) || bt_compare_rounds (open.round, controller->round) == 0);
+      && (bt_is_null_round (open.round) || bt_compare_rounds (open.round, controller->round) == 0);
 
   if (own && !outside)
     return false;
@@ -465,10 +465,10 @@
       open = describe_round (controller, BT_MAP_LEARN);
       drop_round (controller);
     }
-  if (!bt_is_no_round (open.round) && !bt_settle_round (ctx, controller, open, now_ms, actions))
+  if (!bt_is_null_round (open.round) && !bt_settle_round (ctx, controller, open, now_ms, actions))
     return true;
   if (!outside)
-    return controller->phase == BT_ROUND_NONE && !bt_is_no_round (open.round);
+    return controller->phase == BT_ROUND_NONE && !bt_is_null_round (open.round);
   join_ranks (ctx, controller, now_ms, actions);
   return true;
 }
@@ -476,25 +476,25 @@
 /* Queries ranks that have not reported for a while, since a replaced rank may not report by itself.
  */
 static void
-look_around (bt_context_t *ctx,
-             bt_map_controller_t *controller,
-             int64_t now_ms,
-             bt_map_actions_t *actions)
+query_silent_ranks (bt_context_t *ctx,
+                    bt_map_controller_t *controller,
+                    int64_t now_ms,
+                    bt_map_actions_t *actions)
 {
   for (int32_t rank = 0; rank < controller->settings.ranks; rank++)
-    if (now_ms - controller->views[rank].seen_ms >= controller->settings.look_ms)
+    if (now_ms - controller->views[rank].reported_ms >= controller->settings.look_ms)
       send_query (ctx, controller, rank, now_ms, actions);
 }
 
 /* Queries ranks that wait for the step of an applied map until it is in use. */
 static void
-watch_open_round (bt_context_t *ctx,
-                  bt_map_controller_t *controller,
-                  int64_t now_ms,
-                  bt_map_actions_t *actions)
+query_armed_ranks (bt_context_t *ctx,
+                   bt_map_controller_t *controller,
+                   int64_t now_ms,
+                   bt_map_actions_t *actions)
 {
   for (int32_t rank = 0; rank < controller->settings.ranks; rank++)
-    if (!bt_is_no_round (controller->views[rank].engine.armed)
+    if (!bt_is_null_round (controller->views[rank].engine.armed)
         && !bt_is_undecided (&controller->views[rank].engine))
       send_query (ctx, controller, rank, now_ms, actions);
 }
@@ -512,9 +512,9 @@
     }
   if (!refresh_views (ctx, controller, now_ms, actions))
     return;
-  look_around (ctx, controller, now_ms, actions);
-  if (mend_group (ctx, controller, now_ms, actions))
-    watch_open_round (ctx, controller, now_ms, actions);
+  query_silent_ranks (ctx, controller, now_ms, actions);
+  if (repair_group (ctx, controller, now_ms, actions))
+    query_armed_ranks (ctx, controller, now_ms, actions);
   else
     drive_round (ctx, controller, now_ms, actions);
 }
--- a/source/maps/map_controller_private.h
+++ b/source/maps/map_controller_private.h
@@ -13,13 +13,13 @@
 typedef struct bt_rank_view
 {
   bool known;
-  uint64_t id;       /* id of the order that the latest report answers */
-  uint64_t fresh_id; /* id of the latest executed order; 0 after a refusal */
+  uint64_t id;          /* id of the order that the latest report answers */
+  uint64_t executed_id; /* id of the latest executed order; 0 after a refusal */
   bt_engine_state_t engine;
-  uint64_t agent;  /* identifies the start of its agent */
-  int64_t send_ms; /* an order of the same kind is not sent again before */
-  int64_t seen_ms;
-  bt_map_order_kind_t sent;
+  uint64_t agent;       /* identifies the start of its agent */
+  int64_t resend_at_ms; /* an order of the same kind is not sent again before */
+  int64_t reported_ms;
+  bt_map_order_kind_t sent_kind;
 } bt_rank_view_t;
 
 struct bt_map_controller
@@ -28,20 +28,20 @@
   uint64_t fence;
   int64_t stop_ms; /* from this time on no order is sent */
   bool granted;
-  uint64_t ids;
-  uint64_t fresh_id; /* reports that answer lower ids are outdated */
+  uint64_t last_id;
+  uint64_t min_executed_id; /* reports that answer lower ids are outdated */
   bt_rank_view_t views[BT_MAX_RANKS];
 
   uint64_t sequence;
   bt_round_id_t round;
   uint64_t digest;
   uint64_t step;
-  bt_round_id_t taken; /* the last round known to be applied: reports may arrive out of order */
-  int32_t widened;     /* how often the steps to arm ahead were doubled */
-  bool looked;         /* reports were requested after staging */
+  bt_round_id_t applied_round; /* last round known to be applied: reports may be out of order */
+  int32_t arm_doublings;       /* how often the steps to arm ahead were doubled */
+  bool reports_requested;      /* reports were requested after staging */
   bt_round_phase_t phase;
   bt_round_result_t result;
-  int64_t limit_ms;
+  int64_t deadline_ms;
 };
 
 /** Sends an order to a rank, unless one of the same kind was sent within resend_ms. */
@@ -63,14 +63,14 @@
 /** Records what rank 0 has decided, and returns whether the round is applied. A later query may
  * return an older report, or rank 0 may be replaced, while orders to apply the map are still in
  * flight to other ranks. */
-bool bt_note_decision (bt_map_controller_t *controller, bt_round_id_t round);
+bool bt_record_decision (bt_map_controller_t *controller, bt_round_id_t round);
 
 /** Sends a decision to the ranks that do not know it; false while there are any. */
-bool bt_spread_decision (bt_context_t *ctx,
-                         bt_map_controller_t *controller,
-                         const bt_map_order_t *open,
-                         int64_t now_ms,
-                         bt_map_actions_t *actions);
+bool bt_send_decision (bt_context_t *ctx,
+                       bt_map_controller_t *controller,
+                       const bt_map_order_t *open,
+                       int64_t now_ms,
+                       bt_map_actions_t *actions);
 
 /** Ends a round that this controller does not drive or can no longer drive; false while there is
  * work left. */
--- a/source/maps/map_layer.c
+++ b/source/maps/map_layer.c
@@ -6,20 +6,20 @@
 
 enum
 {
-  CHANGES_A_RANK = 4, /* maximum number of changes per rank in a layer */
+  MAX_CHANGES_PER_RANK = 4, /* maximum number of changes per rank in a layer */
 };
 
 static const double us_per_ms = 1000.0;
 static const double bytes_per_mb = 1000000.0;
 
 double
-bt_price_skew_ms (const bt_map_input_t *input)
+bt_get_skew_cost_ms (const bt_map_input_t *input)
 {
   return input->limits.expert_share * (double)input->weights.horizon_ms;
 }
 
 double
-bt_price_transfer_ms (const bt_map_input_t *input)
+bt_get_transfer_cost_ms (const bt_map_input_t *input)
 {
   return (double)input->limits.expert_bytes / bytes_per_mb * (double)input->limits.move_us_per_mb
          / us_per_ms;
@@ -40,7 +40,7 @@
   layer->replicas = bt_calloc (ctx, experts, sizeof *layer->replicas);
   layer->load = bt_calloc (ctx, ranks, sizeof *layer->load);
   layer->pace = bt_calloc (ctx, ranks, sizeof *layer->pace);
-  layer->used = bt_calloc (ctx, ranks, sizeof *layer->used);
+  layer->held_count = bt_calloc (ctx, ranks, sizeof *layer->held_count);
   return layer;
 }
 
@@ -54,13 +54,13 @@
   bt_free (ctx, layer->replicas);
   bt_free (ctx, layer->load);
   bt_free (ctx, layer->pace);
-  bt_free (ctx, layer->used);
-  bt_free (ctx, layer->held);
+  bt_free (ctx, layer->held_count);
+  bt_free (ctx, layer->held_experts);
   bt_free (ctx, layer);
 }
 
 static uint64_t *
-find_holders (const bt_map_layer_t *layer, int32_t expert)
+get_holder_words (const bt_map_layer_t *layer, int32_t expert)
 {
   return &layer->holders[(size_t)expert * (size_t)layer->words];
 }
@@ -68,32 +68,33 @@
 bt_rank_set_t
 bt_get_layer_holders (const bt_map_layer_t *layer, int32_t expert)
 {
-  return (bt_rank_set_t){ find_holders (layer, expert), layer->words };
+  return (bt_rank_set_t){ get_holder_words (layer, expert), layer->words };
 }
 
 int16_t *
-bt_get_layer_held (const bt_map_layer_t *layer, int32_t rank)
+bt_get_held_experts (const bt_map_layer_t *layer, int32_t rank)
 {
-  return &layer->held[(size_t)rank * (size_t)layer->room];
+  return &layer->held_experts[(size_t)rank * (size_t)layer->held_capacity];
 }
 
 /* Lists the experts of each rank, so that a search need not scan all experts of the layer. */
 static void
-list_held (bt_context_t *ctx, bt_map_layer_t *layer, int32_t slots)
+list_held_experts (bt_context_t *ctx, bt_map_layer_t *layer, int32_t slots)
 {
-  layer->room = slots;
+  layer->held_capacity = slots;
   for (int32_t rank = 0; rank < layer->ranks; rank++)
-    if (layer->used[rank] > layer->room)
-      layer->room = layer->used[rank];
-  layer->held = bt_calloc (ctx, (size_t)layer->ranks * (size_t)layer->room, sizeof *layer->held);
-  memset (layer->used, 0, (size_t)layer->ranks * sizeof *layer->used);
+    if (layer->held_count[rank] > layer->held_capacity)
+      layer->held_capacity = layer->held_count[rank];
+  layer->held_experts = bt_calloc (ctx, (size_t)layer->ranks * (size_t)layer->held_capacity,
+                                   sizeof *layer->held_experts);
+  memset (layer->held_count, 0, (size_t)layer->ranks * sizeof *layer->held_count);
   for (int32_t expert = 0; expert < layer->experts; expert++)
     {
       bt_rank_set_t holders = bt_get_layer_holders (layer, expert);
 
       for (int32_t rank = bt_find_rank (holders, 0); rank != BT_NO_RANK;
            rank = bt_find_rank (holders, rank + 1))
-        bt_get_layer_held (layer, rank)[layer->used[rank]++] = (int16_t)expert;
+        bt_get_held_experts (layer, rank)[layer->held_count[rank]++] = (int16_t)expert;
     }
 }
 
@@ -105,13 +106,13 @@
 
   layer->tokens[expert] = tokens;
   layer->replicas[expert] = replicas;
-  memcpy (find_holders (layer, expert), holders.words,
+  memcpy (get_holder_words (layer, expert), holders.words,
           (size_t)layer->words * sizeof *layer->holders);
   for (int32_t rank = bt_find_rank (holders, 0); rank != BT_NO_RANK;
        rank = bt_find_rank (holders, rank + 1))
     {
       layer->load[rank] += share * layer->pace[rank];
-      layer->used[rank]++;
+      layer->held_count[rank]++;
     }
 }
 
@@ -130,12 +131,12 @@
   for (int32_t expert = 0; expert < layer->experts; expert++)
     read_expert (layer, expert, bt_get_map_ranks (map, index, expert),
                  bt_get_expert_load (load, index, expert));
-  list_held (ctx, layer, slots);
+  list_held_experts (ctx, layer, slots);
   return layer;
 }
 
 void
-bt_keep_map_layer (const bt_map_layer_t *layer, bt_expert_map_t *map, int32_t index)
+bt_store_map_layer (const bt_map_layer_t *layer, bt_expert_map_t *map, int32_t index)
 {
   for (int32_t expert = 0; expert < layer->experts; expert++)
     bt_set_map_ranks (map, index, expert, bt_get_layer_holders (layer, expert));
@@ -143,7 +144,7 @@
 
 /* Adds an expert's share to the load of each of its holders (sign 1), or subtracts it (sign -1). */
 static void
-shift_share (bt_map_layer_t *layer, int32_t expert, double sign)
+adjust_load (bt_map_layer_t *layer, int32_t expert, double sign)
 {
   bt_rank_set_t holders = bt_get_layer_holders (layer, expert);
   double share;
@@ -159,26 +160,26 @@
 void
 bt_add_layer_holder (bt_map_layer_t *layer, int32_t expert, int32_t rank)
 {
-  shift_share (layer, expert, -1);
-  bt_add_rank (find_holders (layer, expert), rank);
+  adjust_load (layer, expert, -1);
+  bt_add_rank (get_holder_words (layer, expert), rank);
   layer->replicas[expert]++;
-  bt_get_layer_held (layer, rank)[layer->used[rank]++] = (int16_t)expert;
-  shift_share (layer, expert, 1);
+  bt_get_held_experts (layer, rank)[layer->held_count[rank]++] = (int16_t)expert;
+  adjust_load (layer, expert, 1);
 }
 
 void
 bt_remove_layer_holder (bt_map_layer_t *layer, int32_t expert, int32_t rank)
 {
-  int16_t *held = bt_get_layer_held (layer, rank);
+  int16_t *held = bt_get_held_experts (layer, rank);
   int32_t at = 0;
 
-  shift_share (layer, expert, -1);
-  bt_remove_rank (find_holders (layer, expert), rank);
+  adjust_load (layer, expert, -1);
+  bt_remove_rank (get_holder_words (layer, expert), rank);
   layer->replicas[expert]--;
   while (held[at] != expert)
     at++;
-  held[at] = held[--layer->used[rank]];
-  shift_share (layer, expert, 1);
+  held[at] = held[--layer->held_count[rank]];
+  adjust_load (layer, expert, 1);
 }
 
 int32_t
@@ -197,7 +198,7 @@
                       bt_expert_map_t *map,
                       const bt_map_input_t *input,
                       int32_t index,
-                      const bt_map_prices_t *prices,
+                      const bt_map_costs_t *costs,
                       const bool *pinned)
 {
   bt_map_layer_t *layer =
@@ -210,23 +211,23 @@
   bt_map_change_t change;
 
   search->pinned = pinned;
-  search->transfer_load = prices->load > 0 ? prices->transfer / prices->load : 0;
+  search->transfer_load = costs->load_value > 0 ? costs->transfer_cost / costs->load_value : 0;
   /* A single change seldom pays when several ranks are equally busy, so the search continues past
    * changes that do not pay and keeps the best state seen. */
-  for (int32_t left = CHANGES_A_RANK * layer->ranks;
+  for (int32_t left = MAX_CHANGES_PER_RANK * layer->ranks;
        left > 0 && bt_find_map_change (search, &change); left--)
     {
-      double worth;
+      double net_value;
 
       bt_apply_map_change (search, &change);
       transfers += change.transfers;
-      spent += change.transfers * prices->transfer;
-      worth = (start - layer->load[bt_find_busiest_rank (layer)]) * prices->load - spent;
-      if (worth <= gain.worth)
+      spent += change.transfers * costs->transfer_cost;
+      net_value = (start - layer->load[bt_find_busiest_rank (layer)]) * costs->load_value - spent;
+      if (net_value <= gain.net_value)
         continue;
-      gain.worth = worth;
+      gain.net_value = net_value;
       gain.transfers = transfers;
-      bt_keep_map_layer (layer, map, index);
+      bt_store_map_layer (layer, map, index);
     }
   bt_drop_map_search (ctx, search);
   bt_drop_map_layer (ctx, layer);
@@ -295,14 +296,14 @@
   int32_t best = BT_NO_RANK;
 
   for (int32_t rank = 0; rank < layer->ranks; rank++)
-    if (layer->used[rank] < slots && !bt_has_rank (holders, rank)
+    if (layer->held_count[rank] < slots && !bt_has_rank (holders, rank)
         && (best == BT_NO_RANK || layer->load[rank] < layer->load[best]))
       best = rank;
   if (best == BT_NO_RANK)
     return; /* only ranks that already hold it have a free slot */
-  bt_add_rank (find_holders (layer, replica.expert), best);
+  bt_add_rank (get_holder_words (layer, replica.expert), best);
   layer->load[best] += replica.share * layer->pace[best];
-  layer->used[best]++;
+  layer->held_count[best]++;
 }
 
 void
@@ -320,13 +321,13 @@
     return;
   layer = bt_read_map_layer (ctx, map, input->load, input->paces, index, slots);
   memset (layer->load, 0, (size_t)layer->ranks * sizeof *layer->load);
-  memset (layer->used, 0, (size_t)layer->ranks * sizeof *layer->used);
+  memset (layer->held_count, 0, (size_t)layer->ranks * sizeof *layer->held_count);
   memset (layer->holders, 0,
           (size_t)layer->experts * (size_t)layer->words * sizeof *layer->holders);
   list = list_replicas (ctx, layer, slots, &count);
   for (int32_t i = 0; i < count; i++)
     place_replica (layer, slots, list[i]);
-  bt_keep_map_layer (layer, map, index);
+  bt_store_map_layer (layer, map, index);
   bt_free (ctx, list);
   bt_drop_map_layer (ctx, layer);
 }
--- a/source/maps/map_layer.h
+++ b/source/maps/map_layer.h
@@ -12,29 +12,29 @@
 {
   int32_t experts;
   int32_t ranks;
-  int32_t words;     /**< Words per set of ranks. */
-  int32_t room;      /**< Capacity of a rank's list of experts. */
-  double *tokens;    /**< By expert: its load over all its replicas. */
-  uint64_t *holders; /**< By expert: the set of ranks that hold it. */
-  int32_t *replicas; /**< By expert: number of ranks that hold it. */
-  double *load;      /**< By rank: tokens times the rank's slowdown factor. */
-  double *pace;      /**< By rank: slowdown factor. */
-  int32_t *used;     /**< By rank: number of experts that it holds. */
-  int16_t *held;     /**< By rank: the experts that it holds, unordered. */
+  int32_t words;         /**< Words per set of ranks. */
+  int32_t held_capacity; /**< Capacity of a rank's list of experts. */
+  double *tokens;        /**< By expert: its load over all its replicas. */
+  uint64_t *holders;     /**< By expert: the set of ranks that hold it. */
+  int32_t *replicas;     /**< By expert: number of ranks that hold it. */
+  double *load;          /**< By rank: tokens times the rank's slowdown factor. */
+  double *pace;          /**< By rank: slowdown factor. */
+  int32_t *held_count;   /**< By rank: number of experts that it holds. */
+  int16_t *held_experts; /**< By rank: the experts that it holds, unordered. */
 } bt_map_layer_t;
 
 /** Weighted values and costs, in the same unit. */
-typedef struct bt_map_prices
+typedef struct bt_map_costs
 {
-  double load;     /**< Value of one token less on the busiest rank. */
-  double transfer; /**< Cost of one transfer, with hysteresis. */
-} bt_map_prices_t;
+  double load_value;    /**< Value of one token less on the busiest rank. */
+  double transfer_cost; /**< Cost of one transfer, with hysteresis. */
+} bt_map_costs_t;
 
 /** The step time in milliseconds that one unit of skew costs over the horizon. */
-double bt_price_skew_ms (const bt_map_input_t *input);
+double bt_get_skew_cost_ms (const bt_map_input_t *input);
 
 /** The step time in milliseconds that one transfer costs. */
-double bt_price_transfer_ms (const bt_map_input_t *input);
+double bt_get_transfer_cost_ms (const bt_map_input_t *input);
 
 /** Reads layer @p index of a map. The lists of experts have room for @p slots experts per rank, or
  * for as many as a rank already holds. */
@@ -49,10 +49,10 @@
 void bt_drop_map_layer (bt_context_t *ctx, bt_map_layer_t *layer);
 
 /** Writes the holders back into layer @p index of a map. */
-void bt_keep_map_layer (const bt_map_layer_t *layer, bt_expert_map_t *map, int32_t index);
+void bt_store_map_layer (const bt_map_layer_t *layer, bt_expert_map_t *map, int32_t index);
 
 /** The list of the experts that a rank holds. */
-int16_t *bt_get_layer_held (const bt_map_layer_t *layer, int32_t rank);
+int16_t *bt_get_held_experts (const bt_map_layer_t *layer, int32_t rank);
 
 /** The ranks that hold an expert in this layer. */
 bt_rank_set_t bt_get_layer_holders (const bt_map_layer_t *layer, int32_t expert);
@@ -76,7 +76,7 @@
 typedef struct bt_layer_gain
 {
   int32_t layer;
-  double worth; /**< Weighted value, less the cost of the transfers. */
+  double net_value; /**< Weighted value, less the cost of the transfers. */
   int64_t transfers;
 } bt_layer_gain_t;
 
@@ -86,7 +86,7 @@
                                       bt_expert_map_t *map,
                                       const bt_map_input_t *input,
                                       int32_t index,
-                                      const bt_map_prices_t *prices,
+                                      const bt_map_costs_t *costs,
                                       const bool *pinned);
 
 #endif
--- a/source/maps/map_planner.c
+++ b/source/maps/map_planner.c
@@ -7,7 +7,7 @@
 
 enum
 {
-  FIRST_MOVES = 64,
+  INITIAL_MOVE_CAPACITY = 64,
 };
 
 struct bt_map_history
@@ -17,7 +17,7 @@
 };
 
 static size_t
-index_cell (bt_map_shape_t shape, int32_t layer, int32_t expert)
+get_cell_index (bt_map_shape_t shape, int32_t layer, int32_t expert)
 {
   return (size_t)layer * (size_t)shape.experts + (size_t)expert;
 }
@@ -25,7 +25,7 @@
 bt_map_history_t *
 bt_new_map_history (bt_context_t *ctx, bt_map_shape_t shape)
 {
-  size_t cells = index_cell (shape, shape.layers, 0);
+  size_t cells = get_cell_index (shape, shape.layers, 0);
   bt_map_history_t *history = bt_calloc (ctx, 1, sizeof *history + cells * sizeof (int64_t));
 
   history->shape = shape;
@@ -50,11 +50,11 @@
     for (int32_t expert = 0; expert < history->shape.experts; expert++)
       if (!bt_are_rank_sets_equal (bt_get_map_ranks (current, layer, expert),
                                    bt_get_map_ranks (next, layer, expert)))
-        history->changed_ms[index_cell (history->shape, layer, expert)] = now_ms;
+        history->changed_ms[get_cell_index (history->shape, layer, expert)] = now_ms;
 }
 
 static double
-sum_means (const bt_map_input_t *input)
+sum_mean_loads (const bt_map_input_t *input)
 {
   bt_map_shape_t shape = bt_get_map_shape (input->current);
   double sum = 0;
@@ -115,7 +115,8 @@
 {
   if (plan->move_count == plan->move_capacity)
     {
-      plan->move_capacity = plan->move_capacity == 0 ? FIRST_MOVES : plan->move_capacity * 2;
+      plan->move_capacity =
+          plan->move_capacity == 0 ? INITIAL_MOVE_CAPACITY : plan->move_capacity * 2;
       plan->moves = bt_realloc (ctx, plan->moves, (size_t)plan->move_capacity, sizeof *plan->moves);
     }
   plan->moves[plan->move_count++] = move;
@@ -163,8 +164,8 @@
   plan->skew_before = bt_predict_map_skew (input->current, input->load, input->paces);
   plan->skew_after = bt_predict_map_skew (plan->next, input->load, input->paces);
   plan->moved_bytes = transfers * input->limits.expert_bytes;
-  plan->gain_ms = (plan->skew_before - plan->skew_after) * bt_price_skew_ms (input);
-  plan->cost_ms = (double)transfers * bt_price_transfer_ms (input);
+  plan->gain_ms = (plan->skew_before - plan->skew_after) * bt_get_skew_cost_ms (input);
+  plan->cost_ms = (double)transfers * bt_get_transfer_cost_ms (input);
   if (plan->move_count > 0)
     plan->cost_ms += input->limits.held_steps_a_round * (double)input->weights.held_step_cost_ms;
 }
@@ -205,7 +206,7 @@
       int64_t changed_ms = INT64_MIN;
 
       if (input->history != NULL)
-        changed_ms = input->history->changed_ms[index_cell (shape, layer, expert)];
+        changed_ms = input->history->changed_ms[get_cell_index (shape, layer, expert)];
       pinned[expert] =
           changed_ms != INT64_MIN && input->now_ms - changed_ms < input->weights.min_stay_ms;
     }
@@ -213,7 +214,7 @@
 
 /* True when a plan pays for the round as a whole, including the steps that a round holds. */
 static bool
-is_round_paid (const bt_map_input_t *input, const bt_map_plan_t *plan)
+is_round_worthwhile (const bt_map_input_t *input, const bt_map_plan_t *plan)
 {
   double gain = input->weights.skew_weight * plan->gain_ms;
   double cost = input->weights.cost_weight * plan->cost_ms;
@@ -226,11 +227,11 @@
 {
   const bt_layer_gain_t *a = left;
   const bt_layer_gain_t *b = right;
-  double a_worth = a->worth * (double)b->transfers;
-  double b_worth = b->worth * (double)a->transfers;
+  double a_rate = a->net_value * (double)b->transfers;
+  double b_rate = b->net_value * (double)a->transfers;
 
-  if (a_worth != b_worth)
-    return a_worth < b_worth ? 1 : -1;
+  if (a_rate != b_rate)
+    return a_rate < b_rate ? 1 : -1;
   return (a->layer > b->layer) - (a->layer < b->layer);
 }
 
@@ -247,7 +248,7 @@
  * takes effect comes late. The layers with the highest gain per byte go first; the others follow
  * with the next plan. */
 static void
-bound_round (const bt_map_input_t *input, bt_map_plan_t *plan, bt_layer_gain_t *gains)
+limit_round_bytes (const bt_map_input_t *input, bt_map_plan_t *plan, bt_layer_gain_t *gains)
 {
   int32_t layers = bt_get_map_shape (input->current).layers;
   int64_t bytes = 0;
@@ -267,40 +268,40 @@
 }
 
 static bt_map_plan_t *
-plan_paying (bt_context_t *ctx, const bt_map_input_t *input)
+plan_cost_benefit (bt_context_t *ctx, const bt_map_input_t *input)
 {
   bt_map_plan_t *plan = bt_start_map_plan (ctx, input);
   bt_map_shape_t shape = bt_get_map_shape (input->current);
-  bt_map_prices_t prices = { 0 };
-  double mean = sum_means (input);
+  bt_map_costs_t costs = { 0 };
+  double mean = sum_mean_loads (input);
   bool pinned[BT_MAP_MAX_EXPERTS];
   bt_layer_gain_t gains[BT_MAP_MAX_LAYERS];
 
   if (mean <= 0)
     return plan;
-  prices.load = input->weights.skew_weight * bt_price_skew_ms (input) / mean;
-  prices.transfer =
-      input->weights.cost_weight * input->weights.pay_ratio * bt_price_transfer_ms (input);
+  costs.load_value = input->weights.skew_weight * bt_get_skew_cost_ms (input) / mean;
+  costs.transfer_cost =
+      input->weights.cost_weight * input->weights.pay_ratio * bt_get_transfer_cost_ms (input);
   for (int32_t layer = 0; layer < shape.layers; layer++)
     {
       mark_pinned (input, layer, pinned);
-      gains[layer] = bt_improve_map_layer (ctx, plan->next, input, layer, &prices, pinned);
+      gains[layer] = bt_improve_map_layer (ctx, plan->next, input, layer, &costs, pinned);
     }
-  bound_round (input, plan, gains);
+  limit_round_bytes (input, plan, gains);
   return plan;
 }
 
-static const bt_map_planner_vtable_t paying_vtable = { "paying", plan_paying };
+static const bt_map_planner_vtable_t cost_benefit_vtable = { "paying", plan_cost_benefit };
 static const bt_map_planner_vtable_t static_vtable = { "static", plan_static };
 static const bt_map_planner_vtable_t full_vtable = { "full", plan_full };
-static const bt_map_planner_t paying_planner = { &paying_vtable };
+static const bt_map_planner_t cost_benefit_planner = { &cost_benefit_vtable };
 static const bt_map_planner_t static_planner = { &static_vtable };
 static const bt_map_planner_t full_planner = { &full_vtable };
 
 const bt_map_planner_t *
 bt_paying_map_planner (void)
 {
-  return &paying_planner;
+  return &cost_benefit_planner;
 }
 
 const bt_map_planner_t *
@@ -321,7 +322,8 @@
   bt_map_plan_t *plan = planner->vtable->plan (ctx, input);
 
   complete_plan (ctx, input, plan);
-  if (planner != &paying_planner || plan->move_count == 0 || is_round_paid (input, plan))
+  if (planner != &cost_benefit_planner || plan->move_count == 0
+      || is_round_worthwhile (input, plan))
     return plan;
   bt_drop_map_plan (ctx, plan);
   plan = bt_start_map_plan (ctx, input);
--- a/source/maps/map_rank.c
+++ b/source/maps/map_rank.c
@@ -15,34 +15,34 @@
 struct bt_map_rank
 {
   bt_map_rank_settings_t settings;
-  uint64_t floor;             /* highest fencing number seen; lower ones are refused */
-  bt_round_id_t newest_round; /* highest round staged or armed */
-  bt_round_id_t dropped;      /* highest round dropped through this agent */
+  uint64_t floor;               /* highest fencing number seen; lower ones are refused */
+  bt_round_id_t newest_round;   /* highest round staged or armed */
+  bt_round_id_t newest_dropped; /* highest round dropped through this agent */
   bool floor_read;
   bool engine_known;
   bt_engine_state_t engine; /* last known state */
   int64_t ready_ms;         /* the engine is not called before */
-  int64_t read_ms;          /* time of the next READ_FLOOR */
+  int64_t next_read_ms;     /* time of the next READ_FLOOR */
 
   uint64_t call; /* number of the last call */
   call_purpose_t purpose;
   int64_t called_ms;
   bt_map_order_t order; /* the order that the engine is executing */
-  bt_map_ask_t answering;
+  bt_map_ask_t pending_question;
 
   uint64_t nonce; /* nonce of the pending question; 0: none */
-  uint64_t nonces;
-  int64_t ask_ms;           /* time of the next question */
-  int64_t undecided_ms;     /* when this agent first saw the armed round undecided */
-  bt_round_id_t asked;      /* rank 0: the undecided round that ranks ask about */
-  int64_t asked_ms;         /* rank 0: when they began to ask about it */
-  bt_round_id_t remembered; /* NO_DECISION_IN_ENGINE: replaces the engine's decision */
+  uint64_t last_nonce;
+  int64_t ask_ms;             /* time of the next question */
+  int64_t undecided_since_ms; /* when this agent first saw the armed round undecided */
+  bt_round_id_t asked_round;  /* rank 0: the undecided round that ranks ask about */
+  int64_t asked_since_ms;     /* rank 0: when they began to ask about it */
+  bt_round_id_t remembered;   /* NO_DECISION_IN_ENGINE: replaces the engine's decision */
   bool remembered_apply;
 };
 
 enum
 {
-  READ_AGAIN_MS = 200,
+  READ_RETRY_MS = 200,
 };
 
 static bool
@@ -58,7 +58,7 @@
 
   rank->settings = *settings;
   rank->ready_ms = now_ms + settings->settle_ms;
-  rank->read_ms = now_ms;
+  rank->next_read_ms = now_ms;
   rank->floor_read = has_option (rank, BT_MAP_NO_FLOOR);
   return rank;
 }
@@ -101,7 +101,7 @@
 }
 
 static void
-raise_round (bt_map_rank_t *rank, bt_round_id_t round)
+raise_newest_round (bt_map_rank_t *rank, bt_round_id_t round)
 {
   if (bt_compare_rounds (round, rank->newest_round) > 0)
     rank->newest_round = round;
@@ -111,7 +111,7 @@
  * seen, and would accept a delayed order of an old controller. The engine's state and one read from
  * the lease service restore the floor, even where the engine itself ignores fencing numbers. */
 static void
-take_state (bt_map_rank_t *rank, const bt_engine_state_t *state, int64_t now_ms)
+update_state (bt_map_rank_t *rank, const bt_engine_state_t *state, int64_t now_ms)
 {
   bool was_undecided = bt_is_undecided (&rank->engine);
 
@@ -120,21 +120,21 @@
   rank->engine = *state;
   rank->engine_known = true;
   /* An engine may not record the dropping of a round that it was not armed for. */
-  if (bt_compare_rounds (rank->dropped, state->decided) > 0)
+  if (bt_compare_rounds (rank->newest_dropped, state->decided) > 0)
     {
-      rank->engine.decided = rank->dropped;
+      rank->engine.decided = rank->newest_dropped;
       rank->engine.decided_apply = false;
     }
   if (bt_is_undecided (state) && !was_undecided)
     {
-      rank->undecided_ms = now_ms;
+      rank->undecided_since_ms = now_ms;
       rank->ask_ms = now_ms + rank->settings.ask_ms;
     }
   if (has_option (rank, BT_MAP_NO_FLOOR))
     return;
-  raise_round (rank, state->staged);
-  raise_round (rank, state->armed);
-  raise_round (rank, state->in_use);
+  raise_newest_round (rank, state->staged);
+  raise_newest_round (rank, state->armed);
+  raise_newest_round (rank, state->in_use);
   if (rank->newest_round.fence > rank->floor)
     rank->floor = rank->newest_round.fence;
 }
@@ -148,11 +148,11 @@
 }
 
 static void
-report (bt_context_t *ctx,
-        bt_map_rank_t *rank,
-        const bt_map_order_t *order,
-        bt_map_refusal_t refusal,
-        bt_map_actions_t *actions)
+send_report (bt_context_t *ctx,
+             bt_map_rank_t *rank,
+             const bt_map_order_t *order,
+             bt_map_refusal_t refusal,
+             bt_map_actions_t *actions)
 {
   bt_map_action_t *action = bt_add_map_action (ctx, actions, BT_MAP_REPORT);
 
@@ -206,7 +206,7 @@
   if (bt_compare_rounds (order->round, rank->newest_round) < 0
       || bt_compare_rounds (order->round, engine->in_use) <= 0)
     return BT_MAP_OLD_ROUND;
-  return bt_is_no_round (engine->armed) ? BT_MAP_ACCEPTED : BT_MAP_ARMED_OTHER;
+  return bt_is_null_round (engine->armed) ? BT_MAP_ACCEPTED : BT_MAP_ARMED_OTHER;
 }
 
 static bt_map_refusal_t
@@ -219,7 +219,7 @@
     return BT_MAP_OLD_ROUND;
   if (bt_compare_rounds (order->round, engine->staged) != 0)
     return BT_MAP_NOT_STAGED;
-  if (!bt_is_no_round (engine->armed) && bt_compare_rounds (order->round, engine->armed) != 0)
+  if (!bt_is_null_round (engine->armed) && bt_compare_rounds (order->round, engine->armed) != 0)
     return BT_MAP_ARMED_OTHER;
   return order->step > engine->next_step ? BT_MAP_ACCEPTED : BT_MAP_TOO_LATE;
 }
@@ -238,7 +238,7 @@
     return BT_MAP_OLD_ROUND;
   if (order->apply && !armed)
     return BT_MAP_NOT_ARMED;
-  if (!armed && !bt_is_no_round (engine->armed))
+  if (!armed && !bt_is_null_round (engine->armed))
     return BT_MAP_ARMED_OTHER;
   return BT_MAP_ACCEPTED;
 }
@@ -250,9 +250,9 @@
 
   if (bt_compare_rounds (order->round, engine->decided) <= 0)
     return BT_MAP_OLD_ROUND;
-  if (!bt_is_no_round (engine->armed) && bt_compare_rounds (order->round, engine->armed) != 0)
+  if (!bt_is_null_round (engine->armed) && bt_compare_rounds (order->round, engine->armed) != 0)
     return BT_MAP_ARMED_OTHER;
-  if (!order->apply || !bt_is_no_round (engine->armed))
+  if (!order->apply || !bt_is_null_round (engine->armed))
     return BT_MAP_ACCEPTED;
   if (engine->joined)
     return BT_MAP_NOT_ARMED;
@@ -318,11 +318,11 @@
     rank->floor = order->fence;
   if (refusal != BT_MAP_ACCEPTED)
     {
-      report (ctx, rank, order, refusal, actions);
+      send_report (ctx, rank, order, refusal, actions);
       return;
     }
   if (order->kind == BT_MAP_STAGE || order->kind == BT_MAP_ARM)
-    raise_round (rank, order->round);
+    raise_newest_round (rank, order->round);
   /* The controller may act on this report, so the answer to an earlier question must be ignored. */
   rank->nonce = 0;
   if (order->kind == BT_MAP_DECIDE && has_option (rank, BT_MAP_NO_DECISION_IN_ENGINE))
@@ -331,14 +331,14 @@
       rank->remembered_apply = order->apply;
       rank->engine.decided = order->round;
       rank->engine.decided_apply = order->apply;
-      report (ctx, rank, order, BT_MAP_ACCEPTED, actions);
+      send_report (ctx, rank, order, BT_MAP_ACCEPTED, actions);
       return;
     }
   call_engine (ctx, rank, CALL_ORDER, order, now_ms, actions);
 }
 
 static void
-lose_engine (bt_map_rank_t *rank, int64_t now_ms)
+forget_engine (bt_map_rank_t *rank, int64_t now_ms)
 {
   rank->purpose = CALL_NONE;
   rank->engine_known = false;
@@ -346,13 +346,13 @@
 }
 
 static void
-drop_undecided (bt_context_t *ctx,
-                bt_map_rank_t *rank,
-                call_purpose_t purpose,
-                bt_map_order_kind_t kind,
-                bt_round_id_t round,
-                int64_t now_ms,
-                bt_map_actions_t *actions)
+send_drop (bt_context_t *ctx,
+           bt_map_rank_t *rank,
+           call_purpose_t purpose,
+           bt_map_order_kind_t kind,
+           bt_round_id_t round,
+           int64_t now_ms,
+           bt_map_actions_t *actions)
 {
   bt_map_order_t order = { kind, rank->settings.rank };
 
@@ -375,20 +375,20 @@
   bt_map_order_t order = { BT_MAP_DECIDE };
 
   order.round = round;
-  if (bt_compare_rounds (round, rank->asked) != 0)
+  if (bt_compare_rounds (round, rank->asked_round) != 0)
     {
-      rank->asked = round;
-      rank->asked_ms = now_ms;
+      rank->asked_round = round;
+      rank->asked_since_ms = now_ms;
     }
-  if (rank->engine.joined && now_ms - rank->asked_ms >= rank->settings.give_up_ms
+  if (rank->engine.joined && now_ms - rank->asked_since_ms >= rank->settings.give_up_ms
       && check_decide (rank, &order) == BT_MAP_ACCEPTED)
-    drop_undecided (ctx, rank, CALL_SETTLE, BT_MAP_DECIDE, round, now_ms, actions);
+    send_drop (ctx, rank, CALL_SETTLE, BT_MAP_DECIDE, round, now_ms, actions);
 }
 
 static void
-answer_ask (bt_context_t *ctx, bt_map_rank_t *rank, int64_t now_ms, bt_map_actions_t *actions)
+answer_question (bt_context_t *ctx, bt_map_rank_t *rank, int64_t now_ms, bt_map_actions_t *actions)
 {
-  bt_map_tell_t tell = { rank->answering };
+  bt_map_tell_t tell = { rank->pending_question };
   bool known = rank->engine.joined && find_decision (rank, tell.ask.round, &tell.apply);
 
   if (known)
@@ -414,19 +414,19 @@
   rank->purpose = CALL_NONE;
   if (state == NULL)
     {
-      lose_engine (rank, now_ms);
+      forget_engine (rank, now_ms);
       if (purpose == CALL_ORDER)
-        report (ctx, rank, &order, BT_MAP_ENGINE_REFUSED, actions);
+        send_report (ctx, rank, &order, BT_MAP_ENGINE_REFUSED, actions);
       return;
     }
   if (accepted && !order.apply && (order.kind == BT_MAP_DECIDE || order.kind == BT_MAP_LEARN)
-      && bt_compare_rounds (order.round, rank->dropped) > 0)
-    rank->dropped = order.round;
-  take_state (rank, state, now_ms);
+      && bt_compare_rounds (order.round, rank->newest_dropped) > 0)
+    rank->newest_dropped = order.round;
+  update_state (rank, state, now_ms);
   if (purpose == CALL_ORDER)
-    report (ctx, rank, &order, accepted ? BT_MAP_ACCEPTED : BT_MAP_ENGINE_REFUSED, actions);
+    send_report (ctx, rank, &order, accepted ? BT_MAP_ACCEPTED : BT_MAP_ENGINE_REFUSED, actions);
   else if (purpose == CALL_ANSWER)
-    answer_ask (ctx, rank, now_ms, actions);
+    answer_question (ctx, rank, now_ms, actions);
 }
 
 void
@@ -440,7 +440,7 @@
 
   if (rank->settings.rank != 0 || !rank->engine_known || rank->purpose != CALL_NONE)
     return;
-  rank->answering = *ask;
+  rank->pending_question = *ask;
   /* The engine is queried rather than this agent's memory, since it may have been replaced since.
    */
   call_engine (ctx, rank, CALL_ANSWER, &query, now_ms, actions);
@@ -469,12 +469,12 @@
 }
 
 static void
-ask_decider (bt_context_t *ctx, bt_map_rank_t *rank, int64_t now_ms, bt_map_actions_t *actions)
+ask_rank_0 (bt_context_t *ctx, bt_map_rank_t *rank, int64_t now_ms, bt_map_actions_t *actions)
 {
   bt_map_ask_t ask = { rank->settings.rank, rank->settings.incarnation };
 
   rank->ask_ms = now_ms + rank->settings.ask_ms;
-  rank->nonce = ++rank->nonces;
+  rank->nonce = ++rank->last_nonce;
   ask.nonce = rank->nonce;
   ask.round = rank->engine.armed;
   /* Rank 0 asks itself, so that its own abandoned round also ends. */
@@ -488,13 +488,13 @@
 tick_undecided (bt_context_t *ctx, bt_map_rank_t *rank, int64_t now_ms, bt_map_actions_t *actions)
 {
   if (has_option (rank, BT_MAP_DECIDE_BY_TIMEOUT)
-      && now_ms - rank->undecided_ms >= rank->settings.give_up_ms)
+      && now_ms - rank->undecided_since_ms >= rank->settings.give_up_ms)
     {
-      drop_undecided (ctx, rank, CALL_SETTLE, BT_MAP_LEARN, rank->engine.armed, now_ms, actions);
+      send_drop (ctx, rank, CALL_SETTLE, BT_MAP_LEARN, rank->engine.armed, now_ms, actions);
       return;
     }
   if (now_ms >= rank->ask_ms)
-    ask_decider (ctx, rank, now_ms, actions);
+    ask_rank_0 (ctx, rank, now_ms, actions);
 }
 
 void
@@ -502,15 +502,15 @@
 {
   bt_map_order_t query = { BT_MAP_QUERY };
 
-  if (!rank->floor_read && now_ms >= rank->read_ms)
+  if (!rank->floor_read && now_ms >= rank->next_read_ms)
     {
-      rank->read_ms = now_ms + READ_AGAIN_MS;
+      rank->next_read_ms = now_ms + READ_RETRY_MS;
       bt_add_map_action (ctx, actions, BT_MAP_READ_FLOOR);
     }
   if (rank->purpose != CALL_NONE)
     {
       if (now_ms - rank->called_ms >= rank->settings.call_limit_ms)
-        lose_engine (rank, now_ms);
+        forget_engine (rank, now_ms);
       return;
     }
   if (!rank->engine_known && now_ms >= rank->ready_ms)
--- a/source/maps/map_round.c
+++ b/source/maps/map_round.c
@@ -4,7 +4,7 @@
 
 enum
 {
-  FIRST_ACTIONS = 16,
+  INITIAL_ACTION_CAPACITY = 16,
 };
 
 int32_t
@@ -18,7 +18,7 @@
 }
 
 bool
-bt_is_no_round (bt_round_id_t round)
+bt_is_null_round (bt_round_id_t round)
 {
   return round.fence == 0;
 }
@@ -26,7 +26,8 @@
 bool
 bt_is_undecided (const bt_engine_state_t *engine)
 {
-  return !bt_is_no_round (engine->armed) && bt_compare_rounds (engine->armed, engine->decided) != 0;
+  return !bt_is_null_round (engine->armed)
+         && bt_compare_rounds (engine->armed, engine->decided) != 0;
 }
 
 const char *
@@ -58,7 +59,7 @@
 
   if (actions->count == actions->capacity)
     {
-      actions->capacity = actions->capacity == 0 ? FIRST_ACTIONS : actions->capacity * 2;
+      actions->capacity = actions->capacity == 0 ? INITIAL_ACTION_CAPACITY : actions->capacity * 2;
       actions->items =
           bt_realloc (ctx, actions->items, (size_t)actions->capacity, sizeof *actions->items);
     }
--- a/source/maps/map_settle.c
+++ b/source/maps/map_settle.c
@@ -18,7 +18,7 @@
 
 /* True when an engine knows that the round's map is to be applied, or uses it. */
 static bool
-has_taken (const bt_engine_state_t *engine, bt_round_id_t round)
+has_applied (const bt_engine_state_t *engine, bt_round_id_t round)
 {
   return bt_compare_rounds (engine->in_use, round) == 0
          || (bt_compare_rounds (engine->decided, round) == 0 && engine->decided_apply);
@@ -33,8 +33,8 @@
     {
       const bt_engine_state_t *engine = &controller->views[rank].engine;
 
-      if (bt_is_no_round (engine->armed)
-          || (!bt_is_no_round (open.round) && bt_compare_rounds (engine->armed, open.round) >= 0))
+      if (bt_is_null_round (engine->armed)
+          || (!bt_is_null_round (open.round) && bt_compare_rounds (engine->armed, open.round) >= 0))
         continue;
       open.round = engine->armed;
       open.step = engine->armed_step;
@@ -44,11 +44,11 @@
 }
 
 bool
-bt_note_decision (bt_map_controller_t *controller, bt_round_id_t round)
+bt_record_decision (bt_map_controller_t *controller, bt_round_id_t round)
 {
-  if (has_taken (&controller->views[0].engine, round))
-    controller->taken = round;
-  return bt_compare_rounds (controller->taken, round) == 0;
+  if (has_applied (&controller->views[0].engine, round))
+    controller->applied_round = round;
+  return bt_compare_rounds (controller->applied_round, round) == 0;
 }
 
 /* Finds the decision of a round while rank 0 is outside the group. No rank can learn a decision any
@@ -60,7 +60,7 @@
 {
   const bt_engine_state_t *decider = &controller->views[0].engine;
 
-  if (bt_compare_rounds (controller->taken, round) == 0)
+  if (bt_compare_rounds (controller->applied_round, round) == 0)
     return true;
   if (bt_compare_rounds (decider->decided, round) == 0)
     return decider->decided_apply;
@@ -68,7 +68,7 @@
     {
       const bt_engine_state_t *engine = &controller->views[rank].engine;
 
-      if (engine->joined && has_taken (engine, round))
+      if (engine->joined && has_applied (engine, round))
         return true;
     }
   return false;
@@ -88,7 +88,7 @@
 
   if (decider->joined && is_past_round (decider, open->round))
     {
-      open->apply = bt_note_decision (controller, open->round);
+      open->apply = bt_record_decision (controller, open->round);
       return true;
     }
   if (decider->joined)
@@ -110,13 +110,13 @@
 }
 
 bool
-bt_spread_decision (bt_context_t *ctx,
-                    bt_map_controller_t *controller,
-                    const bt_map_order_t *open,
-                    int64_t now_ms,
-                    bt_map_actions_t *actions)
+bt_send_decision (bt_context_t *ctx,
+                  bt_map_controller_t *controller,
+                  const bt_map_order_t *open,
+                  int64_t now_ms,
+                  bt_map_actions_t *actions)
 {
-  bool spread = true;
+  bool all_know = true;
 
   for (int32_t rank = 1; rank < controller->settings.ranks; rank++)
     {
@@ -125,12 +125,12 @@
 
       if (is_past_round (engine, open->round))
         continue;
-      spread = false;
+      all_know = false;
       if (!engine->joined && open->apply && bt_compare_rounds (engine->staged, open->round) != 0)
         order.kind = BT_MAP_STAGE;
       bt_send_controller_order (ctx, controller, rank, order, now_ms, actions);
     }
-  return spread;
+  return all_know;
 }
 
 bool
@@ -141,5 +141,5 @@
                  bt_map_actions_t *actions)
 {
   return settle_decider (ctx, controller, &open, now_ms, actions)
-         && bt_spread_decision (ctx, controller, &open, now_ms, actions);
+         && bt_send_decision (ctx, controller, &open, now_ms, actions);
 }
--- a/source/maps/moving_load.c
+++ b/source/maps/moving_load.c
@@ -14,11 +14,11 @@
  * the mean by chance; a jump that moves the busiest expert changes the distance by at least that
  * expert's share of the demand. A mean that continues across a jump favors the old experts while
  * the new ones lengthen passes. */
-static const double least_jump = 0.1;
-static const double jump_factor = 2;
+static const double min_jump_distance = 0.1;
+static const double min_jump_ratio = 2;
 
 /* Weight of a new window in a layer's usual distance. */
-static const double noise_part = 0.1;
+static const double noise_weight = 0.1;
 
 struct bt_moving_load
 {
@@ -29,7 +29,7 @@
   int64_t opened_ms; /* when the window was opened; NO_WINDOW before the first */
   double *noise;     /* by layer: usual distance of a window from the mean; 0: unknown */
   bool jumped;       /* demand has jumped since the last bt_take_load_jump */
-  bool keep;         /* keep the mean when demand jumps */
+  bool keep_mean;    /* keep the mean when demand jumps */
 };
 
 bt_moving_load_t *
@@ -60,11 +60,11 @@
 void
 bt_keep_moving_load (bt_moving_load_t *load, bool keep)
 {
-  load->keep = keep;
+  load->keep_mean = keep;
 }
 
 static double *
-find_window (const bt_moving_load_t *load, int32_t layer)
+get_layer_window (const bt_moving_load_t *load, int32_t layer)
 {
   return &load->window[(size_t)layer * (size_t)load->experts];
 }
@@ -74,7 +74,7 @@
 static double
 measure_distance (const bt_moving_load_t *load, int32_t layer)
 {
-  const double *window = find_window (load, layer);
+  const double *window = get_layer_window (load, layer);
   double window_sum = 0;
   double mean_sum = 0;
   double distance = 0;
@@ -97,52 +97,52 @@
 {
   double noise = load->noise[layer];
 
-  return noise > 0 && distance > least_jump && distance > jump_factor * noise;
+  return noise > 0 && distance > min_jump_distance && distance > min_jump_ratio * noise;
 }
 
 static void
-learn_noise (double *noise, double distance)
+update_noise (double *noise, double distance)
 {
   if (*noise > 0)
-    *noise += (distance - *noise) * noise_part;
+    *noise += (distance - *noise) * noise_weight;
   else
     *noise = distance;
 }
 
 static void
-close_layer (bt_moving_load_t *load, int32_t layer)
+merge_layer (bt_moving_load_t *load, int32_t layer)
 {
-  const double *window = find_window (load, layer);
+  const double *window = get_layer_window (load, layer);
   double distance = measure_distance (load, layer);
 
   if (is_jump (load, layer, distance))
     {
       load->jumped = true;
-      if (!load->keep)
+      if (!load->keep_mean)
         bt_clear_expert_load (load->mean, layer);
     }
   else if (distance > 0)
-    learn_noise (&load->noise[layer], distance);
+    update_noise (&load->noise[layer], distance);
   for (int32_t i = 0; i < load->experts; i++)
     bt_add_expert_load (load->mean, layer, i, window[i]);
 }
 
 static void
-close_window (bt_moving_load_t *load, int64_t now_ms)
+close_due_window (bt_moving_load_t *load, int64_t now_ms)
 {
   if (load->opened_ms != NO_WINDOW && now_ms - load->opened_ms < WINDOW_MS)
     return;
   load->opened_ms = now_ms;
   bt_decay_expert_load (load->mean, now_ms);
   for (int32_t layer = 0; layer < load->layers; layer++)
-    close_layer (load, layer);
+    merge_layer (load, layer);
   memset (load->window, 0, (size_t)load->layers * (size_t)load->experts * sizeof *load->window);
 }
 
 void
 bt_add_moving_load (bt_moving_load_t *load, const uint32_t *counts, int64_t now_ms)
 {
-  close_window (load, now_ms);
+  close_due_window (load, now_ms);
   for (int32_t i = 0; i < load->layers * load->experts; i++)
     load->window[i] += counts[i];
 }
@@ -152,7 +152,7 @@
 {
   bool jumped;
 
-  close_window (load, now_ms);
+  close_due_window (load, now_ms);
   jumped = load->jumped;
   load->jumped = false;
   return jumped;
--- a/test/maps/test_map_rank.c
+++ b/test/maps/test_map_rank.c
@@ -289,7 +289,7 @@
   bt_take_map_order (fixture.ctx, fixture.rank, &order, fixture.now_ms, &fixture.actions);
   settle (&fixture);
   CU_ASSERT_EQUAL (fixture.report.refusal, BT_MAP_WRONG_AGENT);
-  CU_ASSERT_TRUE (bt_is_no_round (fixture.group.ranks[0].state.armed));
+  CU_ASSERT_TRUE (bt_is_null_round (fixture.group.ranks[0].state.armed));
   finish (&fixture);
 }
 
