--- a/test/maps/held_group.h
+++ b/test/maps/held_group.h
@@ -2,9 +2,10 @@
 #define BILBERRYTRAY_TEST_HELD_GROUP_H
 
 /** @file
- * A group of engines that can hold together, played in virtual time: orders are lost, answered late
- * or carried out late, leaders change and go on believing that they lead, and the group is formed
- * anew. It checks that no step begins while two ranks have different maps, by version or content.
+ * A simulated group of engines that can be held, in virtual time. Orders get lost, are answered
+ * late or executed late, leaders change while the old ones still believe that they lead, and the
+ * group is re-formed. The simulation counts the steps that begin while two ranks use different
+ * maps, by version or by content.
  */
 
 #include <stdlib.h>
@@ -15,9 +16,9 @@
 
 enum
 {
-  HELD_RANKS = 5, /* unless a test asks for more */
-  HELD_MOST_RANKS = 513,
-  HELD_LATE = 512, /* orders on their way */
+  HELD_RANKS = 5, /* default number of ranks */
+  HELD_MAX_RANKS = 513,
+  HELD_MAX_DELAYED = 512, /* maximum number of delayed orders */
 };
 
 typedef struct held_engine
@@ -29,41 +30,41 @@
   uint64_t content;
 } held_engine_t;
 
-typedef struct held_late
+typedef struct held_delayed
 {
   bool used;
   int64_t at_ms;
   bt_group_order_t order;
   uint64_t content;
-} held_late_t;
+} held_delayed_t;
 
 typedef struct held_group
 {
   int32_t ranks;
-  held_engine_t engines[HELD_MOST_RANKS];
-  held_late_t late[HELD_LATE];
+  held_engine_t engines[HELD_MAX_RANKS];
+  held_delayed_t delayed[HELD_MAX_DELAYED];
   bt_random_t random;
   int64_t now_ms;
   int64_t step;
   int64_t epoch;
   bool fences_checked;
-  bool counts_checked; /* orders name the count of orders before them */
-  bool starts_checked; /* agents refuse orders that rest on another start of their engine */
-  int32_t splits;      /* steps that began with different maps */
-  int32_t changes;
-  int32_t
-      astray; /* orders of the own agent that began something at another start than they rest on */
-  int64_t idle_until_ms; /* no requests: no steps are made */
-  int32_t deaf_rank;     /* loses every order until deaf_until_ms */
-  int64_t deaf_until_ms;
-  int32_t lost_percent; /* orders that get no answer and are carried out late, or never */
-  bool ending;          /* no round is begun any more */
-  bool freeze_giver;    /* the next agent that gives a hold stands still from then on */
+  bool counts_checked; /* engines check the order count that orders carry */
+  bool starts_checked; /* agents refuse orders based on another start of their engine */
+  int32_t mixed_steps; /* steps that began with different maps */
+  int32_t switches;
+  int32_t misdirected;   /* orders that took effect through the rank's own agent at another engine
+                            start */
+  int64_t idle_until_ms; /* no requests and no steps until then */
+  int32_t unreachable_rank; /* every order to it is lost until unreachable_until_ms */
+  int64_t unreachable_until_ms;
+  int32_t lost_percent; /* percentage of orders that get no answer and are executed late or never */
+  bool no_new_rounds;   /* no new rounds are begun */
+  bool freeze_hold_sender; /* the next agent that sends a hold freezes */
   int32_t frozen_rank;
   int64_t frozen_ms;
   int64_t frozen_until_ms;
-  int64_t stepped_ms; /* when the last step began */
-  int64_t longest_ms; /* the longest time between two steps */
+  int64_t last_step_ms;    /* when the last step began */
+  int64_t longest_step_ms; /* the longest time between two steps */
 } held_group_t;
 
 static inline void
@@ -82,8 +83,8 @@
     }
 }
 
-/* All engines are started anew, and their group counts its epochs anew as well, so that orders of
- * before name an epoch that comes again. */
+/* Restarts all engines. Their group counts its epochs from the start as well, so that orders from
+ * before the restart name an epoch that occurs again. */
 static inline void
 restart_held_group (held_group_t *group)
 {
@@ -94,7 +95,7 @@
 }
 
 static inline void
-start_held_group_of (held_group_t *group, uint64_t seed, int32_t ranks)
+start_held_group_with (held_group_t *group, uint64_t seed, int32_t ranks)
 {
   memset (group, 0, sizeof *group);
   group->ranks = ranks;
@@ -109,11 +110,11 @@
 static inline void
 start_held_group (held_group_t *group, uint64_t seed)
 {
-  start_held_group_of (group, seed, HELD_RANKS);
+  start_held_group_with (group, seed, HELD_RANKS);
 }
 
 static inline bt_order_result_t
-carry_out_prepare (held_engine_t *engine, const bt_group_order_t *order, uint64_t content)
+execute_prepare (held_engine_t *engine, const bt_group_order_t *order, uint64_t content)
 {
   if (order->version <= engine->highest_version || engine->report.armed_version != 0)
     return BT_ORDER_REFUSED;
@@ -125,7 +126,7 @@
 }
 
 static inline bt_order_result_t
-carry_out_arm (held_engine_t *engine, const bt_group_order_t *order)
+execute_arm (held_engine_t *engine, const bt_group_order_t *order)
 {
   if (engine->report.prepared != order->version || order->step <= engine->report.step)
     return BT_ORDER_REFUSED;
@@ -138,7 +139,7 @@
 }
 
 static inline bt_order_result_t
-carry_out_hold (held_engine_t *engine, const bt_group_order_t *order)
+execute_hold (held_engine_t *engine, const bt_group_order_t *order)
 {
   if (order->step <= engine->report.step)
     return BT_ORDER_REFUSED;
@@ -150,7 +151,7 @@
 }
 
 static inline bt_order_result_t
-carry_out (held_group_t *group, const bt_group_order_t *order, uint64_t content)
+execute_order (held_group_t *group, const bt_group_order_t *order, uint64_t content)
 {
   held_engine_t *engine = &group->engines[order->rank];
 
@@ -165,11 +166,11 @@
   switch (order->kind)
     {
     case BT_GROUP_PREPARE:
-      return carry_out_prepare (engine, order, content);
+      return execute_prepare (engine, order, content);
     case BT_GROUP_ARM:
-      return carry_out_arm (engine, order);
+      return execute_arm (engine, order);
     case BT_GROUP_HOLD:
-      return carry_out_hold (engine, order);
+      return execute_hold (engine, order);
     case BT_GROUP_DISARM:
       if (engine->report.armed_version != order->version)
         return BT_ORDER_DONE;
@@ -187,10 +188,10 @@
     }
 }
 
-/* What the agent does with an order for its own engine: one that rests on another start goes no
- * further. */
+/* Handles an order at the agent, which refuses it when it is based on another start of its own
+ * engine. */
 static inline bt_order_result_t
-pass_held_order (held_group_t *group, const bt_group_order_t *order, uint64_t content)
+deliver_held_order (held_group_t *group, const bt_group_order_t *order, uint64_t content)
 {
   const held_engine_t *engine = &group->engines[order->rank];
   int64_t sequence = engine->report.sequence;
@@ -199,9 +200,9 @@
 
   if (group->starts_checked && order->via == order->rank && !own)
     return BT_ORDER_REFUSED;
-  result = carry_out (group, order, content);
+  result = execute_order (group, order, content);
   if (order->via == order->rank && !own && engine->report.sequence != sequence)
-    group->astray++;
+    group->misdirected++;
   return result;
 }
 
@@ -212,27 +213,27 @@
          && group->now_ms < group->frozen_until_ms;
 }
 
-/* The agent that gives a hold stands still right after it, so that its answer is lost, or a moment
- * later. */
+/* Executes a hold and freezes the agent that sent it, either at once, so that its answer is lost,
+ * or up to 60 ms later. */
 static inline bt_order_result_t
-freeze_giver (held_group_t *group, const bt_group_order_t *order, uint64_t content)
+freeze_hold_sender (held_group_t *group, const bt_group_order_t *order, uint64_t content)
 {
   enum
   {
     FROZEN_MS = 4000,
-    LATEST_MS = 60,
+    MAX_DELAY_MS = 60,
   };
-  bt_order_result_t result = pass_held_order (group, order, content);
-  int64_t delay_ms = (int64_t)bt_random_below (&group->random, LATEST_MS);
+  bt_order_result_t result = deliver_held_order (group, order, content);
+  int64_t delay_ms = (int64_t)bt_random_below (&group->random, MAX_DELAY_MS);
 
-  group->freeze_giver = false;
+  group->freeze_hold_sender = false;
   group->frozen_rank = order->via;
   group->frozen_ms = group->now_ms + delay_ms;
   group->frozen_until_ms = group->frozen_ms + FROZEN_MS;
   return delay_ms == 0 ? BT_ORDER_LOST : result;
 }
 
-/* Sends an order: it is carried out now, later, or never. */
+/* Sends an order, which is executed now, later, or never. */
 static inline bt_order_result_t
 send_held_order (held_group_t *group, const bt_group_order_t *order, uint64_t content)
 {
@@ -240,25 +241,26 @@
 
   if (group->lost_percent > 0 && bt_random_below (&group->random, 100) == 0)
     {
-      group->deaf_rank = (int32_t)bt_random_below (&group->random, (uint64_t)group->ranks);
-      group->deaf_until_ms = group->now_ms + 1500;
+      group->unreachable_rank = (int32_t)bt_random_below (&group->random, (uint64_t)group->ranks);
+      group->unreachable_until_ms = group->now_ms + 1500;
     }
-  lost = lost || (order->rank == group->deaf_rank && group->now_ms < group->deaf_until_ms);
+  lost = lost
+         || (order->rank == group->unreachable_rank && group->now_ms < group->unreachable_until_ms);
   if (is_held_rank_frozen (group, order->via) || is_held_rank_frozen (group, order->rank))
     return BT_ORDER_LOST;
-  if (!lost && order->kind == BT_GROUP_HOLD && group->freeze_giver)
-    return freeze_giver (group, order, content);
+  if (!lost && order->kind == BT_GROUP_HOLD && group->freeze_hold_sender)
+    return freeze_hold_sender (group, order, content);
   if (!lost)
-    return pass_held_order (group, order, content);
-  for (int32_t i = 0; i < HELD_LATE; i++)
-    if (!group->late[i].used)
+    return deliver_held_order (group, order, content);
+  for (int32_t i = 0; i < HELD_MAX_DELAYED; i++)
+    if (!group->delayed[i].used)
       {
-        held_late_t *late = &group->late[i];
+        held_delayed_t *delayed = &group->delayed[i];
 
-        late->used = true;
-        late->at_ms = group->now_ms + (int64_t)bt_random_below (&group->random, 6000);
-        late->order = *order;
-        late->content = content;
+        delayed->used = true;
+        delayed->at_ms = group->now_ms + (int64_t)bt_random_below (&group->random, 6000);
+        delayed->order = *order;
+        delayed->content = content;
         break;
       }
   return BT_ORDER_LOST;
@@ -269,17 +271,17 @@
 {
   if (group->now_ms < group->idle_until_ms)
     return;
-  /* At times there are no requests for a while. A step that was chosen does not come then, and an
-   * order for it stays good. */
+  /* At times there are no requests for a while. A step named in an order does not begin then, and
+   * the order stays valid. */
   if (group->lost_percent > 0 && bt_random_below (&group->random, 40) == 0)
     group->idle_until_ms = group->now_ms + (int64_t)bt_random_below (&group->random, 4000);
   for (int32_t i = 0; i < group->ranks; i++)
     if (group->engines[i].report.held_step == group->step + 1)
       return;
   group->step++;
-  if (group->now_ms - group->stepped_ms > group->longest_ms)
-    group->longest_ms = group->now_ms - group->stepped_ms;
-  group->stepped_ms = group->now_ms;
+  if (group->now_ms - group->last_step_ms > group->longest_step_ms)
+    group->longest_step_ms = group->now_ms - group->last_step_ms;
+  group->last_step_ms = group->now_ms;
   for (int32_t i = 0; i < group->ranks; i++)
     {
       held_engine_t *engine = &group->engines[i];
@@ -290,26 +292,26 @@
           engine->report.version = engine->report.armed_version;
           engine->content = engine->prepared_content;
           engine->report.armed_version = 0;
-          group->changes++;
+          group->switches++;
         }
     }
   for (int32_t i = 1; i < group->ranks; i++)
     if (group->engines[i].report.version != group->engines[0].report.version
         || group->engines[i].content != group->engines[0].content)
       {
-        group->splits++;
+        group->mixed_steps++;
         return;
       }
 }
 
 static inline void
-run_late_orders (held_group_t *group)
+deliver_delayed_orders (held_group_t *group)
 {
-  for (int32_t i = 0; i < HELD_LATE; i++)
-    if (group->late[i].used && group->late[i].at_ms <= group->now_ms)
+  for (int32_t i = 0; i < HELD_MAX_DELAYED; i++)
+    if (group->delayed[i].used && group->delayed[i].at_ms <= group->now_ms)
       {
-        pass_held_order (group, &group->late[i].order, group->late[i].content);
-        group->late[i].used = false;
+        deliver_held_order (group, &group->delayed[i].order, group->delayed[i].content);
+        group->delayed[i].used = false;
       }
 }
 
--- a/test/maps/lockstep.h
+++ b/test/maps/lockstep.h
@@ -2,8 +2,8 @@
 #define BILBERRYTRAY_TEST_LOCKSTEP_H
 
 /** @file
- * Engines of one lock-step rank group. They do as they are told and know none of the agents'
- * guards; what must never happen is noted as a violation, naming step and rank.
+ * The engines of one lock-step rank group. They execute every order without any of the agents'
+ * checks; a state that must never occur is recorded as a violation, with its step and rank.
  */
 
 #include <stdio.h>
@@ -17,23 +17,23 @@
   LOCKSTEP_TEXT_BYTES = 200,
 };
 
-/** One engine. */
+/** One simulated engine. */
 typedef struct lockstep_rank
 {
   bt_engine_state_t state;
-  uint64_t fence; /**< Highest number whose order took effect. */
+  uint64_t fence; /**< Highest fencing number of an order that took effect. */
   bool hold;
   bool stalled;
 } lockstep_rank_t;
 
-/** The group. */
+/** One simulated group. */
 typedef struct lockstep
 {
   int32_t count;
   bool ignore_fences;
-  bool forgetful; /**< Keeps no decision of a round that it is not armed for. */
+  bool forgetful; /**< Does not store the decision of a round that it is not armed for. */
   uint64_t incarnations;
-  uint64_t held; /**< Tries to step that an undecided round held up. */
+  uint64_t held; /**< Steps that an undecided round prevented. */
   uint64_t steps;
   lockstep_rank_t ranks[LOCKSTEP_MAX_RANKS];
   char violation[LOCKSTEP_TEXT_BYTES];
@@ -47,7 +47,7 @@
   return (left.sequence > right.sequence) - (left.sequence < right.sequence);
 }
 
-/** Puts a new engine without a map in a rank's place. */
+/** Replaces a rank's engine by a new one without a map. */
 static inline void
 lockstep_replace (lockstep_t *group, int32_t rank)
 {
@@ -65,7 +65,7 @@
     lockstep_replace (group, rank);
 }
 
-/* An order without a number comes from an agent that passes on rank 0's decision. */
+/* An order without a fencing number comes from an agent that passes on rank 0's decision. */
 static inline bool
 lockstep_pass_fence (lockstep_t *group, int32_t rank, const bt_map_order_t *order)
 {
@@ -81,7 +81,7 @@
   if (!group->ignore_fences)
     return false;
   snprintf (group->violation, sizeof group->violation,
-            "rank %d took order %s of controller %llu after one of %llu", rank,
+            "rank %d executed order %s of controller %llu after one of controller %llu", rank,
             bt_name_map_order (order->kind), (unsigned long long)order->fence,
             (unsigned long long)engine->fence);
   return true;
@@ -120,7 +120,7 @@
     state->armed = (bt_round_id_t){ 0 };
 }
 
-/** Carries out an order; false when the engine refuses it. */
+/** Executes an order; false when the engine refuses it. */
 static inline bool
 lockstep_order (lockstep_t *group, int32_t rank, const bt_map_order_t *order)
 {
@@ -197,7 +197,7 @@
     }
 }
 
-/** Makes one step with all ranks, or none while a rank is missing, stalled or held. */
+/** Runs one step on all ranks, or none while a rank is missing, stalled or held. */
 static inline bool
 lockstep_step (lockstep_t *group)
 {
--- a/test/maps/test_copy_price.c
+++ b/test/maps/test_copy_price.c
@@ -10,7 +10,7 @@
   REPORT_MS = 100,
 };
 
-/* Reports the same count from all ranks for a while. */
+/* Reports the same number of running requests from all ranks for a while. */
 static int64_t
 report (bt_copy_price_t *price, int32_t running, int64_t from_ms, int64_t for_ms)
 {
@@ -42,11 +42,11 @@
   bt_drop_context (ctx);
 }
 
-/* A caller sees its stream slow down for seconds after demand has moved. The group was full, and
- * ran empty for one pass, in which the plan was made: with the count of that moment copies are
- * dear, and the plan leaves the busiest rank as it is. */
+/* A full group was empty for the one pass in which the plan was made. With the count of that moment
+ * copies have a high cost weight, the plan leaves the busiest rank unchanged, and callers' streams
+ * stay slow for seconds after demand has shifted. */
 static void
-test_one_empty_pass_does_not_make_copies_dear (void)
+test_one_empty_pass_does_not_raise_copy_cost (void)
 {
   bt_context_t *ctx = bt_new_context ();
   bt_copy_price_t *price = bt_new_copy_price (ctx, RANKS);
@@ -60,7 +60,7 @@
 }
 
 static void
-test_unusable_reports_change_nothing (void)
+test_invalid_reports_are_ignored (void)
 {
   bt_context_t *ctx = bt_new_context ();
   bt_copy_price_t *price = bt_new_copy_price (ctx, RANKS);
@@ -84,8 +84,8 @@
   CU_initialize_registry ();
   suite = CU_add_suite ("copy price", NULL, NULL);
   CU_ADD_TEST (suite, test_copies_cost_less_in_a_full_group);
-  CU_ADD_TEST (suite, test_one_empty_pass_does_not_make_copies_dear);
-  CU_ADD_TEST (suite, test_unusable_reports_change_nothing);
+  CU_ADD_TEST (suite, test_one_empty_pass_does_not_raise_copy_cost);
+  CU_ADD_TEST (suite, test_invalid_reports_are_ignored);
   CU_basic_set_mode (CU_BRM_VERBOSE);
   CU_basic_run_tests ();
   failed = CU_get_number_of_failures ();
--- a/test/maps/test_expert_map.c
+++ b/test/maps/test_expert_map.c
@@ -38,7 +38,7 @@
   bt_drop_context (ctx);
 }
 
-/* Holders at both ends of the words of a set, and a map of each width of numbers. */
+/* Tests holders at both ends of each word of a set, and maps with one-byte and two-byte numbers. */
 static void
 test_groups_of_any_size_are_encoded (void)
 {
@@ -73,7 +73,7 @@
 }
 
 static void
-test_sets_across_words (void)
+test_rank_sets_span_words (void)
 {
   uint64_t words[4] = { 0 };
   bt_rank_set_t set = { words, 4 };
@@ -95,8 +95,8 @@
   CU_ASSERT_EQUAL (bt_count_rank_words (65), 2);
 }
 
-/* A rank would use a map that no other rank uses. A frame is cut or a byte of it is changed on the
- * way, and the rest still looks like a map. The digest and the strict form refuse it. */
+/* Guards against a rank using a map that no other rank uses, after a frame was truncated or altered
+ * in transit and still looks like a map. The digest and the strict format reject it. */
 static void
 test_damaged_bytes_are_refused (void)
 {
@@ -117,7 +117,7 @@
 }
 
 static void
-test_bounds (void)
+test_limits_are_checked (void)
 {
   bt_context_t *ctx = bt_new_context ();
   bt_error_t error = { 0 };
@@ -135,7 +135,7 @@
 }
 
 static void
-test_load_halves (void)
+test_load_decays_by_half_life (void)
 {
   bt_context_t *ctx = bt_new_context ();
   bt_expert_load_t *load = bt_new_expert_load (ctx, 2, 4, 1000);
@@ -161,10 +161,10 @@
   suite = CU_add_suite ("expert map", NULL, NULL);
   CU_ADD_TEST (suite, test_encoding_round_trip);
   CU_ADD_TEST (suite, test_groups_of_any_size_are_encoded);
-  CU_ADD_TEST (suite, test_sets_across_words);
+  CU_ADD_TEST (suite, test_rank_sets_span_words);
   CU_ADD_TEST (suite, test_damaged_bytes_are_refused);
-  CU_ADD_TEST (suite, test_bounds);
-  CU_ADD_TEST (suite, test_load_halves);
+  CU_ADD_TEST (suite, test_limits_are_checked);
+  CU_ADD_TEST (suite, test_load_decays_by_half_life);
   CU_basic_set_mode (CU_BRM_VERBOSE);
   CU_basic_run_tests ();
   failed = CU_get_number_of_failures ();
--- a/test/maps/test_group_rounds.c
+++ b/test/maps/test_group_rounds.c
@@ -2,7 +2,7 @@
 
 #include "held_group.h"
 
-/* A leader: its rounds, and where its frames go. */
+/* A leader and the state of its rounds. */
 typedef struct leader
 {
   bt_group_rounds_t *rounds;
@@ -16,14 +16,14 @@
   LEADERS = 2,
   TICK_MS = 5,
   STEP_MS = 40,
-  MOST_ORDERS = 50, /* of a leader in one tick: answers take their time */
+  MAX_ORDERS = 50, /* per leader and tick: answers take time */
   PERCENT = 100,
 };
 
 static bt_context_t *ctx;
 
 static bt_group_rounds_t *
-new_rounds_of (int32_t ranks)
+new_rounds_with (int32_t ranks)
 {
   bt_group_rounds_settings_t settings = {
     .ranks = ranks,
@@ -41,18 +41,18 @@
 static bt_group_rounds_t *
 new_rounds (void)
 {
-  return new_rounds_of (HELD_RANKS);
+  return new_rounds_with (HELD_RANKS);
 }
 
-/* Sends what a leader has to send. The content that a version stands for is its own number, and the
- * content in use for a version that only raises the counts. */
+/* Sends the pending orders of a leader. The content of a version is its own number, or the content
+ * in use for a version that only raises the order counts. */
 static void
 send_orders (held_group_t *group, leader_t *leader)
 {
   bt_group_order_t order;
 
-  for (int32_t i = 0;
-       i < MOST_ORDERS && bt_next_group_order (leader->rounds, group->now_ms, &order); i++)
+  for (int32_t i = 0; i < MAX_ORDERS && bt_next_group_order (leader->rounds, group->now_ms, &order);
+       i++)
     {
       uint64_t content = (uint64_t)order.version;
       bt_order_result_t result;
@@ -67,7 +67,7 @@
 }
 
 static void
-tell_reports (held_group_t *group, leader_t *leader)
+deliver_reports (held_group_t *group, leader_t *leader)
 {
   for (int32_t i = 0; i < group->ranks; i++)
     if (!is_held_rank_frozen (group, i))
@@ -80,8 +80,8 @@
   if (!leader->leading || leader->frozen)
     return;
   if (group->now_ms % 50 == 0)
-    tell_reports (group, leader);
-  if (!group->ending && bt_get_group_phase (leader->rounds) == BT_GROUP_CALM
+    deliver_reports (group, leader);
+  if (!group->no_new_rounds && bt_get_group_phase (leader->rounds) == BT_GROUP_CALM
       && group->now_ms % 300 == 0)
     bt_begin_group_round (leader->rounds, group->now_ms);
   send_orders (group, leader);
@@ -93,7 +93,7 @@
   while (group->now_ms < until_ms)
     {
       group->now_ms += TICK_MS;
-      run_late_orders (group);
+      deliver_delayed_orders (group);
       for (int32_t i = 0; i < count; i++)
         run_leader (group, &leaders[i]);
       if (group->now_ms % STEP_MS == 0)
@@ -102,7 +102,7 @@
 }
 
 static void
-lead (leader_t *leader, uint64_t fence)
+start_leading (leader_t *leader, uint64_t fence)
 {
   leader->leading = true;
   leader->frozen = false;
@@ -111,27 +111,27 @@
 }
 
 static void
-test_calm_group_changes_its_map (void)
+test_idle_group_changes_its_map (void)
 {
   held_group_t group;
   leader_t leader = { new_rounds () };
 
   start_held_group (&group, 1);
-  lead (&leader, 7);
+  start_leading (&leader, 7);
   run_world (&group, &leader, 1, 3000);
-  CU_ASSERT (group.changes >= 5 * HELD_RANKS);
-  CU_ASSERT_EQUAL (group.splits, 0);
+  CU_ASSERT (group.switches >= 5 * HELD_RANKS);
+  CU_ASSERT_EQUAL (group.mixed_steps, 0);
   bt_drop_group_rounds (ctx, leader.rounds);
 }
 
-/* Runs rounds of a group with steps of a given length, and returns how far ahead the change of the
- * last one was set. */
+/* Runs rounds of a group with a given step time, and returns how many steps ahead the switch of the
+ * last round was set. */
 static int64_t
-find_last_steps_ahead (int64_t step_ms)
+get_last_switch_distance (int64_t step_ms)
 {
   enum
   {
-    FIRST_STEPS = 3, /* as the rounds are made with */
+    FIRST_STEPS = 3, /* equal to hold_steps in the settings */
     UNTIL_MS = 6000,
   };
   held_group_t group;
@@ -140,12 +140,12 @@
   int64_t ahead = 0;
 
   start_held_group (&group, 1);
-  lead (&leader, 7);
+  start_leading (&leader, 7);
   while (group.now_ms < UNTIL_MS)
     {
       group.now_ms += TICK_MS;
       if (group.now_ms % 50 == 0)
-        tell_reports (&group, &leader);
+        deliver_reports (&group, &leader);
       if (bt_get_group_phase (leader.rounds) == BT_GROUP_CALM)
         bt_begin_group_round (leader.rounds, group.now_ms);
       while (bt_next_group_order (leader.rounds, group.now_ms, &order))
@@ -154,7 +154,7 @@
 
           if (order.kind == BT_GROUP_HOLD)
             ahead = order.step - group.step;
-          if (order.kind == BT_GROUP_HOLD && group.changes == 0)
+          if (order.kind == BT_GROUP_HOLD && group.switches == 0)
             CU_ASSERT (ahead <= FIRST_STEPS);
           bt_take_group_order_result (leader.rounds, order.via, order.id, result,
                                       &group.engines[order.via].report, group.now_ms);
@@ -162,30 +162,31 @@
       if (group.now_ms % step_ms == 0)
         begin_held_step (&group);
     }
-  CU_ASSERT (group.changes > 0);
-  CU_ASSERT_EQUAL (group.splits, 0);
+  CU_ASSERT (group.switches > 0);
+  CU_ASSERT_EQUAL (group.mixed_steps, 0);
   bt_drop_group_rounds (ctx, leader.rounds);
   return ahead;
 }
 
-/* After a jump of demand passes are long, and each one until the change leaves the busiest rank as
- * it is. Where orders take less than a pass the change is near; where a group makes many passes
- * while they are on their way it is far, so that nobody waits at the held step. */
+/* After a jump in demand, passes are long, and every pass until the switch leaves the busiest rank
+ * overloaded. Where orders take less than a pass, the switch must be near; where a group runs many
+ * passes while orders are in flight, it must be far, so that no request waits at the held step. */
 static void
-test_change_is_as_near_as_orders_allow (void)
+test_switch_distance_follows_order_time (void)
 {
-  int64_t near = find_last_steps_ahead (200);
-  int64_t far = find_last_steps_ahead (20);
+  int64_t near = get_last_switch_distance (200);
+  int64_t far = get_last_switch_distance (20);
 
   CU_ASSERT (near <= 3);
   CU_ASSERT (far >= 5);
 }
 
-/* Callers of the model got nothing for 4 s: an agent stood still right after it had held the group,
- * and only the holder's own agent can let it go. Whoever gives the hold must not be the one whose
- * help is needed to take it back, and a round with a silent agent ends before anything is armed. */
+/* Guards against a stall in which callers got no tokens for 4 s: an agent froze right after it had
+ * held the group, and only the holder's own agent can release it. The agent that sends the hold
+ * must not be the one needed to release it, and a round with a silent agent must end before
+ * anything is armed. */
 static void
-test_giver_that_stands_still_holds_up_nobody (void)
+test_frozen_hold_sender_does_not_stall_group (void)
 {
   enum
   {
@@ -199,25 +200,25 @@
       leader_t leader = { new_rounds () };
 
       start_held_group (&group, seed);
-      lead (&leader, 7);
+      start_leading (&leader, 7);
       for (int32_t turn = 0; turn < TURNS; turn++)
         {
           run_world (&group, &leader, 1, group.now_ms + 2000);
-          group.freeze_giver = true;
+          group.freeze_hold_sender = true;
           run_world (&group, &leader, 1, group.now_ms + 6000);
         }
-      CU_ASSERT_EQUAL (group.splits, 0);
-      CU_ASSERT (group.changes > TURNS * HELD_RANKS);
-      CU_ASSERT (group.longest_ms <= LONGEST_MS);
+      CU_ASSERT_EQUAL (group.mixed_steps, 0);
+      CU_ASSERT (group.switches > TURNS * HELD_RANKS);
+      CU_ASSERT (group.longest_step_ms <= LONGEST_MS);
       bt_drop_group_rounds (ctx, leader.rounds);
     }
 }
 
-/* Callers of the model got nothing for 7 s: the store went away, and the leader's lease ended while
- * it held the group. Nobody led until the store was back. A leader that sees the end of its lease
- * come holds no group any more. */
+/* Guards against a stall in which callers got no tokens for 7 s: the store went away, the leader's
+ * lease ended while it held the group, and nobody led until the store was back. A leader close to
+ * the end of its lease must not hold the group any more. */
 static void
-test_lease_that_ends_leaves_no_hold (void)
+test_expired_lease_leaves_no_hold (void)
 {
   enum
   {
@@ -231,24 +232,25 @@
       int64_t end_ms = 1000 + (int64_t)seed * TICK_MS;
 
       start_held_group (&group, seed);
-      lead (&leader, 7);
+      start_leading (&leader, 7);
       bt_limit_group_holds (leader.rounds, end_ms);
       run_world (&group, &leader, 1, end_ms + MARGIN_MS);
       bt_leave_group (leader.rounds);
       leader.leading = false;
-      group.longest_ms = 0;
+      group.longest_step_ms = 0;
       run_world (&group, &leader, 1, end_ms + (int64_t)4 * MARGIN_MS);
-      CU_ASSERT_EQUAL (group.longest_ms, STEP_MS);
-      CU_ASSERT_EQUAL (group.splits, 0);
+      CU_ASSERT_EQUAL (group.longest_step_ms, STEP_MS);
+      CU_ASSERT_EQUAL (group.mixed_steps, 0);
       bt_drop_group_rounds (ctx, leader.rounds);
     }
 }
 
-/* A rank's order to arm gets no answer and is carried out seconds later. Were the group let go
- * without that rank, it would change maps alone when the late order lands, or not at all. The group
- * waits, the order is sent again, and the late one finds another count of orders. */
+/* A rank's order to arm gets no answer and is executed seconds later. If the group were released
+ * without that rank, it would switch maps alone when the delayed order arrives, or not at all. The
+ * group must wait while the order is sent again, and the delayed order must be refused because of
+ * its order count. */
 static void
-test_late_orders_split_no_group (void)
+test_delayed_orders_do_not_mix_maps (void)
 {
   for (uint64_t seed = 1; seed <= 100; seed++)
     {
@@ -257,45 +259,45 @@
 
       start_held_group (&group, seed);
       group.lost_percent = 40;
-      lead (&leader, 7);
+      start_leading (&leader, 7);
       run_world (&group, &leader, 1, 20000);
       group.lost_percent = 0;
       run_world (&group, &leader, 1, 32000);
-      CU_ASSERT (group.changes > 0);
-      CU_ASSERT_EQUAL (group.splits, 0);
+      CU_ASSERT (group.switches > 0);
+      CU_ASSERT_EQUAL (group.mixed_steps, 0);
       CU_ASSERT (group.engines[0].report.step > 100);
       bt_drop_group_rounds (ctx, leader.rounds);
     }
 }
 
-/* Two leaders by turns: the one stands still, the other takes over, and the first wakes up. Orders
- * are lost meanwhile, and no more at the end. */
+/* Alternates two leaders: one freezes, the other takes over, and the first resumes. Orders get lost
+ * meanwhile, but not at the end. */
 static void
 change_leaders (held_group_t *group, leader_t *leaders)
 {
   uint64_t fence = 10;
 
   group->lost_percent = 25;
-  lead (&leaders[0], fence++);
+  start_leading (&leaders[0], fence++);
   for (int32_t turn = 0; turn < 8; turn++)
     {
       leader_t *old = &leaders[turn % LEADERS];
-      int64_t slept_ms;
+      int64_t frozen_ms;
 
       run_world (group, leaders, LEADERS,
                  group->now_ms + 500 + (int64_t)bt_random_below (&group->random, 1500));
       old->frozen = true;
-      lead (&leaders[(turn + 1) % LEADERS], fence++);
-      slept_ms = 100 + (int64_t)bt_random_below (&group->random, 2000);
-      run_world (group, leaders, LEADERS, group->now_ms + slept_ms);
+      start_leading (&leaders[(turn + 1) % LEADERS], fence++);
+      frozen_ms = 100 + (int64_t)bt_random_below (&group->random, 2000);
+      run_world (group, leaders, LEADERS, group->now_ms + frozen_ms);
       old->frozen = false;
       run_world (group, leaders, LEADERS, group->now_ms + 400);
       old->leading = false;
     }
   group->lost_percent = 0;
   run_world (group, leaders, LEADERS, group->now_ms + 12000);
-  /* A round may just be under way, with the group held before a step to come. */
-  group->ending = true;
+  /* A round may be in progress, with the group held before a future step. */
+  group->no_new_rounds = true;
   run_world (group, leaders, LEADERS, group->now_ms + 1000);
 }
 
@@ -303,54 +305,55 @@
 check_changed_leaders (uint64_t seed, int32_t ranks)
 {
   held_group_t group;
-  leader_t leaders[LEADERS] = { { new_rounds_of (ranks) }, { new_rounds_of (ranks) } };
+  leader_t leaders[LEADERS] = { { new_rounds_with (ranks) }, { new_rounds_with (ranks) } };
 
-  start_held_group_of (&group, seed, ranks);
+  start_held_group_with (&group, seed, ranks);
   change_leaders (&group, leaders);
-  CU_ASSERT_EQUAL (group.splits, 0);
-  CU_ASSERT (group.changes > 0);
+  CU_ASSERT_EQUAL (group.mixed_steps, 0);
+  CU_ASSERT (group.switches > 0);
   for (int32_t i = 0; i < ranks; i++)
     CU_ASSERT_EQUAL (group.engines[i].report.held_step, BT_NO_STEP);
   for (int32_t i = 0; i < LEADERS; i++)
     bt_drop_group_rounds (ctx, leaders[i].rounds);
 }
 
-/* A leader stands still in the middle of a round, another takes over, and the first wakes and goes
- * on sending as if nothing had been. The second finds ranks armed and the group held; it must free
- * the group, and what the first still sends must not arm a rank behind its back. */
+/* A leader freezes in the middle of a round, another takes over, and the first resumes sending. The
+ * second finds ranks armed and the group held. It must release the group, and orders of the first
+ * must not arm a rank unnoticed. */
 static void
-test_two_leaders_split_no_group (void)
+test_two_leaders_do_not_mix_maps (void)
 {
   for (uint64_t seed = 1; seed <= 300; seed++)
     check_changed_leaders (seed, HELD_RANKS);
 }
 
-/* A group of more ranks than one word of a set has: its map was never changed, and its busiest rank
- * stood at three times the mean load all day. Rounds of such a group are those of any other. */
+/* Guards against a group with more ranks than the bits of one word of a set: its map was never
+ * changed, and its busiest rank was at three times the mean load all day. Its rounds must work like
+ * those of any other group. */
 static void
-test_large_groups_are_led_like_small_ones (void)
+test_large_groups_run_rounds (void)
 {
-  static const int32_t ranks[] = { 130, 192, HELD_MOST_RANKS };
+  static const int32_t ranks[] = { 130, 192, HELD_MAX_RANKS };
 
   for (size_t i = 0; i < sizeof ranks / sizeof ranks[0]; i++)
     {
       held_group_t group;
-      leader_t leader = { new_rounds_of (ranks[i]) };
+      leader_t leader = { new_rounds_with (ranks[i]) };
 
-      start_held_group_of (&group, 1, ranks[i]);
-      lead (&leader, 7);
+      start_held_group_with (&group, 1, ranks[i]);
+      start_leading (&leader, 7);
       run_world (&group, &leader, 1, 5000);
-      CU_ASSERT (group.changes >= 5 * ranks[i]);
-      CU_ASSERT_EQUAL (group.splits, 0);
+      CU_ASSERT (group.switches >= 5 * ranks[i]);
+      CU_ASSERT_EQUAL (group.mixed_steps, 0);
       bt_drop_group_rounds (ctx, leader.rounds);
       check_changed_leaders (i + 1, ranks[i]);
     }
 }
 
-/* A rank crashes in the middle of a round: the group is formed anew with the first map, and nothing
- * prepared, armed or held. Orders of the old epoch must not reach the new one. */
+/* A rank crashes in the middle of a round: the group is re-formed with the first map, and nothing
+ * prepared, armed or held. Orders of the old epoch must not take effect in the new one. */
 static void
-test_new_epoch_starts_anew (void)
+test_new_epoch_resets_round (void)
 {
   for (uint64_t seed = 1; seed <= 100; seed++)
     {
@@ -359,7 +362,7 @@
 
       start_held_group (&group, seed);
       group.lost_percent = 30;
-      lead (&leader, 7);
+      start_leading (&leader, 7);
       for (int32_t turn = 0; turn < 10; turn++)
         {
           run_world (&group, &leader, 1,
@@ -368,20 +371,20 @@
         }
       group.lost_percent = 0;
       run_world (&group, &leader, 1, group.now_ms + 12000);
-      CU_ASSERT_EQUAL (group.splits, 0);
+      CU_ASSERT_EQUAL (group.mixed_steps, 0);
       CU_ASSERT (group.engines[0].report.version > 0);
       bt_drop_group_rounds (ctx, leader.rounds);
     }
 }
 
-/* All engines of a group lose power in the middle of rounds and start again under their ids: the
- * first map everywhere, no order accepted yet, and an epoch that was there before. What was sent to
- * the starts before must begin nothing at the new ones; a hold comes from another rank's agent,
- * which can't tell, and one that lands is found and let go. */
+/* All engines of a group lose power during rounds and restart under their old ids, with the first
+ * map, no accepted orders, and an epoch number that was used before. Orders sent to the earlier
+ * starts must not take effect at the new ones. A hold comes from another rank's agent, which cannot
+ * tell; one that arrives must be found and released. */
 static void
-test_new_starts_get_no_orders_of_before (void)
+test_restarted_engines_refuse_old_orders (void)
 {
-  int32_t astray = 0;
+  int32_t misdirected = 0;
 
   for (uint64_t seed = 1; seed <= 100; seed++)
     {
@@ -390,7 +393,7 @@
 
       start_held_group (&group, seed);
       group.lost_percent = 30;
-      lead (&leader, 7);
+      start_leading (&leader, 7);
       for (int32_t turn = 0; turn < 10; turn++)
         {
           run_world (&group, &leader, 1,
@@ -399,39 +402,39 @@
         }
       group.lost_percent = 0;
       run_world (&group, &leader, 1, group.now_ms + 12000);
-      CU_ASSERT_EQUAL (group.splits, 0);
+      CU_ASSERT_EQUAL (group.mixed_steps, 0);
       CU_ASSERT (group.engines[0].report.version > 0);
-      group.ending = true;
+      group.no_new_rounds = true;
       run_world (&group, &leader, 1, group.now_ms + 1000);
       for (int32_t i = 0; i < HELD_RANKS; i++)
         CU_ASSERT_EQUAL (group.engines[i].report.held_step, BT_NO_STEP);
-      astray += group.astray;
+      misdirected += group.misdirected;
       bt_drop_group_rounds (ctx, leader.rounds);
     }
-  CU_ASSERT_EQUAL (astray, 0);
+  CU_ASSERT_EQUAL (misdirected, 0);
 }
 
-/* One engine starts again while the ranks are being armed, and the first word of it comes before
- * the others have noticed. The round is given up at once: no order to arm goes to an engine that
- * has nothing prepared, and what the leader orders next rests on the new start. */
+/* One engine restarts while the ranks are being armed, and its first report arrives before the
+ * others have noticed. The round must end at once: no ARM order goes to an engine that has nothing
+ * prepared, and later orders are based on the new start. */
 static void
-test_engine_that_starts_anew_ends_the_round (void)
+test_engine_restart_ends_round (void)
 {
   held_group_t group;
   leader_t leader = { new_rounds () };
-  bt_rank_report_t anew = { .open = true, .held_step = BT_NO_STEP, .started_ms = 900 };
+  bt_rank_report_t restarted = { .open = true, .held_step = BT_NO_STEP, .started_ms = 900 };
   bt_group_order_t order;
 
   start_held_group (&group, 2);
   for (int32_t i = 0; i < HELD_RANKS; i++)
     group.engines[i].report.started_ms = 100;
-  lead (&leader, 7);
+  start_leading (&leader, 7);
   while (bt_get_group_target (leader.rounds) == 0 && group.now_ms < 3000)
     run_world (&group, &leader, 1, group.now_ms + TICK_MS);
   CU_ASSERT (bt_get_group_target (leader.rounds) != 0);
-  anew.epoch = group.epoch;
-  anew.step = group.step;
-  bt_take_rank_report (leader.rounds, 2, &anew, group.now_ms);
+  restarted.epoch = group.epoch;
+  restarted.step = group.step;
+  bt_take_rank_report (leader.rounds, 2, &restarted, group.now_ms);
   CU_ASSERT_EQUAL (bt_get_group_target (leader.rounds), 0);
   for (int32_t i = 0;
        i < 2 * HELD_RANKS && bt_next_group_order (leader.rounds, group.now_ms + 1000, &order); i++)
@@ -443,8 +446,7 @@
   bt_drop_group_rounds (ctx, leader.rounds);
 }
 
-/* An order that a newer leader's fencing number turned away ends a leader: it sends nothing more.
- */
+/* A leader whose order was refused because of a newer leader's fencing number stops sending. */
 static void
 test_fenced_leader_stops (void)
 {
@@ -455,8 +457,8 @@
   start_held_group (&group, 3);
   for (int32_t i = 0; i < HELD_RANKS; i++)
     group.engines[i].fence = 9;
-  lead (&leader, 8);
-  tell_reports (&group, &leader);
+  start_leading (&leader, 8);
+  deliver_reports (&group, &leader);
   CU_ASSERT (bt_begin_group_round (leader.rounds, group.now_ms) > 0);
   send_orders (&group, &leader);
   CU_ASSERT (bt_is_group_fenced (leader.rounds));
@@ -464,12 +466,12 @@
   bt_drop_group_rounds (ctx, leader.rounds);
 }
 
-/* A group stood for as long as its leader led: all ranks held it, so none was left to take the new
- * leader's own hold. The former leader had armed a rank, and each hold of the new one was carried
- * out though its answer was lost, until every rank had one. In a group of two, one lost answer
- * does. */
+/* Guards against a group that stood still for as long as its leader led: every rank held it, so
+ * none was left to take the new leader's own hold. The former leader had armed a rank, and each
+ * hold of the new one was executed while its answer was lost, until every rank had one. In a group
+ * of two, one lost answer is enough. */
 static void
-test_group_that_every_rank_holds_is_freed (void)
+test_group_held_by_every_rank_is_released (void)
 {
   enum
   {
@@ -483,7 +485,7 @@
         leader_t leader = { new_rounds () };
 
         start_held_group (&group, seed);
-        group.ending = true;
+        group.no_new_rounds = true;
         for (int32_t i = 0; i < HELD_RANKS; i++)
           {
             bt_rank_report_t *report = &group.engines[i].report;
@@ -494,9 +496,9 @@
             report->armed_version = i < armed ? VERSION : 0;
             report->armed_step = i < armed ? 2 : 0;
           }
-        lead (&leader, 7);
+        start_leading (&leader, 7);
         run_world (&group, &leader, 1, 3000);
-        CU_ASSERT_EQUAL (group.splits, 0);
+        CU_ASSERT_EQUAL (group.mixed_steps, 0);
         for (int32_t i = 0; i < HELD_RANKS; i++)
           CU_ASSERT_EQUAL (group.engines[i].report.held_step, BT_NO_STEP);
         CU_ASSERT (group.step > 2);
@@ -504,11 +506,11 @@
       }
 }
 
-/* The first order to hold was lost just before the end of the lease came into sight. The leader
- * sent it again and again, up to that end, and the last one would have held the group with nobody
- * left to let it go. */
+/* Guards against a hold order that was lost just before the end of the lease came near: the leader
+ * sent it again up to that end, and the last one would have held the group with no leader left to
+ * release it. */
 static void
-test_lost_hold_is_not_sent_again_near_the_end_of_the_lease (void)
+test_lost_hold_is_not_resent_near_lease_end (void)
 {
   enum
   {
@@ -521,14 +523,14 @@
   int32_t holds = 0;
 
   start_held_group (&group, 2);
-  lead (&leader, 7);
+  start_leading (&leader, 7);
   bt_limit_group_holds (leader.rounds, END_MS);
-  tell_reports (&group, &leader);
+  deliver_reports (&group, &leader);
   bt_begin_group_round (leader.rounds, group.now_ms);
   while (group.now_ms < LATER_MS)
     {
       group.now_ms += TICK_MS;
-      tell_reports (&group, &leader);
+      deliver_reports (&group, &leader);
       while (bt_next_group_order (leader.rounds, group.now_ms, &order))
         if (order.kind != BT_GROUP_HOLD)
           send_held_order (&group, &order, (uint64_t)order.version);
@@ -542,10 +544,11 @@
   bt_drop_group_rounds (ctx, leader.rounds);
 }
 
-/* A leader took the answer to an earlier order for the proof that its own hold is in force, and
- * took back what another had armed while that one could let the group go at any moment. */
+/* Guards against a leader that took the answer to an earlier order as proof that its own hold was
+ * in force, and cancelled what another leader had armed, while that one could release the group at
+ * any moment. */
 static void
-test_late_answer_proves_no_hold (void)
+test_late_result_does_not_prove_hold (void)
 {
   enum
   {
@@ -560,16 +563,16 @@
 
   start_held_group (&group, 2);
   group.engines[0].report.held_step = 5;
-  lead (&leader, 7);
-  tell_reports (&group, &leader);
+  start_leading (&leader, 7);
+  deliver_reports (&group, &leader);
   while (count < HELD_RANKS && bt_next_group_order (leader.rounds, group.now_ms, &orders[count]))
     count++;
   CU_ASSERT_EQUAL (count, HELD_RANKS);
   CU_ASSERT_EQUAL (bt_get_group_phase (leader.rounds), BT_GROUP_CLEARING);
   group.engines[ARMED_RANK].report.armed_version = VERSION;
   group.engines[ARMED_RANK].report.armed_step = 5;
-  tell_reports (&group, &leader);
-  tell_reports (&group, &leader);
+  deliver_reports (&group, &leader);
+  deliver_reports (&group, &leader);
   CU_ASSERT_EQUAL (bt_get_group_phase (leader.rounds), BT_GROUP_SECURING);
   bt_take_group_order_result (leader.rounds, 1, orders[1].id, BT_ORDER_DONE,
                               &group.engines[1].report, group.now_ms);
@@ -588,26 +591,25 @@
   ctx = bt_new_context ();
   CU_initialize_registry ();
   suite = CU_add_suite ("group_rounds", NULL, NULL);
-  CU_add_test (suite, "calm_group_changes_its_map", test_calm_group_changes_its_map);
-  CU_add_test (suite, "giver_that_stands_still_holds_up_nobody",
-               test_giver_that_stands_still_holds_up_nobody);
-  CU_add_test (suite, "lease_that_ends_leaves_no_hold", test_lease_that_ends_leaves_no_hold);
-  CU_add_test (suite, "late_orders_split_no_group", test_late_orders_split_no_group);
-  CU_add_test (suite, "two_leaders_split_no_group", test_two_leaders_split_no_group);
-  CU_add_test (suite, "change_is_as_near_as_orders_allow", test_change_is_as_near_as_orders_allow);
-  CU_add_test (suite, "large_groups_are_led_like_small_ones",
-               test_large_groups_are_led_like_small_ones);
-  CU_add_test (suite, "new_epoch_starts_anew", test_new_epoch_starts_anew);
-  CU_add_test (suite, "new_starts_get_no_orders_of_before",
-               test_new_starts_get_no_orders_of_before);
-  CU_add_test (suite, "engine_that_starts_anew_ends_the_round",
-               test_engine_that_starts_anew_ends_the_round);
+  CU_add_test (suite, "idle_group_changes_its_map", test_idle_group_changes_its_map);
+  CU_add_test (suite, "frozen_hold_sender_does_not_stall_group",
+               test_frozen_hold_sender_does_not_stall_group);
+  CU_add_test (suite, "expired_lease_leaves_no_hold", test_expired_lease_leaves_no_hold);
+  CU_add_test (suite, "delayed_orders_do_not_mix_maps", test_delayed_orders_do_not_mix_maps);
+  CU_add_test (suite, "two_leaders_do_not_mix_maps", test_two_leaders_do_not_mix_maps);
+  CU_add_test (suite, "switch_distance_follows_order_time",
+               test_switch_distance_follows_order_time);
+  CU_add_test (suite, "large_groups_run_rounds", test_large_groups_run_rounds);
+  CU_add_test (suite, "new_epoch_resets_round", test_new_epoch_resets_round);
+  CU_add_test (suite, "restarted_engines_refuse_old_orders",
+               test_restarted_engines_refuse_old_orders);
+  CU_add_test (suite, "engine_restart_ends_round", test_engine_restart_ends_round);
   CU_add_test (suite, "fenced_leader_stops", test_fenced_leader_stops);
-  CU_add_test (suite, "group_that_every_rank_holds_is_freed",
-               test_group_that_every_rank_holds_is_freed);
-  CU_add_test (suite, "lost_hold_is_not_sent_again_near_the_end_of_the_lease",
-               test_lost_hold_is_not_sent_again_near_the_end_of_the_lease);
-  CU_add_test (suite, "late_answer_proves_no_hold", test_late_answer_proves_no_hold);
+  CU_add_test (suite, "group_held_by_every_rank_is_released",
+               test_group_held_by_every_rank_is_released);
+  CU_add_test (suite, "lost_hold_is_not_resent_near_lease_end",
+               test_lost_hold_is_not_resent_near_lease_end);
+  CU_add_test (suite, "late_result_does_not_prove_hold", test_late_result_does_not_prove_hold);
   CU_basic_set_mode (CU_BRM_VERBOSE);
   CU_basic_run_tests ();
   failures = CU_get_number_of_failures ();
--- a/test/maps/test_map_controller.c
+++ b/test/maps/test_map_controller.c
@@ -17,7 +17,7 @@
   RANKS, MARGIN_MS, 50, 10000, 300, 300, 10, 42
 };
 
-/** A controller over a group whose agents pass each order on and report at once. */
+/** A controller and a group whose agents pass on each order and report at once. */
 typedef struct fixture
 {
   bt_context_t *ctx;
@@ -25,8 +25,8 @@
   lockstep_t group;
   bt_map_controller_t *controller;
   bt_map_actions_t actions;
-  int32_t sent[BT_MAP_JOIN + 1]; /* by kind */
-  int32_t deaf;                  /* a rank that refuses to arm, or -1 */
+  int32_t sent[BT_MAP_JOIN + 1]; /* orders sent, by kind */
+  int32_t refusing_rank;         /* rank that refuses to arm, or -1 */
 } fixture_t;
 
 static fixture_t
@@ -34,7 +34,7 @@
 {
   fixture_t fixture = { bt_new_context () };
 
-  fixture.deaf = -1;
+  fixture.refusing_rank = -1;
   lockstep_start (&fixture.group, RANKS, false);
   fixture.controller = bt_new_map_controller (fixture.ctx, &settings);
   bt_grant_map_lease (fixture.controller, FENCE, 0, LEASE_MS);
@@ -55,7 +55,7 @@
   bt_map_report_t report = { order->rank, order->fence, order->id };
 
   fixture->sent[order->kind]++;
-  if ((order->kind == BT_MAP_ARM && order->rank == fixture->deaf)
+  if ((order->kind == BT_MAP_ARM && order->rank == fixture->refusing_rank)
       || !lockstep_order (&fixture->group, order->rank, order))
     report.refusal = BT_MAP_ENGINE_REFUSED;
   report.engine = fixture->group.ranks[order->rank].state;
@@ -97,16 +97,16 @@
   finish (&fixture);
 }
 
-/* One rank cannot be armed. The round is dropped at rank 0 and the armed ranks learn it; the group
- * goes on with its old map, and the controller says so. */
+/* One rank cannot be armed. Rank 0 drops the round, the armed ranks learn it, the group continues
+ * with its old map, and the controller reports the round as dropped. */
 static void
-test_round_is_given_up_truthfully (void)
+test_abandoned_round_is_reported_dropped (void)
 {
   fixture_t fixture = start ();
   uint64_t steps;
 
   run (&fixture, 10);
-  fixture.deaf = 1;
+  fixture.refusing_rank = 1;
   CU_ASSERT_TRUE (bt_begin_map_round (fixture.controller, 43, fixture.now_ms));
   run (&fixture, 100);
   CU_ASSERT_EQUAL (bt_get_round_result (fixture.controller), BT_ROUND_DROPPED);
@@ -118,8 +118,9 @@
   finish (&fixture);
 }
 
-/* A controller is paused past its lease and wakes in the middle of a round. It sends nothing, a
- * renewal that is answered too late gives nothing back, and the round's end is unknown to it. */
+/* A controller is paused beyond its lease and resumes in the middle of a round. It must send
+ * nothing, a late renewal must not restore the lease, and the result of the round is unknown to it.
+ */
 static void
 test_lease_counts_from_before_the_renewal (void)
 {
@@ -141,10 +142,10 @@
   finish (&fixture);
 }
 
-/* Rank 0 is replaced after the others have learned that the map is taken. The new one is given the
- * group's map and the change before it joins, and all change at the same step. */
+/* Rank 0 is replaced after the others have learned that the map is applied. The new engine receives
+ * the group's map and the pending change before it joins, and all ranks switch at the same step. */
 static void
-test_replaced_decider_joins_a_taken_round (void)
+test_replaced_rank_0_joins_applied_round (void)
 {
   fixture_t fixture = start ();
 
@@ -174,9 +175,9 @@
   CU_initialize_registry ();
   suite = CU_add_suite ("map controller", NULL, NULL);
   CU_ADD_TEST (suite, test_group_starts_and_changes_its_map);
-  CU_ADD_TEST (suite, test_round_is_given_up_truthfully);
+  CU_ADD_TEST (suite, test_abandoned_round_is_reported_dropped);
   CU_ADD_TEST (suite, test_lease_counts_from_before_the_renewal);
-  CU_ADD_TEST (suite, test_replaced_decider_joins_a_taken_round);
+  CU_ADD_TEST (suite, test_replaced_rank_0_joins_applied_round);
   CU_basic_set_mode (CU_BRM_VERBOSE);
   CU_basic_run_tests ();
   failed = CU_get_number_of_failures ();
--- a/test/maps/test_map_planner.c
+++ b/test/maps/test_map_planner.c
@@ -25,7 +25,7 @@
   bt_map_input_t input;
 } fixture_t;
 
-/* An even load, and one hot expert in layer 0. */
+/* Starts with an even load and one hot expert in layer 0. */
 static fixture_t
 start (double hot)
 {
@@ -89,8 +89,8 @@
   finish (&fixture);
 }
 
-/* One rank's engine has turned four times as slow, and every pass of the group waits for it. Its
- * experts go to the others, which take a little longer, so that the passes are shorter for all. */
+/* One rank's engine has become four times as slow, and every pass of the group waits for it. Its
+ * experts must move to the other ranks. */
 static void
 test_slow_rank_is_relieved (void)
 {
@@ -127,7 +127,7 @@
 }
 
 static void
-test_round_is_bounded (void)
+test_round_bytes_are_limited (void)
 {
   fixture_t fixture = start (400);
   bt_map_plan_t *plan;
@@ -142,8 +142,8 @@
   finish (&fixture);
 }
 
-/* Operators would see two maps alternate for as long as the load hovers. An expert moves away and,
- * with the next report, back. A minimum stay keeps what has just moved where it is. */
+/* Guards against two maps that alternate while the load fluctuates: an expert moves away and, with
+ * the next report, back. The minimum stay keeps recently moved replicas in place. */
 static void
 test_recent_moves_stay (void)
 {
@@ -169,19 +169,19 @@
 test_baselines (void)
 {
   fixture_t fixture = start (400);
-  bt_map_plan_t *still = bt_plan_map (fixture.ctx, bt_static_map_planner (), &fixture.input);
+  bt_map_plan_t *unchanged = bt_plan_map (fixture.ctx, bt_static_map_planner (), &fixture.input);
   bt_map_plan_t *full = bt_plan_map (fixture.ctx, bt_full_map_planner (), &fixture.input);
 
-  CU_ASSERT_EQUAL (still->move_count, 0);
+  CU_ASSERT_EQUAL (unchanged->move_count, 0);
   CU_ASSERT_TRUE (full->skew_after < 1.1);
   check_limits (full);
-  bt_drop_map_plan (fixture.ctx, still);
+  bt_drop_map_plan (fixture.ctx, unchanged);
   bt_drop_map_plan (fixture.ctx, full);
   finish (&fixture);
 }
 
 static void
-test_no_load_and_no_room (void)
+test_no_load_and_no_slots (void)
 {
   fixture_t fixture = start (0);
   bt_map_plan_t *plan;
@@ -200,7 +200,7 @@
   finish (&fixture);
 }
 
-/* Loads as a group of eight ranks sees them after a jump: few experts have most of it. */
+/* Draws loads as a group has them after a jump: a few experts have most of the load. */
 static void
 draw_loads (fixture_t *fixture, uint64_t seed, double spread)
 {
@@ -216,9 +216,9 @@
   fixture->input.load = fixture->load;
 }
 
-/* What the rank that copies most has to copy. */
+/* The largest number of copies on one rank. */
 static int32_t
-count_most_copies (const bt_map_plan_t *plan)
+get_max_copies (const bt_map_plan_t *plan)
 {
   int32_t copies[RANKS] = { 0 };
   int32_t most = 0;
@@ -237,9 +237,9 @@
   return bt_plan_map (fixture->ctx, bt_round_map_planner (), &fixture->input);
 }
 
-/* Callers see streams stutter for seconds after demand has moved. The plan had all that evens the
- * ranks out in one round, and the slowest rank was still copying when demand moved again. Where a
- * copy takes long, the round holds the few that bring most; where it takes next to nothing, all. */
+/* Guards against rounds that copy for so long that demand has moved again, while callers' streams
+ * stutter for seconds. Where a copy takes long, a round has only the few copies with the highest
+ * benefit; where copies are fast, it has all of them. */
 static void
 test_rounds_are_short_where_copies_take_long (void)
 {
@@ -250,8 +250,8 @@
   draw_loads (&fixture, 7, 4);
   slow = plan_round (&fixture, 150, 50);
   quick = plan_round (&fixture, 1, 1000);
-  CU_ASSERT_EQUAL (count_most_copies (slow), 1);
-  CU_ASSERT_TRUE (count_most_copies (quick) > 1);
+  CU_ASSERT_EQUAL (get_max_copies (slow), 1);
+  CU_ASSERT_TRUE (get_max_copies (quick) > 1);
   CU_ASSERT_TRUE (slow->skew_after < slow->skew_before);
   CU_ASSERT_TRUE (quick->skew_after < slow->skew_after);
   check_limits (slow);
@@ -262,7 +262,7 @@
 }
 
 static void
-test_a_round_keeps_to_spare_places (void)
+test_round_limits_new_replicas_per_rank (void)
 {
   fixture_t fixture = start (0);
   bt_map_plan_t *plan;
@@ -284,9 +284,9 @@
   finish (&fixture);
 }
 
-/* A small group drawn by a seed, whose map follows demand that jumps at each step. */
+/* Plans for a small random group whose map follows demand that jumps at each step. */
 static void
-follow_drawn_demand (bt_context_t *ctx, uint64_t seed)
+plan_random_demand (bt_context_t *ctx, uint64_t seed)
 {
   enum
   {
@@ -334,9 +334,9 @@
   bt_drop_expert_map (ctx, map);
 }
 
-/* All requests of one entry instance end unanswered: its process stands still in a plan that never
- * ends. What a transfer is worth falls with the busiest rank's load, so one change and its undoing
- * can both look like a gain. */
+/* Guards against a plan that never terminates, which blocks its process, so that all requests of
+ * one entry instance end unanswered. The value of a transfer falls with the busiest rank's load, so
+ * a change and its reversal can both look like a gain. */
 static void
 test_plans_end_where_changes_undo_each_other (void)
 {
@@ -347,14 +347,14 @@
   bt_context_t *ctx = bt_new_context ();
 
   for (uint64_t seed = 1; seed < SEEDS; seed++)
-    follow_drawn_demand (ctx, seed);
+    plan_random_demand (ctx, seed);
   bt_drop_context (ctx);
 }
 
-/* The busiest rank of a group of 192 stood at three times the mean load all day, since its ranks
- * were more than a plan could have. */
+/* The busiest rank of a group of 192 was at three times the mean load all day, because the group
+ * had more ranks than a plan could handle. */
 static void
-test_groups_of_any_size_are_planned (void)
+test_large_groups_are_planned (void)
 {
   static const int32_t ranks[] = { 130, 192, 513 };
   bt_context_t *ctx = bt_new_context ();
@@ -403,14 +403,14 @@
   CU_ADD_TEST (suite, test_hot_expert_is_replicated);
   CU_ADD_TEST (suite, test_slow_rank_is_relieved);
   CU_ADD_TEST (suite, test_nothing_moves_unless_it_pays);
-  CU_ADD_TEST (suite, test_round_is_bounded);
+  CU_ADD_TEST (suite, test_round_bytes_are_limited);
   CU_ADD_TEST (suite, test_recent_moves_stay);
   CU_ADD_TEST (suite, test_baselines);
-  CU_ADD_TEST (suite, test_no_load_and_no_room);
+  CU_ADD_TEST (suite, test_no_load_and_no_slots);
   CU_ADD_TEST (suite, test_rounds_are_short_where_copies_take_long);
-  CU_ADD_TEST (suite, test_a_round_keeps_to_spare_places);
+  CU_ADD_TEST (suite, test_round_limits_new_replicas_per_rank);
   CU_ADD_TEST (suite, test_plans_end_where_changes_undo_each_other);
-  CU_ADD_TEST (suite, test_groups_of_any_size_are_planned);
+  CU_ADD_TEST (suite, test_large_groups_are_planned);
   CU_basic_set_mode (CU_BRM_VERBOSE);
   CU_basic_run_tests ();
   failed = CU_get_number_of_failures ();
--- a/test/maps/test_map_schedules.c
+++ b/test/maps/test_map_schedules.c
@@ -7,63 +7,63 @@
 #include "bilberrytray/maps/map_rank.h"
 #include "lockstep.h"
 
-/* Three ranks and two controllers over a network that loses, delays and repeats messages, with
- * pauses, restarts, replaced ranks and outages of the service, all drawn from one seed. */
+/* Three ranks and two controllers on a network that loses, delays and duplicates messages, with
+ * pauses, restarts, replaced ranks and outages of the lease service, all derived from one seed. */
 enum
 {
   RANKS = 3,
   CONTROLLERS = 2,
   TICK_MS = 10,
-  STORM_TICKS = 500,
-  CALM_TICKS = 500,
+  FAULT_TICKS = 500,
+  RECOVERY_TICKS = 500,
   MAX_MESSAGES = 2048,
   LEASE_MS = 400,
   RENEW_MS = 100,
   SETTLE_MS = 20,
   GUARDED_SEEDS = 3000,
-  SWITCHED_SEEDS = 3000,
-  CALM_MIN_STEPS = 50,
+  UNGUARDED_SEEDS = 3000,
+  RECOVERY_MIN_STEPS = 50,
 };
 
-/** A message, or an engine's answer, on its way. */
+/** A message or an engine's answer in flight. */
 typedef struct message
 {
   int64_t at_ms;
   bool to_controller;
   int32_t to;
-  uint64_t agent; /* an engine's answer is for one start of the agent */
-  bool answered;  /* an engine's answer */
+  uint64_t agent; /* the agent start that an engine's answer is for */
+  bool answered;  /* the message is an engine's answer */
   bool accepted;
   bt_map_action_t action;
   bt_engine_state_t state;
 } message_t;
 
-/** One schedule under way. */
+/** The state of one schedule. */
 typedef struct world
 {
   bt_context_t *ctx;
   bt_random_t random;
   uint32_t options;
   int64_t now_ms;
-  bool calm;
+  bool faults_ended;
   lockstep_t group;
   bt_map_rank_t *agents[RANKS];
-  uint64_t starts[RANKS];
+  uint64_t agent_starts[RANKS];
   uint64_t start_count;
   bt_map_controller_t *controllers[CONTROLLERS];
-  int64_t paused_ms[CONTROLLERS]; /* until then */
+  int64_t paused_until_ms[CONTROLLERS]; /* the controller is paused until then */
   bool dead[CONTROLLERS];
   int64_t renew_ms[CONTROLLERS];
-  uint64_t fence; /* the service */
+  uint64_t fence; /* last fencing number of the lease service */
   int32_t holder;
   int64_t lease_ms;
-  int64_t down_ms; /* until then */
+  int64_t down_until_ms; /* the lease service is down until then */
   message_t messages[MAX_MESSAGES];
   int32_t message_count;
   bt_map_actions_t actions;
   uint64_t digests;
   int32_t applied;
-  uint64_t peace;
+  uint64_t fault_interval;
 } world_t;
 
 static bool
@@ -75,7 +75,7 @@
 static int64_t
 draw_delay (world_t *world)
 {
-  if (!world->calm && chance (world, 20))
+  if (!world->faults_ended && chance (world, 20))
     return (int64_t)bt_random_below (&world->random, 2500);
   return (int64_t)bt_random_below (&world->random, 30);
 }
@@ -83,7 +83,7 @@
 static void
 post (world_t *world, message_t message, int64_t extra_ms)
 {
-  if (!world->calm && chance (world, 12))
+  if (!world->faults_ended && chance (world, 12))
     return;
   do
     {
@@ -92,7 +92,7 @@
       message.at_ms = world->now_ms + extra_ms + draw_delay (world);
       world->messages[world->message_count++] = message;
     }
-  while (!world->calm && chance (world, 10));
+  while (!world->faults_ended && chance (world, 10));
 }
 
 static void
@@ -103,14 +103,14 @@
   settings.test_options = world->options;
   bt_drop_map_rank (world->ctx, world->agents[rank]);
   world->agents[rank] = bt_new_map_rank (world->ctx, &settings, world->now_ms);
-  world->starts[rank] = settings.incarnation;
+  world->agent_starts[rank] = settings.incarnation;
 }
 
-/* The effect of an order on the engine is at once; its answer may be lost or late. */
+/* Executes an order on the engine at once; the engine's answer may be lost or late. */
 static void
 call_engine (world_t *world, int32_t rank, const bt_map_action_t *action)
 {
-  message_t answer = { 0, false, rank, world->starts[rank], true };
+  message_t answer = { 0, false, rank, world->agent_starts[rank], true };
 
   answer.accepted = action->order.kind == BT_MAP_QUERY && action->order.fence == 0;
   if (!answer.accepted)
@@ -130,7 +130,7 @@
 }
 
 static void
-carry_out_agent (world_t *world, int32_t rank)
+execute_agent_actions (world_t *world, int32_t rank)
 {
   for (int32_t i = 0; i < world->actions.count; i++)
     {
@@ -140,7 +140,7 @@
       message.action = *action;
       if (action->kind == BT_MAP_ENGINE_ORDER)
         call_engine (world, rank, action);
-      else if (action->kind == BT_MAP_READ_FLOOR && world->now_ms >= world->down_ms)
+      else if (action->kind == BT_MAP_READ_FLOOR && world->now_ms >= world->down_until_ms)
         bt_take_map_floor (world->agents[rank], world->fence);
       else if (action->kind == BT_MAP_REPORT)
         {
@@ -159,16 +159,16 @@
   world->actions.count = 0;
 }
 
-/* A controller may be paused between its last look at its lease and the sending. */
+/* A controller may be paused between checking its lease and sending. */
 static void
-carry_out_controller (world_t *world, int32_t index)
+execute_controller_actions (world_t *world, int32_t index)
 {
   int64_t pause_ms = 0;
 
-  if (!world->calm && world->actions.count > 0 && chance (world, 60))
+  if (!world->faults_ended && world->actions.count > 0 && chance (world, 60))
     {
       pause_ms = 50 + (int64_t)bt_random_below (&world->random, 1500);
-      world->paused_ms[index] = world->now_ms + pause_ms;
+      world->paused_until_ms[index] = world->now_ms + pause_ms;
     }
   for (int32_t i = 0; i < world->actions.count; i++)
     {
@@ -188,7 +188,7 @@
 
   if (message->answered)
     {
-      if (message->agent == world->starts[message->to])
+      if (message->agent == world->agent_starts[message->to])
         bt_take_engine_answer (world->ctx, agent, action->call, message->accepted, &message->state,
                                world->now_ms, &world->actions);
     }
@@ -198,7 +198,7 @@
     bt_take_map_ask (world->ctx, agent, &action->ask, world->now_ms, &world->actions);
   else if (action->kind == BT_MAP_TELL)
     bt_take_map_tell (world->ctx, agent, &action->tell, world->now_ms, &world->actions);
-  carry_out_agent (world, message->to);
+  execute_agent_actions (world, message->to);
 }
 
 static void
@@ -209,7 +209,7 @@
       message_t message = world->messages[i];
 
       if (message.at_ms > world->now_ms
-          || (message.to_controller && world->paused_ms[message.to] > world->now_ms))
+          || (message.to_controller && world->paused_until_ms[message.to] > world->now_ms))
         continue;
       world->messages[i--] = world->messages[--world->message_count];
       if (!message.to_controller)
@@ -220,11 +220,11 @@
 }
 
 static void
-visit_service (world_t *world, int32_t index)
+contact_service (world_t *world, int32_t index)
 {
   int64_t sent_ms = world->now_ms - draw_delay (world);
 
-  if (world->now_ms < world->down_ms || world->now_ms < world->renew_ms[index])
+  if (world->now_ms < world->down_until_ms || world->now_ms < world->renew_ms[index])
     return;
   world->renew_ms[index] = world->now_ms + RENEW_MS;
   if (world->holder == index && world->now_ms < world->lease_ms
@@ -246,36 +246,36 @@
 {
   bt_map_controller_t *controller = world->controllers[index];
 
-  if (world->dead[index] || world->paused_ms[index] > world->now_ms)
+  if (world->dead[index] || world->paused_until_ms[index] > world->now_ms)
     return;
-  visit_service (world, index);
+  contact_service (world, index);
   if (chance (world, 10) && bt_begin_map_round (controller, world->digests + 1, world->now_ms))
     world->digests++;
   bt_tick_map_controller (world->ctx, controller, world->now_ms, &world->actions);
   if (bt_get_round_result (controller) == BT_ROUND_APPLIED)
     world->applied++;
-  carry_out_controller (world, index);
+  execute_controller_actions (world, index);
 }
 
-/* Some schedules are wilder than others, so that a round also comes far in between. */
+/* Injects faults. Some schedules have fewer of them, so that a round also gets far in between. */
 static void
-make_trouble (world_t *world)
+inject_faults (world_t *world)
 {
   int32_t rank = (int32_t)bt_random_below (&world->random, RANKS);
   int32_t index = (int32_t)bt_random_below (&world->random, CONTROLLERS);
 
-  if (chance (world, 60 * world->peace))
+  if (chance (world, 60 * world->fault_interval))
     start_agent (world, rank);
-  if (chance (world, 250 * world->peace))
+  if (chance (world, 250 * world->fault_interval))
     {
       lockstep_replace (&world->group, rank);
       start_agent (world, rank);
     }
-  if (chance (world, 150 * world->peace))
-    world->paused_ms[index] = world->now_ms + (int64_t)bt_random_below (&world->random, 2000);
-  if (chance (world, 200 * world->peace))
-    world->down_ms = world->now_ms + (int64_t)bt_random_below (&world->random, 1500);
-  if (chance (world, 30 * world->peace))
+  if (chance (world, 150 * world->fault_interval))
+    world->paused_until_ms[index] = world->now_ms + (int64_t)bt_random_below (&world->random, 2000);
+  if (chance (world, 200 * world->fault_interval))
+    world->down_until_ms = world->now_ms + (int64_t)bt_random_below (&world->random, 1500);
+  if (chance (world, 30 * world->fault_interval))
     world->group.ranks[rank].stalled = !world->group.ranks[rank].stalled;
 }
 
@@ -283,15 +283,15 @@
 tick (world_t *world)
 {
   world->now_ms += TICK_MS;
-  if (!world->calm)
-    make_trouble (world);
+  if (!world->faults_ended)
+    inject_faults (world);
   deliver (world);
   for (int32_t i = 0; i < CONTROLLERS; i++)
     run_controller (world, i);
   for (int32_t rank = 0; rank < RANKS; rank++)
     {
       bt_tick_map_rank (world->ctx, world->agents[rank], world->now_ms, &world->actions);
-      carry_out_agent (world, rank);
+      execute_agent_actions (world, rank);
     }
   lockstep_step (&world->group);
 }
@@ -306,7 +306,7 @@
   world->options = options;
   world->digests = 1;
   bt_seed_random (&world->random, seed);
-  world->peace = 1 + seed / 4 % 4;
+  world->fault_interval = 1 + seed / 4 % 4;
   settings.test_options = options;
   lockstep_start (&world->group, RANKS, seed % 2 == 0);
   world->group.forgetful = seed % 3 == 0;
@@ -326,17 +326,17 @@
   bt_clear_map_actions (world->ctx, &world->actions);
 }
 
-/* The storm ends: nothing is lost any more. In half of the schedules the controllers are gone and
- * the service is down for good; a group whose ranks are all there must step all the same. */
+/* Ends the faults: nothing is lost from here on. In half of the schedules the controllers are gone
+ * and the service is down for good; a group with all its ranks must still run steps. */
 static void
-calm_down (world_t *world, bool without_service)
+end_faults (world_t *world, bool without_service)
 {
-  world->calm = true;
+  world->faults_ended = true;
   for (int32_t i = 0; i < CONTROLLERS; i++)
-    world->paused_ms[i] = 0;
+    world->paused_until_ms[i] = 0;
   for (int32_t rank = 0; rank < RANKS; rank++)
     world->group.ranks[rank].stalled = false;
-  world->down_ms = without_service ? INT64_MAX : 0;
+  world->down_until_ms = without_service ? INT64_MAX : 0;
   for (int32_t i = 0; i < CONTROLLERS; i++)
     world->dead[i] = without_service;
 }
@@ -350,9 +350,9 @@
   return true;
 }
 
-/* Plays one schedule; what went wrong stands in the group's violation. */
+/* Runs one schedule; a fault is recorded as the group's violation. */
 static void
-play (world_t *world, bt_context_t *ctx, uint64_t seed, uint32_t options)
+run_schedule (world_t *world, bt_context_t *ctx, uint64_t seed, uint32_t options)
 {
   bool without_service = seed / 2 % 2 == 0;
   bool complete;
@@ -360,29 +360,29 @@
   int32_t applied;
 
   start_world (world, ctx, seed, options);
-  for (int32_t i = 0; i < STORM_TICKS && world->group.violation[0] == '\0'; i++)
+  for (int32_t i = 0; i < FAULT_TICKS && world->group.violation[0] == '\0'; i++)
     tick (world);
   complete = is_group_complete (world);
-  calm_down (world, without_service);
+  end_faults (world, without_service);
   applied = world->applied;
   steps = 0;
-  for (int32_t i = 0; i < CALM_TICKS && world->group.violation[0] == '\0'; i++)
+  for (int32_t i = 0; i < RECOVERY_TICKS && world->group.violation[0] == '\0'; i++)
     {
-      if (i == CALM_TICKS / 2)
+      if (i == RECOVERY_TICKS / 2)
         steps = world->group.steps;
       tick (world);
     }
-  /* With a guard taken out only wrong steps count, not slow ones. */
+  /* With a safeguard disabled, only wrong steps count, not missing ones. */
   if (options == 0 && world->group.violation[0] == '\0' && (complete || !without_service)
-      && world->group.steps < steps + CALM_MIN_STEPS)
-    snprintf (world->group.violation, sizeof world->group.violation, "the group is held for good");
+      && world->group.steps < steps + RECOVERY_MIN_STEPS)
+    snprintf (world->group.violation, sizeof world->group.violation, "the group is held forever");
   if (options == 0 && world->group.violation[0] == '\0' && !without_service
       && world->applied == applied)
-    snprintf (world->group.violation, sizeof world->group.violation, "no round ends any more");
+    snprintf (world->group.violation, sizeof world->group.violation, "rounds no longer end");
   end_world (world);
 }
 
-/* The first seed that shows a violation, or 0. */
+/* Returns the first seed that shows a violation, or 0. */
 static uint64_t
 find_violation (uint32_t options, uint64_t first, uint64_t seeds, bool print)
 {
@@ -392,7 +392,7 @@
 
   for (uint64_t seed = first; seed < first + seeds && found == 0; seed++)
     {
-      play (&world, ctx, seed, options);
+      run_schedule (&world, ctx, seed, options);
       if (world.group.violation[0] != '\0')
         found = seed;
     }
@@ -402,19 +402,20 @@
   return found;
 }
 
-/* A wrong answer: two ranks use different maps in one step. Or a group that never steps again. Any
- * loss, delay, repetition, pause, restart, replacement and outage may come before. */
+/* Guards against two ranks that use different maps in one step, which gives wrong answers, and
+ * against a group that never steps again, after any loss, delay, duplication, pause, restart,
+ * replacement or outage. */
 static void
 test_guarded_schedules (void)
 {
   CU_ASSERT_EQUAL (find_violation (0, 1, GUARDED_SEEDS, true), 0);
 }
 
-/* Seeds that once showed a fault. A report of an older order, or of an agent that refused from
- * memory, came last; the controller sent the opposite of what was decided, or joined a replaced
- * rank at a step long past, or forgot a taken round of which orders were under way when rank 0 was
- * replaced, or remembered it beyond its lease, when another had dropped it since. 312518: rounds
- * were armed too near, again and again. */
+/* Seeds that once showed a fault. A report on an older order, or from an agent that refused from
+ * memory, arrived last. The controller then sent the opposite of the decision, or joined a replaced
+ * rank at a step long past. Or it forgot an applied round whose orders were in flight when rank 0
+ * was replaced, or remembered it beyond its lease, after another controller had dropped it. 312518:
+ * rounds were repeatedly armed too few steps ahead. */
 static void
 test_seeds_that_showed_a_fault (void)
 {
@@ -424,7 +425,7 @@
     CU_ASSERT_EQUAL (find_violation (0, seeds[i], 1, true), 0);
 }
 
-/* A guard that can be taken out without any schedule noticing is not proved by the schedules. */
+/* A safeguard that can be disabled without any schedule failing is not tested by the schedules. */
 static void
 test_each_guard_is_needed (void)
 {
@@ -434,12 +435,12 @@
 
   for (size_t i = 0; i < sizeof options / sizeof options[0]; i++)
     {
-      printf ("without guard %u: ", options[i]);
-      CU_ASSERT_NOT_EQUAL (find_violation (options[i], 1, SWITCHED_SEEDS, true), 0);
+      printf ("without safeguard %u: ", options[i]);
+      CU_ASSERT_NOT_EQUAL (find_violation (options[i], 1, UNGUARDED_SEEDS, true), 0);
     }
 }
 
-/* By hand: test_map_schedules FIRST_SEED SEEDS OPTIONS. */
+/* Manual use: test_map_schedules FIRST_SEED SEEDS OPTIONS. */
 int
 main (int argc, char **argv)
 {
--- a/test/maps/test_moving_load.c
+++ b/test/maps/test_moving_load.c
@@ -13,11 +13,11 @@
   RANKS = 8,
   REPORT_MS = 100,
   THREE_REPORTS_MS = 300,
-  PICKS = 400, /* of one rank in one report, by layer */
+  PICKS = 400, /* selections by one rank per report and layer */
   HALF_LIFE_MS = 500,
 };
 
-/** Demand in which the expert of each layer that is hottest gets three in ten picks. */
+/** Demand in which one hot expert per layer gets about three in ten selections. */
 typedef struct demand
 {
   bt_random_t random;
@@ -39,9 +39,9 @@
       }
 }
 
-/* Reports of all ranks, spread over each 100 ms. Returns how many jumps were seen. */
+/* Adds reports of all ranks, spread over each 100 ms. Returns the number of jumps detected. */
 static int32_t
-play (bt_moving_load_t *load, demand_t *demand, int64_t from_ms, int64_t for_ms)
+add_reports (bt_moving_load_t *load, demand_t *demand, int64_t from_ms, int64_t for_ms)
 {
   uint32_t counts[LAYERS * EXPERTS];
   int32_t jumps = 0;
@@ -69,10 +69,9 @@
   return bt_get_expert_load (mean, layer, expert) / sum;
 }
 
-/* Callers' streams stutter for more than a second after demand has moved to another expert. The
- * mean of the counts still names the old one; the plan of the next round relieves a rank that needs
- * it no more, and only the round after it helps. Two windows after the jump the new demand has to
- * be known. */
+/* Guards against a mean that still favors the old expert after demand has moved to another one: the
+ * next round relieves the wrong rank, only the one after it helps, and callers' streams stutter for
+ * more than a second. The new demand must be known two windows after the jump. */
 static void
 test_a_jump_is_followed_within_two_windows (void)
 {
@@ -81,10 +80,10 @@
   demand_t demand = { .hot = { 3, 5 } };
 
   bt_seed_random (&demand.random, 1);
-  play (load, &demand, 1000, 3000);
+  add_reports (load, &demand, 1000, 3000);
   CU_ASSERT_TRUE (get_share (load, 0, 3) > 0.27);
   demand.hot[0] = 9;
-  CU_ASSERT_TRUE (play (load, &demand, 4000, THREE_REPORTS_MS) > 0);
+  CU_ASSERT_TRUE (add_reports (load, &demand, 4000, THREE_REPORTS_MS) > 0);
   CU_ASSERT_TRUE (get_share (load, 0, 9) > 0.27);
   CU_ASSERT_TRUE (get_share (load, 0, 3) < 0.06);
   CU_ASSERT_TRUE (get_share (load, 1, 5) > 0.27);
@@ -92,8 +91,8 @@
   bt_drop_context (ctx);
 }
 
-/* A copy for nothing takes part of the links and lengthens passes while it lasts. In a calm the
- * mean is over many windows, and no window is taken for a jump. */
+/* Guards against needless copies, which take link bandwidth and lengthen passes. Under stable
+ * demand the mean covers many windows, and no window counts as a jump. */
 static void
 test_noise_is_no_jump (void)
 {
@@ -105,14 +104,14 @@
       demand_t demand = { .hot = { 3, 5 } };
 
       bt_seed_random (&demand.random, seed);
-      CU_ASSERT_EQUAL (play (load, &demand, 1000, 30000), 0);
+      CU_ASSERT_EQUAL (add_reports (load, &demand, 1000, 30000), 0);
       CU_ASSERT_DOUBLE_EQUAL (get_share (load, 0, 3), 0.32, 0.02);
       bt_drop_moving_load (ctx, load);
     }
   bt_drop_context (ctx);
 }
 
-/* A group that stood still reports nothing for a while, then the same demand as before. */
+/* A group that was idle reports nothing for a while, and then the same demand as before. */
 static void
 test_silence_is_no_jump (void)
 {
@@ -122,13 +121,13 @@
   demand_t demand = { .hot = { 3, 5 } };
 
   bt_seed_random (&demand.random, 2);
-  play (load, &demand, 1000, 3000);
+  add_reports (load, &demand, 1000, 3000);
   for (int64_t now_ms = 4000; now_ms < 9000; now_ms += REPORT_MS)
     {
       bt_add_moving_load (load, none, now_ms);
       CU_ASSERT_FALSE (bt_take_load_jump (load, now_ms));
     }
-  CU_ASSERT_EQUAL (play (load, &demand, 9000, 3000), 0);
+  CU_ASSERT_EQUAL (add_reports (load, &demand, 9000, 3000), 0);
   bt_drop_moving_load (ctx, load);
   bt_drop_moving_load (ctx, NULL);
   bt_drop_context (ctx);
