--- a/include/bilberrytray/maps/copy_price.h
+++ b/include/bilberrytray/maps/copy_price.h
@@ -32,8 +32,8 @@
 /** The share of the group's request capacity in use, smoothed over about a second. */
 double bt_get_group_fullness (const bt_copy_price_t *price);
 
-/** The cost of one millisecond of step time spent on copying, in milliseconds of step time saved.
- */
+/** The cost of one millisecond of step time spent on copying, in milliseconds of step time
+ * saved. */
 double bt_get_copy_weight (const bt_copy_price_t *price);
 
 #endif
--- a/include/bilberrytray/maps/group_rounds.h
+++ b/include/bilberrytray/maps/group_rounds.h
@@ -65,10 +65,10 @@
 {
   bt_group_order_kind_t kind;
   int32_t rank;
-  int32_t via;        /**< The rank whose agent executes the order: usually the same rank. */
-  uint64_t id;        /**< Identifies the order; its result carries the same id. */
-  uint64_t fence;     /**< The leader's fencing number. */
-  int64_t epoch;      /**< Refused in any other epoch. */
+  int32_t via;    /**< The rank whose agent gives the order to the engine: usually the same rank. */
+  uint64_t id;    /**< Identifies the order; its result carries the same id. */
+  uint64_t fence; /**< The leader's fencing number. */
+  int64_t epoch;  /**< Refused in any other epoch. */
   int64_t sequence;   /**< Refused when the engine has accepted another number of orders. */
   int64_t version;    /**< PREPARE, ARM, DISARM. */
   int64_t step;       /**< HOLD, ARM, GO. */
@@ -147,8 +147,8 @@
                           const bt_rank_report_t *report,
                           int64_t now_ms);
 
-/** Processes the result of an order, with a report that was read after it, of the rank @p rank
- * whose agent executed it. */
+/** Processes the result of an order. @p rank is the rank whose agent gave the order to the engine,
+ * and @p report a report of that rank that was read after the result. */
 void bt_take_group_order_result (bt_group_rounds_t *rounds,
                                  int32_t rank,
                                  uint64_t id,
--- a/source/maps/expert_map.c
+++ b/source/maps/expert_map.c
@@ -266,13 +266,13 @@
 read_header (const uint8_t *data, uint32_t bytes, bt_map_shape_t *shape, bt_error_t *error)
 {
   if (bytes < HEADER_BYTES + DIGEST_BYTES || data[0] != MAGIC_0 || data[1] != MAGIC_1)
-    return bt_set_error (error, BT_ERROR_FORMAT, "These %u bytes are no expert map.", bytes);
+    return bt_set_error (error, BT_ERROR_FORMAT, "Not an expert map (%u bytes).", bytes);
   if (data[2] != FORMAT_VERSION)
-    return bt_set_error (error, BT_ERROR_FORMAT, "Expert maps of format %u cannot be read.",
-                         data[2]);
+    return bt_set_error (error, BT_ERROR_FORMAT, "Expert map format %u is not supported.", data[2]);
   if (read_digest (data + bytes - DIGEST_BYTES)
       != bt_hash_bytes (data, bytes - DIGEST_BYTES, DIGEST_SEED))
-    return bt_set_error (error, BT_ERROR_FORMAT, "The expert map's digest does not fit its bytes.");
+    return bt_set_error (error, BT_ERROR_FORMAT,
+                         "The digest of the expert map does not match its content.");
   shape->layers = data[LAYERS_OFFSET];
   shape->experts = data[EXPERTS_OFFSET] | data[EXPERTS_OFFSET + 1] << BYTE_BITS;
   shape->ranks = data[RANKS_OFFSET] | data[RANKS_OFFSET + 1] << BYTE_BITS;
@@ -321,7 +321,7 @@
   end = data + bytes - DIGEST_BYTES;
   if ((size_t)(end - at) < count_cells (shape))
     {
-      bt_set_error (error, BT_ERROR_FORMAT, "The expert map is cut short.");
+      bt_set_error (error, BT_ERROR_FORMAT, "The expert map is truncated.");
       return NULL;
     }
   map = bt_new_expert_map (ctx, shape, error);
--- a/source/maps/group_phases.c
+++ b/source/maps/group_phases.c
@@ -11,7 +11,7 @@
   SPARE_STEPS = 2,
   /* Number of steps over which the step time is averaged. */
   STEPS_AVERAGED = 3,
-  /* The steps in reports of different ranks may decrease by this much. */
+  /* Reports of different ranks can be out of order by up to this many steps. */
   MAX_REORDERED_STEPS = 2,
 };
 
@@ -102,8 +102,9 @@
   rounds->timed_ms = now_ms;
 }
 
-/* Records how long the orders of a round took. A longer earlier time only decays by half, since a
- * group that reaches the held step before it is released stalls all its streams. */
+/* Records how long the orders of a round took. After a longer earlier time the value decays only by
+ * half of the difference, since a group that reaches the held step before it is released stalls all
+ * its streams. */
 static void
 record_order_time (bt_group_rounds_t *rounds, int64_t now_ms)
 {
--- a/source/maps/group_rounds_private.h
+++ b/source/maps/group_rounds_private.h
@@ -44,7 +44,7 @@
   int32_t hold_attempts;  /* hold orders sent in this phase */
   bool own_hold;          /* the hold was seen in force and has not been released since */
   bool takes_over_hold;   /* in SECURING: the hold of another leader is taken over */
-  int64_t hold_seen_ms;   /* when own_hold was set */
+  int64_t hold_seen_ms;   /* when the hold was first reported, in HOLDING */
   bool reports_requested; /* a report is to be requested from all agents */
   int32_t next_rank;      /* the next rank that the current search for orders looks at */
   bt_rank_state_t ranks[];
--- a/source/maps/map_controller.c
+++ b/source/maps/map_controller.c
@@ -353,8 +353,8 @@
         armed = false;
         late = late || controller->views[rank].engine.next_step >= controller->step;
       }
-  /* Deciding before all ranks are armed would let an unarmed rank pass the step with the old map.
-   */
+  /* Deciding before all ranks are armed would let an unarmed rank pass the step with the old
+   * map. */
   if (armed
       || ((controller->settings.test_options & BT_MAP_NO_ARM_ALL) != 0
           && is_armed_for (&controller->views[0].engine, controller->round)))
@@ -473,8 +473,8 @@
   return true;
 }
 
-/* Queries ranks that have not reported for a while, since a replaced rank may not report by itself.
- */
+/* Queries ranks that have not reported for a while, since a replaced rank may not report by
+ * itself. */
 static void
 query_silent_ranks (bt_context_t *ctx,
                     bt_map_controller_t *controller,
--- a/source/maps/map_controller_private.h
+++ b/source/maps/map_controller_private.h
@@ -55,9 +55,9 @@
 /** True when an engine knows the decision of a round, or that of a newer one. */
 bool bt_has_decided_round (const bt_engine_state_t *engine, bt_round_id_t round);
 
-/** Finds the oldest round that some rank is armed for, with its step and its map; none when no rank
- * is armed. A rank armed for an old round refuses newer ones, so the oldest round is ended first.
- */
+/** Finds the oldest round that some rank is armed for, with its step and its map; none when
+ * no rank is armed. A rank armed for an old round refuses newer ones, so the oldest round is
+ * ended first. */
 bt_map_order_t bt_find_open_round (const bt_map_controller_t *controller);
 
 /** Records what rank 0 has decided, and returns whether the round is applied. A later query may
--- a/source/maps/map_rank.c
+++ b/source/maps/map_rank.c
@@ -165,9 +165,9 @@
   action->report.engine = rank->engine;
 }
 
-/* Finds the decision of a round as far as this agent knows it; false when there is none. A round
- * older than rank 0's state was dropped: it was not armed here when the next one came, and can no
- * longer be armed. */
+/* Finds the decision of a round as far as this agent knows it; false when there is none. On rank 0,
+ * a round older than one that its engine has staged, armed, decided or in use was dropped: it was
+ * not armed here when the next one came, and can no longer be armed. */
 static bool
 find_decision (const bt_map_rank_t *rank, bt_round_id_t round, bool *apply)
 {
@@ -441,8 +441,8 @@
   if (rank->settings.rank != 0 || !rank->engine_known || rank->purpose != CALL_NONE)
     return;
   rank->pending_question = *ask;
-  /* The engine is queried rather than this agent's memory, since it may have been replaced since.
-   */
+  /* The engine is queried rather than this agent's memory, since it may have been replaced
+   * since. */
   call_engine (ctx, rank, CALL_ANSWER, &query, now_ms, actions);
 }
 
--- a/source/maps/map_search.c
+++ b/source/maps/map_search.c
@@ -241,8 +241,8 @@
 }
 
 /* Compares a change with the best one so far by its reduction of the sum less the cost of its
- * transfers. Of two equal changes the first one stays, so that a plan is the same on every machine.
- */
+ * transfers. Of two equal changes the first one stays, so that a plan is the same on every
+ * machine. */
 static void
 consider_change (search_step_t *step, bt_map_change_t change)
 {
--- a/test/maps/test_map_controller.c
+++ b/test/maps/test_map_controller.c
@@ -119,8 +119,8 @@
 }
 
 /* A controller is paused beyond its lease and resumes in the middle of a round. It must send
- * nothing, a late renewal must not restore the lease, and the result of the round is unknown to it.
- */
+ * nothing, a late renewal must not restore the lease, and the result of the round is unknown to
+ * it. */
 static void
 test_lease_counts_from_before_the_renewal (void)
 {
