--- a/source/maps/map_search.c
+++ b/source/maps/map_search.c
@@ -6,7 +6,7 @@
 {
   /* Number of busiest ranks that one step tries to relieve. */
   HOT_RANKS = 2,
-  /* Number of least loaded ranks that are tried as targets; they lower the sum most. */
+  /* Number of least loaded ranks that are tried as targets; moves to them lower the sum most. */
   MAX_TARGETS = 10,
 };
 
