--- a/source/maps/group_phases.c
+++ b/source/maps/group_phases.c
@@ -4,15 +4,15 @@
 
 enum
 {
-  /* Refusals of one rank that end a try to prepare or to hold. */
-  MOST_REFUSALS = 3,
-  /* Steps between the latest known one and that of a change, beside those that the orders take: one
-   * that has begun since the last report, and one to spare. */
+  /* Refusals by one rank that end the PREPARING phase. */
+  MAX_REFUSALS = 3,
+  /* Steps from the latest known one to that of the switch, in addition to those that pass while the
+   * orders are sent: one that has begun since the last report, and one in reserve. */
   SPARE_STEPS = 2,
-  /* The time of a step is the mean of so many. */
-  PACED_STEPS = 3,
-  /* Reports of ranks overtake each other by no more. */
-  LATE_STEPS = 2,
+  /* Number of steps over which the step time is averaged. */
+  STEPS_AVERAGED = 3,
+  /* Reports of different ranks can be out of order by up to this many steps. */
+  MAX_REORDERED_STEPS = 2,
 };
 
 void
@@ -20,14 +20,15 @@
 {
   rounds->phase = phase;
   rounds->phase_ms = now_ms;
-  rounds->hold_tries = 0;
-  rounds->ask = false;
+  rounds->hold_attempts = 0;
+  rounds->reports_requested = false;
   for (int32_t i = 0; i < rounds->settings.ranks; i++)
     {
       rounds->ranks[i].refusals = 0;
       rounds->ranks[i].accepted = false;
-      /* An answer to an order of an earlier phase says nothing of this one. Taken for the proof of
-       * an own hold it let ranks be disarmed while another leader could let the group go. */
+      /* A result of an order from an earlier phase says nothing about this one. Taken as proof of
+       * an own hold, it once let ranks be disarmed while another leader could still release the
+       * group. */
       rounds->ranks[i].order_id = 0;
     }
 }
@@ -36,39 +37,38 @@
 start_clearing (bt_group_rounds_t *rounds, int64_t now_ms)
 {
   rounds->target = 0;
-  rounds->clearing = ++rounds->last_version;
+  rounds->clearing_version = ++rounds->last_version;
   bt_set_group_phase (rounds, BT_GROUP_CLEARING, now_ms);
 }
 
-/* Makes sure of a hold before the armed step. Where every rank holds, because the answers to
- * earlier tries were lost, none can take another hold, and the group would stand for ever. One of
- * the holds is then taken over: its rank prepares a version of this leader, and refuses
- * all earlier leaders from then on. A hold later than the armed step would not do; that step comes
- * by itself.
- */
+/* Begins to take a hold before the armed step. If every rank already holds because the answers to
+ * earlier attempts were lost, no rank can take another hold and the group would stand still
+ * forever. In that case one of the holds is taken over: its rank prepares a version of this leader
+ * and from then on refuses all earlier leaders. A hold later than the armed step is of no use; that
+ * step is reached without help. */
 static void
-secure (bt_group_rounds_t *rounds, int64_t now_ms)
+start_securing (bt_group_rounds_t *rounds, int64_t now_ms)
 {
   const bt_rank_state_t *rank;
 
   rounds->holder = bt_choose_group_holder (rounds);
   rank = &rounds->ranks[rounds->holder];
-  rounds->takes_hold = bt_is_engine_held (rank);
-  if (rounds->takes_hold && rank->report.held_step > rounds->step)
+  rounds->takes_over_hold = bt_is_engine_held (rank);
+  if (rounds->takes_over_hold && rank->report.held_step > rounds->step)
     return;
-  if (rounds->takes_hold)
-    rounds->clearing = ++rounds->last_version;
+  if (rounds->takes_over_hold)
+    rounds->clearing_version = ++rounds->last_version;
   else if (now_ms >= rounds->hold_until_ms)
     return;
   bt_set_group_phase (rounds, BT_GROUP_SECURING, now_ms);
 }
 
-/* Decides what is to be done with a group that is whole, and with which no round is under way. What
- * another leader armed is taken back, even where it looks complete: that leader may be taking it
- * back itself. The ranks must not change meanwhile, so the group is first held before the step for
- * which they are armed. Is that refused, the step has begun. */
+/* Decides what to do with a complete group that has no round in progress. Whatever another leader
+ * armed is cancelled, even where it looks complete, since that leader may be cancelling it itself.
+ * The ranks must not switch meanwhile, so the group is first held before the step for which they
+ * are armed. If that hold is refused, the step has already begun. */
 static void
-look (bt_group_rounds_t *rounds, int64_t now_ms)
+assess_group (bt_group_rounds_t *rounds, int64_t now_ms)
 {
   rounds->target = 0;
   rounds->own_hold = false;
@@ -85,45 +85,46 @@
       start_clearing (rounds, now_ms);
       return;
     }
-  secure (rounds, now_ms);
+  start_securing (rounds, now_ms);
 }
 
 void
-bt_note_group_step (bt_group_rounds_t *rounds, int64_t step, int64_t now_ms)
+bt_update_step_time (bt_group_rounds_t *rounds, int64_t step, int64_t now_ms)
 {
-  int64_t steps = step - rounds->paced_step;
+  int64_t steps = step - rounds->timed_step;
 
-  if (rounds->paced_ms != 0 && steps >= -LATE_STEPS && steps < PACED_STEPS)
+  if (rounds->timed_ms != 0 && steps >= -MAX_REORDERED_STEPS && steps < STEPS_AVERAGED)
     return;
-  /* A group that was formed anew counts from wherever it stands. */
-  if (rounds->paced_ms != 0 && steps >= 0)
-    rounds->pass_ms = (double)(now_ms - rounds->paced_ms) / (double)steps;
-  rounds->paced_step = step;
-  rounds->paced_ms = now_ms;
+  /* A re-formed group may count its steps from any number. */
+  if (rounds->timed_ms != 0 && steps >= 0)
+    rounds->mean_step_ms = (double)(now_ms - rounds->timed_ms) / (double)steps;
+  rounds->timed_step = step;
+  rounds->timed_ms = now_ms;
 }
 
-/* Notes how long the orders of a round took. A time that was longer fades, since a group that comes
- * to the held step before it is let go makes all its streams wait. */
+/* Records how long the orders of a round took. After a longer earlier time the value decays only by
+ * half of the difference, since a group that reaches the held step before it is released stalls all
+ * its streams. */
 static void
-note_orders (bt_group_rounds_t *rounds, int64_t now_ms)
+record_order_time (bt_group_rounds_t *rounds, int64_t now_ms)
 {
-  double taken_ms = (double)(now_ms - rounds->held_ms);
+  double elapsed_ms = (double)(now_ms - rounds->hold_due_ms);
 
   if (rounds->target == 0)
     return;
-  rounds->orders_ms = fmax (taken_ms, (rounds->orders_ms + taken_ms) / 2);
+  rounds->orders_ms = fmax (elapsed_ms, (rounds->orders_ms + elapsed_ms) / 2);
 }
 
-/* Steps from the latest known one to that of a change. Each one too many leaves the ranks as they
- * are for a pass, at the very time when passes are long. */
+/* Computes the number of steps from the latest known one to that of the switch. Each step too many
+ * keeps the old map for another pass, at the very time when passes are long. */
 static int64_t
 count_steps_ahead (const bt_group_rounds_t *rounds)
 {
   double steps;
 
-  if (rounds->orders_ms <= 0 || rounds->pass_ms <= 0)
+  if (rounds->orders_ms <= 0 || rounds->mean_step_ms <= 0)
     return rounds->settings.hold_steps;
-  steps = SPARE_STEPS + ceil (rounds->orders_ms / rounds->pass_ms);
+  steps = SPARE_STEPS + ceil (rounds->orders_ms / rounds->mean_step_ms);
   return (int64_t)fmin (steps, 2.0 * (double)rounds->settings.hold_steps);
 }
 
@@ -132,39 +133,40 @@
 {
   int64_t latest = bt_find_latest_step (rounds);
 
-  /* A step is never used twice: an order for it may still be on its way. */
+  /* A step is never used twice, since a delayed order for it may still arrive. */
   if (latest < rounds->last_step)
     latest = rounds->last_step;
   rounds->step = latest + count_steps_ahead (rounds);
   rounds->last_step = rounds->step;
-  rounds->held_ms = now_ms;
+  rounds->hold_due_ms = now_ms;
   rounds->own_hold = false;
   rounds->holder = bt_choose_group_holder (rounds);
   bt_set_group_phase (rounds, BT_GROUP_HOLDING, now_ms);
 }
 
-/* True once this leader's hold is reported. It stays in force until this leader lets the group go:
- * every rank has prepared this leader's map by then, and refuses all earlier leaders. */
+/* True once this leader's hold has been reported. The hold stays in force until this leader
+ * releases the group: by then every rank has prepared this leader's map and refuses all earlier
+ * leaders. */
 static bool
-is_own_hold_seen (bt_group_rounds_t *rounds, int64_t now_ms)
+update_own_hold (bt_group_rounds_t *rounds, int64_t now_ms)
 {
   if (!rounds->own_hold && rounds->ranks[rounds->holder].report.held_step == rounds->step)
     {
       rounds->own_hold = true;
-      rounds->seen_ms = now_ms;
-      rounds->ask = true;
+      rounds->hold_seen_ms = now_ms;
+      rounds->reports_requested = true;
     }
   return rounds->own_hold;
 }
 
 /* True once the rank whose hold is taken over refuses all earlier leaders and still holds. */
 static bool
-is_hold_taken (const bt_group_rounds_t *rounds)
+is_hold_taken_over (const bt_group_rounds_t *rounds)
 {
   const bt_rank_state_t *rank = &rounds->ranks[rounds->holder];
 
-  return rounds->takes_hold && bt_is_rank_cleared_of_orders (rounds, rank)
-         && !bt_is_engine_armed (rank) && bt_is_engine_held (rank);
+  return rounds->takes_over_hold && bt_is_rank_cleared (rounds, rank) && !bt_is_engine_armed (rank)
+         && bt_is_engine_held (rank);
 }
 
 static void
@@ -172,23 +174,23 @@
 {
   const bt_rank_state_t *rank = &rounds->ranks[rounds->holder];
 
-  if (is_hold_taken (rounds))
+  if (is_hold_taken_over (rounds))
     {
       rounds->own_hold = true;
       bt_set_group_phase (rounds, BT_GROUP_CLEARING, now_ms);
     }
   else if (rounds->own_hold)
     start_clearing (rounds, now_ms);
-  else if (rank->refusals > 0 || bt_is_engine_held (rank) != rounds->takes_hold
+  else if (rank->refusals > 0 || bt_is_engine_held (rank) != rounds->takes_over_hold
            || bt_find_latest_step (rounds) >= rounds->step
-           || (!rounds->takes_hold && now_ms >= rounds->hold_until_ms))
+           || (!rounds->takes_over_hold && now_ms >= rounds->hold_until_ms))
     bt_set_group_phase (rounds, BT_GROUP_LOOKING, now_ms);
 }
 
-/* Until this leader's hold is seen. An order that was lost is not sent again once the end of the
- * lease is near: it could hold the group with nobody in office. */
+/* Handles HOLDING until this leader's hold is reported. A lost order is not sent again near the end
+ * of the lease: it could hold the group when there is no leader to release it. */
 static void
-advance_unheld (bt_group_rounds_t *rounds, int64_t now_ms)
+advance_until_held (bt_group_rounds_t *rounds, int64_t now_ms)
 {
   if (now_ms - rounds->phase_ms > rounds->settings.arm_limit_ms || now_ms >= rounds->hold_until_ms)
     bt_set_group_phase (rounds, BT_GROUP_LOOKING, now_ms);
@@ -197,10 +199,10 @@
     choose_step (rounds, now_ms);
 }
 
-/* Nothing is armed yet and nothing will be, so the group can be let go without knowing what became
- * of the silent rank. */
+/* Abandons a round during its hold. Nothing is armed yet and nothing will be, so the group can be
+ * released without knowing the state of the silent rank. */
 static void
-give_hold_up (bt_group_rounds_t *rounds, int64_t now_ms)
+abandon_hold (bt_group_rounds_t *rounds, int64_t now_ms)
 {
   rounds->target = 0;
   bt_set_group_phase (rounds, BT_GROUP_LETTING_GO, now_ms);
@@ -209,13 +211,13 @@
 void
 bt_advance_group (bt_group_rounds_t *rounds, int64_t now_ms)
 {
-  const int64_t taken_ms = now_ms - rounds->phase_ms;
+  const int64_t elapsed_ms = now_ms - rounds->phase_ms;
 
   switch (rounds->phase)
     {
     case BT_GROUP_LOOKING:
-      if (bt_is_group_whole (rounds, now_ms))
-        look (rounds, now_ms);
+      if (bt_is_group_complete (rounds, now_ms))
+        assess_group (rounds, now_ms);
       break;
     case BT_GROUP_CALM:
       if (bt_is_group_armed_or_held (rounds) || !bt_has_group_one_version (rounds))
@@ -224,32 +226,32 @@
     case BT_GROUP_PREPARING:
       if (bt_is_group_prepared (rounds, rounds->target) && now_ms < rounds->hold_until_ms)
         choose_step (rounds, now_ms);
-      else if (taken_ms > rounds->settings.prepare_limit_ms
-               || bt_count_most_refusals (rounds) >= MOST_REFUSALS)
+      else if (elapsed_ms > rounds->settings.prepare_limit_ms
+               || bt_get_max_refusals (rounds) >= MAX_REFUSALS)
         bt_set_group_phase (rounds, BT_GROUP_LOOKING, now_ms);
       break;
     case BT_GROUP_HOLDING:
-      if (is_own_hold_seen (rounds, now_ms) && bt_is_group_heard (rounds))
+      if (update_own_hold (rounds, now_ms) && bt_have_all_ranks_reported (rounds))
         bt_set_group_phase (rounds, BT_GROUP_ARMING, now_ms);
       else if (rounds->own_hold)
         {
-          if (now_ms - rounds->seen_ms > rounds->settings.silence_ms)
-            give_hold_up (rounds, now_ms);
+          if (now_ms - rounds->hold_seen_ms > rounds->settings.silence_ms)
+            abandon_hold (rounds, now_ms);
         }
       else
-        advance_unheld (rounds, now_ms);
+        advance_until_held (rounds, now_ms);
       break;
     case BT_GROUP_ARMING:
       if (bt_is_group_armed (rounds))
         bt_set_group_phase (rounds, BT_GROUP_LETTING_GO, now_ms);
-      else if (taken_ms > rounds->settings.arm_limit_ms)
+      else if (elapsed_ms > rounds->settings.arm_limit_ms)
         start_clearing (rounds, now_ms);
       break;
     case BT_GROUP_LETTING_GO:
       rounds->own_hold = false;
       if (bt_is_group_held (rounds))
         break;
-      note_orders (rounds, now_ms);
+      record_order_time (rounds, now_ms);
       bt_set_group_phase (rounds, BT_GROUP_SETTLING, now_ms);
       break;
     case BT_GROUP_SETTLING:
