--- a/include/bilberrytray/gateway/gateway.h
+++ b/include/bilberrytray/gateway/gateway.h
@@ -2,7 +2,9 @@
 #define BILBERRYTRAY_GATEWAY_GATEWAY_H
 
 /** @file
- * The gateway: an entry instance on a platform whose endpoints are reached over HTTP, without an agent. It applies the rules, admits, routes and retries requests, and answers which addresses callers may use.
+ * The gateway: an entry instance on a platform whose endpoints are reached over HTTP, without an
+ * agent. It applies the rules, admits, routes and retries requests, and answers which addresses
+ * callers may use.
  */
 
 #include "bilberrytray/gateway/platform.h"
@@ -16,11 +18,12 @@
   const char *failure_domain;
   const char *listen;    /**< Address on which callers are served, "IP:PORT". */
   const char *addresses; /**< Address on which callers ask which instances to use. */
-  const char *ready;     /**< Address on which the platform probes whether this instance is ready. */
-  const char *page;      /**< Address of the operators' page; "" for none. */
-  const char *links;     /**< Address on which links from peers are accepted. */
+  const char *ready; /**< Address on which the platform probes whether this instance is ready. */
+  const char *page;  /**< Address of the operators' page; "" for none. */
+  const char *links; /**< Address on which links from peers are accepted. */
   const char *secret;
-  const char *seeds; /**< Link addresses of some instances, separated by commas, to learn from while the store does not answer at the start; may be "". */
+  const char *seeds; /**< Link addresses of some instances, separated by commas, to learn from while
+                        the store does not answer at the start; may be "". */
   const char *store; /**< The platform's store, "IP:PORT". */
   const char *log_level;
   double cores; /**< Processor share of this instance, in cores; the largest share leads. */
@@ -31,16 +34,18 @@
   int64_t lease_s;         /**< Lifetime of this instance's listing without renewal. */
   int64_t renew_ms;        /**< Interval between two renewals of the listing. */
   int64_t retry_percent;   /**< Retries allowed for 100 requests of an app. */
-  double retry_reserve;    /**< Retries of an app that all instances together may make in addition. */
-  int64_t crash_ends;      /**< Endpoints that a request may crash before it is refused. */
-  int64_t crash_keep_s;    /**< A crashing request that is not sent again for this long is forgotten. */
-  int64_t agent_port;      /**< Port on which agents beside engines accept links; 0: there are none. */
-  int64_t lead_lease_s;    /**< Lifetime of the lease of the instance that leads the rank groups. */
-  int64_t lead_renew_ms;   /**< Interval between two renewals of that lease. */
-  int64_t plan_ms;         /**< Interval between two plans of a group's expert map. */
+  double retry_reserve; /**< Retries of an app that all instances together may make in addition. */
+  int64_t crash_ends;   /**< Endpoints that a request may crash before it is refused. */
+  int64_t
+      crash_keep_s;   /**< A crashing request that is not sent again for this long is forgotten. */
+  int64_t agent_port; /**< Port on which agents beside engines accept links; 0: there are none. */
+  int64_t lead_lease_s;  /**< Lifetime of the lease of the instance that leads the rank groups. */
+  int64_t lead_renew_ms; /**< Interval between two renewals of that lease. */
+  int64_t plan_ms;       /**< Interval between two plans of a group's expert map. */
 } bt_gateway_settings_t;
 
-/** Creates a gateway and starts to serve; requests are refused until the configuration is known. @return NULL, with @p error set, on failure. */
+/** Creates a gateway and starts to serve; requests are refused until the configuration is known.
+ * @return NULL, with @p error set, on failure. */
 bt_gateway_t *bt_new_gateway (bt_context_t *ctx,
                               const bt_platform_t *platform,
                               const bt_gateway_settings_t *settings,
@@ -49,7 +54,9 @@
 /** Serves until bt_stop_gateway is called and the stop is complete. */
 void bt_run_gateway (bt_gateway_t *gateway);
 
-/** Starts a graceful stop: callers are told to use other instances, requests under way are finished, then bt_run_gateway returns. Can be called from any thread; a second call has no effect. */
+/** Starts a graceful stop: callers are told to use other instances, requests under way are
+ * finished, then bt_run_gateway returns. Can be called from any thread; a second call has no
+ * effect. */
 void bt_stop_gateway (bt_gateway_t *gateway);
 
 /** NULL is accepted. */
--- a/source/gateway/endpoint_table.c
+++ b/source/gateway/endpoint_table.c
@@ -6,21 +6,23 @@
 
 enum
 {
-  /* Endpoints whose entries lapsed with the store list themselves again within two seconds of its return. Half a second is added for the watch and the read that bring the entry here. */
-  RELIST_MS = 2500,
-  /* An endpoint that leaves just then is missing as well, and must get no requests two seconds later. An entry that alone was cut off from the store must not send to it for longer. */
-  MISSING_MS = 1800,
+  /* Endpoints whose entries lapsed with the store list themselves again within two seconds of its
+   * return. Half a second is added for the watch and the read that bring the entry here. */
+  RELIST_WAIT_MS = 2500,
+  /* An endpoint that leaves just then is missing as well, and must get no requests two seconds
+   * later. An entry that alone was cut off from the store must not send to it for longer. */
+  MAX_MISSING_MS = 1800,
   /* Three missed heartbeats of an endpoint, and the time for that news to arrive. */
-  ENDED_MS = 5000,
+  ENDED_SUSPENSION_MS = 5000,
 };
 
 /** One endpoint of the table. */
 typedef struct table_row
 {
   bt_listed_endpoint_t listed;
-  bool gone;          /* known to be gone; not in the router while the same entry is listed */
-  int64_t missing_ms; /* time since which the store does not list it; 0: it is listed */
-  int64_t old_ms;     /* start time of the older entry that was ignored last; 0: none */
+  bool gone;                /* known to be gone; not in the router while the same entry is listed */
+  int64_t missing_ms;       /* time since which the store does not list it; 0: it is listed */
+  int64_t ignored_start_ms; /* start time of the older entry that was ignored last; 0: none */
 } table_row_t;
 
 struct bt_endpoint_table
@@ -28,7 +30,7 @@
   bt_router_t *router;
   table_row_t *rows;
   int32_t count;
-  int32_t room;
+  int32_t capacity;
   int64_t regained_ms; /* when the store last became reachable again; 0: it was never lost */
   bt_endpoint_end_handler_t *end_handler;
 };
@@ -111,10 +113,10 @@
 }
 
 static void
-put_in_router (bt_context_t *ctx,
+update_router (bt_context_t *ctx,
                bt_endpoint_table_t *table,
                const bt_listed_endpoint_t *listed,
-               bool fresh,
+               bool is_new,
                int64_t now_ms)
 {
   bt_endpoint_t endpoint = { 0 };
@@ -126,19 +128,21 @@
   bt_copy_name (endpoint.failure_domain, listed->failure_domain);
   bt_put_endpoint (ctx, table->router, &endpoint, now_ms);
   bt_set_endpoint_leaving (table->router, &endpoint.identity, listed->leaving);
-  if (fresh)
+  if (is_new)
     bt_record_load (table->router, &endpoint.identity, &load, now_ms);
 }
 
 static void
-tell_endpoint (bt_context_t *ctx, const char *event, const bt_listed_endpoint_t *listed)
+log_endpoint (bt_context_t *ctx, const char *event, const bt_listed_endpoint_t *listed)
 {
   bt_log_event (ctx, BT_LOG_INFO, event, "{s:s, s:s, s:s}", "endpoint", listed->id, "app",
                 listed->app, "address", listed->address);
 }
 
 static void
-take_from_router (bt_context_t *ctx, bt_endpoint_table_t *table, const bt_listed_endpoint_t *listed)
+remove_from_router (bt_context_t *ctx,
+                    bt_endpoint_table_t *table,
+                    const bt_listed_endpoint_t *listed)
 {
   bt_identity_t identity;
 
@@ -148,81 +152,85 @@
     table->end_handler->on_end (table->end_handler, &identity);
 }
 
-/* An entry of a start that has ended may arrive late: the last write of that process, or a value that another writer still held. If it were applied, requests would be routed by the state of a process that no longer exists. */
+/* An entry of a start that has ended may arrive late: the last write of that process, or a value
+ * that another writer still held. If it were applied, requests would be routed by the state of a
+ * process that no longer exists. */
 static void
-pass_over (bt_context_t *ctx, table_row_t *row, const bt_listed_endpoint_t *listed)
+ignore_old_start (bt_context_t *ctx, table_row_t *row, const bt_listed_endpoint_t *listed)
 {
   row->missing_ms = 0;
-  if (row->old_ms == listed->started_ms && row->old_ms != 0)
+  if (row->ignored_start_ms == listed->started_ms && row->ignored_start_ms != 0)
     return;
-  row->old_ms = listed->started_ms;
+  row->ignored_start_ms = listed->started_ms;
   bt_log_event (ctx, BT_LOG_WARNING, "endpoint-old-start", "{s:s, s:I, s:I}", "endpoint",
                 listed->id, "started_ms", (json_int_t)listed->started_ms, "known_ms",
                 (json_int_t)row->listed.started_ms);
 }
 
-/* A restarted endpoint keeps nothing from before: its requests are lost, its slots are free, and what made it slow or gone may have ended with the process. The router would keep the record of its failures, so the earlier start is removed first. */
+/* A restarted endpoint keeps nothing from before: its requests are lost, its slots are free, and
+ * what made it slow or gone may have ended with the process. The router would keep the record of
+ * its failures, so the earlier start is removed first. */
 static void
-forget_start (bt_context_t *ctx,
-              bt_endpoint_table_t *table,
-              table_row_t *row,
-              const bt_listed_endpoint_t *listed)
+drop_earlier_start (bt_context_t *ctx,
+                    bt_endpoint_table_t *table,
+                    table_row_t *row,
+                    const bt_listed_endpoint_t *listed)
 {
   bt_log_event (ctx, BT_LOG_INFO, "endpoint-restarted", "{s:s, s:I, s:I}", "endpoint", listed->id,
                 "started_ms", (json_int_t)listed->started_ms, "before_ms",
                 (json_int_t)row->listed.started_ms);
-  take_from_router (ctx, table, &row->listed);
+  remove_from_router (ctx, table, &row->listed);
   memset (row, 0, sizeof *row);
 }
 
 static void
-put_row (bt_context_t *ctx,
-         bt_endpoint_table_t *table,
-         const bt_listed_endpoint_t *listed,
-         int64_t now_ms)
+apply_endpoint (bt_context_t *ctx,
+                bt_endpoint_table_t *table,
+                const bt_listed_endpoint_t *listed,
+                int64_t now_ms)
 {
   table_row_t *row = find_row (table, listed->id);
-  bool fresh = row == NULL;
+  bool is_new = row == NULL;
 
-  if (!fresh && listed->started_ms < row->listed.started_ms)
+  if (!is_new && listed->started_ms < row->listed.started_ms)
     {
-      pass_over (ctx, row, listed);
+      ignore_old_start (ctx, row, listed);
       return;
     }
-  if (!fresh && listed->started_ms > row->listed.started_ms)
+  if (!is_new && listed->started_ms > row->listed.started_ms)
     {
-      forget_start (ctx, table, row, listed);
-      fresh = true;
+      drop_earlier_start (ctx, table, row, listed);
+      is_new = true;
     }
-  else if (fresh)
+  else if (is_new)
     {
-      if (table->count == table->room)
+      if (table->count == table->capacity)
         {
-          table->room = 2 * table->room + 1;
-          table->rows = bt_realloc (ctx, table->rows, (size_t)table->room, sizeof *table->rows);
+          table->capacity = 2 * table->capacity + 1;
+          table->rows = bt_realloc (ctx, table->rows, (size_t)table->capacity, sizeof *table->rows);
         }
       row = &table->rows[table->count++];
       memset (row, 0, sizeof *row);
-      tell_endpoint (ctx, "endpoint-listed", listed);
+      log_endpoint (ctx, "endpoint-listed", listed);
     }
   else if (listed->leaving && !row->listed.leaving)
-    tell_endpoint (ctx, "endpoint-leaving", listed);
+    log_endpoint (ctx, "endpoint-leaving", listed);
   row->listed = *listed;
   row->missing_ms = 0;
   if (!row->gone)
-    put_in_router (ctx, table, listed, fresh, now_ms);
+    update_router (ctx, table, listed, is_new, now_ms);
 }
 
 /* Returns the time until which a missing endpoint is kept. */
 static int64_t
 get_keep_end_ms (const bt_endpoint_table_t *table, const table_row_t *row)
 {
-  int64_t relist_ms = table->regained_ms + RELIST_MS;
-  int64_t missing_ms = row->missing_ms + MISSING_MS;
+  int64_t relist_end_ms = table->regained_ms + RELIST_WAIT_MS;
+  int64_t missing_ms = row->missing_ms + MAX_MISSING_MS;
 
   if (table->regained_ms == 0 || row->listed.leaving)
     return 0;
-  return missing_ms < relist_ms ? missing_ms : relist_ms;
+  return missing_ms < relist_end_ms ? missing_ms : relist_end_ms;
 }
 
 int64_t
@@ -231,11 +239,11 @@
                            const bt_view_t *view,
                            int64_t now_ms)
 {
-  int64_t again_ms = 0;
+  int64_t next_apply_ms = 0;
   int64_t keep_end_ms;
 
   for (int32_t i = 0; i < view->endpoint_count; i++)
-    put_row (ctx, table, &view->endpoints[i], now_ms);
+    apply_endpoint (ctx, table, &view->endpoints[i], now_ms);
   for (int32_t i = table->count - 1; i >= 0; i--)
     {
       table_row_t *row = &table->rows[i];
@@ -247,19 +255,19 @@
       keep_end_ms = get_keep_end_ms (table, row);
       if (now_ms < keep_end_ms)
         {
-          if (again_ms == 0 || keep_end_ms < again_ms)
-            again_ms = keep_end_ms;
+          if (next_apply_ms == 0 || keep_end_ms < next_apply_ms)
+            next_apply_ms = keep_end_ms;
           continue;
         }
-      tell_endpoint (ctx, "endpoint-gone", &row->listed);
-      take_from_router (ctx, table, &row->listed);
+      log_endpoint (ctx, "endpoint-gone", &row->listed);
+      remove_from_router (ctx, table, &row->listed);
       *row = table->rows[--table->count];
     }
-  return again_ms;
+  return next_apply_ms;
 }
 
 void
-bt_note_store_regained (bt_endpoint_table_t *table, int64_t now_ms)
+bt_record_store_regained (bt_endpoint_table_t *table, int64_t now_ms)
 {
   table->regained_ms = now_ms;
 }
@@ -269,7 +277,7 @@
                            const bt_identity_t *identity,
                            int64_t now_ms)
 {
-  bt_set_endpoint_ended (table->router, identity, now_ms + ENDED_MS);
+  bt_set_endpoint_ended (table->router, identity, now_ms + ENDED_SUSPENSION_MS);
 }
 
 void
@@ -283,6 +291,6 @@
   if (row == NULL || row->gone || (uint64_t)row->listed.started_ms != identity->incarnation)
     return;
   row->gone = true;
-  tell_endpoint (ctx, "endpoint-replaced", &row->listed);
-  take_from_router (ctx, table, &row->listed);
+  log_endpoint (ctx, "endpoint-replaced", &row->listed);
+  remove_from_router (ctx, table, &row->listed);
 }
--- a/source/gateway/endpoint_table.h
+++ b/source/gateway/endpoint_table.h
@@ -10,7 +10,8 @@
 
 typedef struct bt_endpoint_table bt_endpoint_table_t;
 
-/** Handles the unannounced end of an endpoint's start, which is one process run under the endpoint's id. An end is announced when the endpoint was listed as leaving before. */
+/** Handles the unannounced end of an endpoint's start, which is one process run under the
+ * endpoint's id. An end is announced when the endpoint was listed as leaving before. */
 typedef struct bt_endpoint_end_handler
 {
   void (*on_end) (struct bt_endpoint_end_handler *handler, const bt_identity_t *endpoint);
@@ -24,16 +25,21 @@
 /** Sets the handler of unannounced ends; NULL for none. The handler must not change the table. */
 void bt_set_endpoint_end_handler (bt_endpoint_table_t *table, bt_endpoint_end_handler_t *handler);
 
-/** Applies a view of the store. An endpoint that was restarted under its id is treated as a new one: all state of its earlier start is dropped, and entries of a start older than the known one are ignored. An endpoint that the view does not list is removed. For some seconds after the store has become reachable again it is kept instead, since its entry may only have lapsed with the store. @return when to call again with the same view, ms, or 0. */
+/** Applies a view of the store. An endpoint that was restarted under its id is treated as a new
+ * one: all state of its earlier start is dropped, and entries of a start older than the known one
+ * are ignored. An endpoint that the view does not list is removed. For some seconds after the store
+ * has become reachable again it is kept instead, since its entry may only have lapsed with the
+ * store. @return when to call again with the same view, ms, or 0. */
 int64_t bt_apply_listed_endpoints (bt_context_t *ctx,
                                    bt_endpoint_table_t *table,
                                    const bt_view_t *view,
                                    int64_t now_ms);
 
 /** Records that the store was unreachable until @p now_ms. */
-void bt_note_store_regained (bt_endpoint_table_t *table, int64_t now_ms);
+void bt_record_store_regained (bt_endpoint_table_t *table, int64_t now_ms);
 
-/** Finds an endpoint by its id; NULL when there is none. The result is valid until the next change of the table. */
+/** Finds an endpoint by its id; NULL when there is none. The result is valid until the next change
+ * of the table. */
 const bt_listed_endpoint_t *bt_find_listed_endpoint (const bt_endpoint_table_t *table,
                                                      const char *id);
 
@@ -41,15 +47,18 @@
 const bt_listed_endpoint_t *bt_find_endpoint_at (const bt_endpoint_table_t *table,
                                                  const char *address);
 
-/** Returns true when information about the start at @p started_ms may be about the listed start: the two are equal, or one of them is unknown (0). */
+/** Returns true when information about the start at @p started_ms may be about the listed start:
+ * the two are equal, or one of them is unknown (0). */
 bool bt_is_listed_start (const bt_listed_endpoint_t *listed, int64_t started_ms);
 
-/** Removes a start of an endpoint that is known to be gone, until the store lists the endpoint anew. Does nothing when another start is listed by now. */
+/** Removes a start of an endpoint that is known to be gone, until the store lists the endpoint
+ * anew. Does nothing when another start is listed by now. */
 void bt_remove_listed_endpoint (bt_context_t *ctx,
                                 bt_endpoint_table_t *table,
                                 const bt_identity_t *identity);
 
-/** Records that a start of an endpoint has ended, as a closed port or another instance shows. It gets no requests for some seconds; by then its entry has gone, or the next start is listed. */
+/** Records that a start of an endpoint has ended, as a closed port or another instance shows. It
+ * gets no requests for some seconds; by then its entry has gone, or the next start is listed. */
 void bt_suspend_ended_endpoint (bt_endpoint_table_t *table,
                                 const bt_identity_t *identity,
                                 int64_t now_ms);
--- a/source/gateway/event_loop.c
+++ b/source/gateway/event_loop.c
@@ -12,30 +12,30 @@
 
 enum
 {
-  EVENTS_AT_ONCE = 64,
-  TASK_ROOM = 1024,
-  FIRST_TIMERS = 64,
+  MAX_EVENTS_PER_WAIT = 64,
+  TASK_QUEUE_CAPACITY = 1024,
+  INITIAL_TIMER_CAPACITY = 64,
   /* Maximum wait for events, ms. */
-  LONGEST_SLEEP_MS = 60000,
+  MAX_WAIT_MS = 60000,
 };
 
 struct bt_event_loop
 {
   bt_context_t *ctx;
   int epoll_fd;
-  bt_watch_t wake; /* an eventfd: signalled when a task is posted or the loop is to stop */
+  bt_watch_t wakeup_watch; /* an eventfd: signalled when a task is posted or the loop is to stop */
   bt_queue_t *tasks;
   atomic_bool stopping;
   bt_timer_t **timers; /* a min-heap by at_ms: timers[1] expires next */
   int32_t timer_count;
-  int32_t timer_room;
-  bt_turn_t *turns;
-  bool hurried;
+  int32_t timer_capacity;
+  bt_turn_t *hooks;
+  bool iteration_requested;
   int64_t now_ms;
 };
 
 static void
-take_wake (bt_watch_t *watch, uint32_t events)
+drain_wakeup (bt_watch_t *watch, uint32_t events)
 {
   uint64_t count;
 
@@ -49,20 +49,20 @@
   bt_event_loop_t *loop = bt_calloc (ctx, 1, sizeof *loop);
 
   loop->ctx = ctx;
-  loop->tasks = bt_new_queue (ctx, TASK_ROOM);
-  loop->timer_room = FIRST_TIMERS;
-  loop->timers = bt_calloc (ctx, FIRST_TIMERS, sizeof (bt_timer_t *));
+  loop->tasks = bt_new_queue (ctx, TASK_QUEUE_CAPACITY);
+  loop->timer_capacity = INITIAL_TIMER_CAPACITY;
+  loop->timers = bt_calloc (ctx, INITIAL_TIMER_CAPACITY, sizeof (bt_timer_t *));
   loop->now_ms = bt_now_ms (ctx);
   loop->epoll_fd = epoll_create1 (EPOLL_CLOEXEC);
-  loop->wake.fd = eventfd (0, EFD_CLOEXEC | EFD_NONBLOCK);
-  loop->wake.on_ready = take_wake;
-  if (loop->epoll_fd < 0 || loop->wake.fd < 0)
+  loop->wakeup_watch.fd = eventfd (0, EFD_CLOEXEC | EFD_NONBLOCK);
+  loop->wakeup_watch.on_ready = drain_wakeup;
+  if (loop->epoll_fd < 0 || loop->wakeup_watch.fd < 0)
     {
-      bt_set_error (error, BT_ERROR_SYSTEM, "Can't make an event loop: %s", strerror (errno));
+      bt_set_error (error, BT_ERROR_SYSTEM, "Can't create the event loop: %s", strerror (errno));
       bt_drop_event_loop (ctx, loop);
       return NULL;
     }
-  bt_set_watch (loop, &loop->wake, EPOLLIN);
+  bt_set_watch (loop, &loop->wakeup_watch, EPOLLIN);
   return loop;
 }
 
@@ -72,11 +72,11 @@
   if (loop == NULL)
     return;
   if (bt_pop_queue (loop->tasks) != NULL)
-    bt_log (ctx, BT_LOG_WARNING, BT_PART_MAIN, "Tasks were left when the event loop ended.");
+    bt_log (ctx, BT_LOG_WARNING, BT_PART_MAIN, "The event loop ended with tasks still queued.");
   if (loop->epoll_fd >= 0)
     close (loop->epoll_fd);
-  if (loop->wake.fd >= 0)
-    close (loop->wake.fd);
+  if (loop->wakeup_watch.fd >= 0)
+    close (loop->wakeup_watch.fd);
   bt_drop_queue (ctx, loop->tasks);
   bt_free (ctx, loop->timers);
   bt_free (ctx, loop);
@@ -87,7 +87,7 @@
 {
   const uint64_t one = 1;
 
-  if (write (loop->wake.fd, &one, sizeof one) < 0 && errno != EAGAIN)
+  if (write (loop->wakeup_watch.fd, &one, sizeof one) < 0 && errno != EAGAIN)
     bt_log (loop->ctx, BT_LOG_ERROR, BT_PART_MAIN, "Can't wake the event loop: %s",
             strerror (errno));
 }
@@ -116,7 +116,7 @@
   if (epoll_ctl (loop->epoll_fd, EPOLL_CTL_ADD, watch->fd, &event) == 0)
     return;
   if (errno != EEXIST || epoll_ctl (loop->epoll_fd, EPOLL_CTL_MOD, watch->fd, &event) != 0)
-    bt_log (loop->ctx, BT_LOG_ERROR, BT_PART_MAIN, "Can't watch descriptor %d: %s", watch->fd,
+    bt_log (loop->ctx, BT_LOG_ERROR, BT_PART_MAIN, "Can't watch file descriptor %d: %s", watch->fd,
             strerror (errno));
 }
 
@@ -128,87 +128,87 @@
 }
 
 static void
-put_timer (bt_event_loop_t *loop, bt_timer_t *timer, int32_t place)
+set_heap_entry (bt_event_loop_t *loop, bt_timer_t *timer, int32_t heap_index)
 {
-  loop->timers[place] = timer;
-  timer->place = place;
+  loop->timers[heap_index] = timer;
+  timer->heap_index = heap_index;
 }
 
 static void
-raise_timer (bt_event_loop_t *loop, bt_timer_t *timer)
+sift_up_timer (bt_event_loop_t *loop, bt_timer_t *timer)
 {
-  int32_t place = timer->place;
+  int32_t heap_index = timer->heap_index;
 
-  while (place > 1 && loop->timers[place / 2]->at_ms > timer->at_ms)
+  while (heap_index > 1 && loop->timers[heap_index / 2]->at_ms > timer->at_ms)
     {
-      put_timer (loop, loop->timers[place / 2], place);
-      place /= 2;
+      set_heap_entry (loop, loop->timers[heap_index / 2], heap_index);
+      heap_index /= 2;
     }
-  put_timer (loop, timer, place);
+  set_heap_entry (loop, timer, heap_index);
 }
 
 static void
-sink_timer (bt_event_loop_t *loop, bt_timer_t *timer)
+sift_down_timer (bt_event_loop_t *loop, bt_timer_t *timer)
 {
-  int32_t place = timer->place;
+  int32_t heap_index = timer->heap_index;
 
-  while (2 * place <= loop->timer_count)
+  while (2 * heap_index <= loop->timer_count)
     {
-      int32_t child = 2 * place;
+      int32_t child = 2 * heap_index;
 
       if (child < loop->timer_count && loop->timers[child + 1]->at_ms < loop->timers[child]->at_ms)
         child++;
       if (loop->timers[child]->at_ms >= timer->at_ms)
         break;
-      put_timer (loop, loop->timers[child], place);
-      place = child;
+      set_heap_entry (loop, loop->timers[child], heap_index);
+      heap_index = child;
     }
-  put_timer (loop, timer, place);
+  set_heap_entry (loop, timer, heap_index);
 }
 
 void
 bt_set_timer (bt_event_loop_t *loop, bt_timer_t *timer, int64_t at_ms)
 {
   bt_clear_timer (loop, timer);
-  if (loop->timer_count + 2 > loop->timer_room)
+  if (loop->timer_count + 2 > loop->timer_capacity)
     {
-      loop->timer_room *= 2;
+      loop->timer_capacity *= 2;
       loop->timers =
-          bt_realloc (loop->ctx, loop->timers, (size_t)loop->timer_room, sizeof (bt_timer_t *));
+          bt_realloc (loop->ctx, loop->timers, (size_t)loop->timer_capacity, sizeof (bt_timer_t *));
     }
   timer->at_ms = at_ms;
-  put_timer (loop, timer, ++loop->timer_count);
-  raise_timer (loop, timer);
+  set_heap_entry (loop, timer, ++loop->timer_count);
+  sift_up_timer (loop, timer);
 }
 
 void
 bt_clear_timer (bt_event_loop_t *loop, bt_timer_t *timer)
 {
-  int32_t place = timer->place;
+  int32_t heap_index = timer->heap_index;
   bt_timer_t *last;
 
-  if (place == 0)
+  if (heap_index == 0)
     return;
-  timer->place = 0;
+  timer->heap_index = 0;
   last = loop->timers[loop->timer_count--];
   if (last == timer)
     return;
-  put_timer (loop, last, place);
-  raise_timer (loop, last);
-  sink_timer (loop, last);
+  set_heap_entry (loop, last, heap_index);
+  sift_up_timer (loop, last);
+  sift_down_timer (loop, last);
 }
 
 void
-bt_add_turn (bt_event_loop_t *loop, bt_turn_t *turn)
+bt_add_turn (bt_event_loop_t *loop, bt_turn_t *hook)
 {
-  turn->next = loop->turns;
-  loop->turns = turn;
+  hook->next = loop->hooks;
+  loop->hooks = hook;
 }
 
 void
-bt_hurry_event_loop (bt_event_loop_t *loop)
+bt_request_loop_iteration (bt_event_loop_t *loop)
 {
-  loop->hurried = true;
+  loop->iteration_requested = true;
 }
 
 int64_t
@@ -218,17 +218,17 @@
 }
 
 static int
-get_sleep_ms (const bt_event_loop_t *loop)
+get_wait_ms (const bt_event_loop_t *loop)
 {
-  int64_t sleep_ms = LONGEST_SLEEP_MS;
+  int64_t wait_ms = MAX_WAIT_MS;
 
-  if (loop->hurried)
+  if (loop->iteration_requested)
     return 0;
   if (loop->timer_count > 0)
-    sleep_ms = loop->timers[1]->at_ms - bt_now_ms (loop->ctx);
-  if (sleep_ms < 0)
+    wait_ms = loop->timers[1]->at_ms - bt_now_ms (loop->ctx);
+  if (wait_ms < 0)
     return 0;
-  return sleep_ms > LONGEST_SLEEP_MS ? LONGEST_SLEEP_MS : (int)sleep_ms;
+  return wait_ms > MAX_WAIT_MS ? MAX_WAIT_MS : (int)wait_ms;
 }
 
 static void
@@ -255,14 +255,14 @@
 void
 bt_run_event_loop (bt_event_loop_t *loop)
 {
-  struct epoll_event events[EVENTS_AT_ONCE];
+  struct epoll_event events[MAX_EVENTS_PER_WAIT];
 
   while (!atomic_load (&loop->stopping))
     {
-      int count = epoll_wait (loop->epoll_fd, events, EVENTS_AT_ONCE, get_sleep_ms (loop));
+      int count = epoll_wait (loop->epoll_fd, events, MAX_EVENTS_PER_WAIT, get_wait_ms (loop));
 
       loop->now_ms = bt_now_ms (loop->ctx);
-      loop->hurried = false;
+      loop->iteration_requested = false;
       for (int i = 0; i < count; i++)
         {
           bt_watch_t *watch = events[i].data.ptr;
@@ -271,7 +271,7 @@
         }
       run_tasks (loop);
       run_timers (loop);
-      for (bt_turn_t *turn = loop->turns; turn != NULL; turn = turn->next)
-        turn->on_turn (turn);
+      for (bt_turn_t *hook = loop->hooks; hook != NULL; hook = hook->next)
+        hook->on_turn (hook);
     }
 }
--- a/source/gateway/event_loop.h
+++ b/source/gateway/event_loop.h
@@ -2,9 +2,12 @@
 #define BILBERRYTRAY_SOURCE_GATEWAY_EVENT_LOOP_H
 
 /** @file
- * The event loop of the one thread that serves callers and endpoints: file descriptors, timers, and tasks that other threads post. All functions except bt_post_task and bt_stop_event_loop must be called on that thread.
+ * The event loop of the one thread that serves callers and endpoints: file descriptors, timers, and
+ * tasks that other threads post. All functions except bt_post_task and bt_stop_event_loop must be
+ * called on that thread.
  *
- * An entry instance has a quarter of a core. A single thread with epoll spends none of it on locks and context switches, which a pool of worker threads would.
+ * An entry instance has a quarter of a core. A single thread with epoll spends none of it on locks
+ * and context switches, which a pool of worker threads would.
  */
 
 #include <stdbool.h>
@@ -15,7 +18,8 @@
 
 typedef struct bt_event_loop bt_event_loop_t;
 
-/** A watched file descriptor: embed it, set on_ready, and do not move it. @p events are epoll events. */
+/** A watched file descriptor: embed it, set on_ready, and do not move it. @p events are epoll
+ * events. */
 typedef struct bt_watch
 {
   void (*on_ready) (struct bt_watch *watch, uint32_t events);
@@ -27,7 +31,7 @@
 {
   void (*on_time) (struct bt_timer *timer);
   int64_t at_ms;
-  int32_t place; /**< Index in the heap, from 1; 0 when the timer is not set. */
+  int32_t heap_index; /**< Index in the heap, from 1; 0 when the timer is not set. */
 } bt_timer_t;
 
 /** A task that another thread posts: embed it and set run. */
@@ -39,7 +43,7 @@
 /** A callback that runs once in each iteration of the loop, after events, tasks and timers. */
 typedef struct bt_turn
 {
-  void (*on_turn) (struct bt_turn *turn);
+  void (*on_turn) (struct bt_turn *hook);
   struct bt_turn *next;
 } bt_turn_t;
 
@@ -51,10 +55,12 @@
 /** Runs the loop until bt_stop_event_loop. */
 void bt_run_event_loop (bt_event_loop_t *loop);
 
-/** Makes bt_run_event_loop return soon. Can be called from any thread, but not from a signal handler. */
+/** Makes bt_run_event_loop return soon. Can be called from any thread, but not from a signal
+ * handler. */
 void bt_stop_event_loop (bt_event_loop_t *loop);
 
-/** Queues a task for the loop. Can be called from any thread. @return false when the queue is full; the task is not taken. */
+/** Queues a task for the loop. Can be called from any thread. @return false when the queue is full;
+ * the task is not taken. */
 bool bt_post_task (bt_event_loop_t *loop, bt_task_t *task);
 
 /** Watches watch->fd for the epoll events @p events, or changes which events are watched. */
@@ -70,10 +76,10 @@
 void bt_clear_timer (bt_event_loop_t *loop, bt_timer_t *timer);
 
 /** Adds a callback for every iteration. It can't be removed. */
-void bt_add_turn (bt_event_loop_t *loop, bt_turn_t *turn);
+void bt_add_turn (bt_event_loop_t *loop, bt_turn_t *hook);
 
 /** Makes the loop run its next iteration without waiting for events. */
-void bt_hurry_event_loop (bt_event_loop_t *loop);
+void bt_request_loop_iteration (bt_event_loop_t *loop);
 
 /** Returns the time at which the current iteration began, ms. */
 int64_t bt_get_loop_ms (const bt_event_loop_t *loop);
--- a/source/gateway/exchange.c
+++ b/source/gateway/exchange.c
@@ -18,9 +18,9 @@
 {
   US_PER_MS = 1000,
   URL_BYTES = 64,
-  LINE_BYTES = 17408, /* longest header line: a value of 16 KiB and its name */
-  FIRST_BODY_BYTES = 1024,
-  IDLE_HANDLES = 16, /* kept for reuse; creating a handle takes about 20 us */
+  MAX_HEADER_LINE_BYTES = 17408, /* longest header line: a value of 16 KiB and its name */
+  MIN_BODY_CAPACITY = 1024,
+  MAX_IDLE_HANDLES = 16, /* kept for reuse; creating a handle takes about 20 us */
   FIRST_FINAL_STATUS = 200,
 };
 
@@ -34,14 +34,14 @@
   size_t answer_bytes;
   bt_exchange_state_t state;
   int32_t status;
-  bool head_whole;
-  bool progressed;
+  bool head_complete;
+  bool is_queued;
   bool dropped;
   CURLcode code;
   char *body;
   size_t body_bytes;
-  size_t body_room;
-  bt_exchange_t *next_ready;
+  size_t body_capacity;
+  bt_exchange_t *next_queued;
 };
 
 /** A socket that libcurl has watched. */
@@ -61,22 +61,24 @@
   bt_histogram_t *connect_times;
   bt_timer_t timer;
   bt_turn_t turn;
-  bt_exchange_t *first_ready; /* exchanges with a pending call of on_progress, or dropped and still in this list */
-  bt_exchange_t **last_ready;
-  socket_watch_t *closed; /* freed by run_pool: until then, events that were already read may refer to them */
-  CURL *idle[IDLE_HANDLES];
+  bt_exchange_t *first_queued; /* exchanges with a pending call of on_progress, or dropped and still
+                                  in this list */
+  bt_exchange_t **last_queued;
+  socket_watch_t *closed_sockets; /* freed by run_pool: until then, events that were already read
+                                     may refer to them */
+  CURL *idle_handles[MAX_IDLE_HANDLES];
   int32_t idle_count;
 };
 
 static void
-mark_ready (bt_exchange_t *exchange)
+queue_progress (bt_exchange_t *exchange)
 {
-  if (exchange->progressed)
+  if (exchange->is_queued)
     return;
-  exchange->progressed = true;
-  exchange->next_ready = NULL;
-  *exchange->pool->last_ready = exchange;
-  exchange->pool->last_ready = &exchange->next_ready;
+  exchange->is_queued = true;
+  exchange->next_queued = NULL;
+  *exchange->pool->last_queued = exchange;
+  exchange->pool->last_queued = &exchange->next_queued;
 }
 
 static void
@@ -90,7 +92,7 @@
 }
 
 static void
-note_connect (bt_exchange_pool_t *pool, CURL *curl)
+record_connect_time (bt_exchange_pool_t *pool, CURL *curl)
 {
   curl_off_t connect_us = 0;
   long connects = 0;
@@ -101,9 +103,10 @@
     bt_record_duration (pool->connect_times, connect_us / US_PER_MS);
 }
 
-/* Reads from libcurl how exchanges ended. A request of which no byte was sent did not run; after any other failure it may have run. */
+/* Reads from libcurl how exchanges ended. A request of which no byte was sent did not run; after
+ * any other failure it may have run. */
 static void
-collect_ends (bt_exchange_pool_t *pool)
+collect_results (bt_exchange_pool_t *pool)
 {
   CURLMsg *message;
   int left;
@@ -117,13 +120,13 @@
         continue;
       curl_easy_getinfo (message->easy_handle, CURLINFO_PRIVATE, (char **)&exchange);
       curl_easy_getinfo (message->easy_handle, CURLINFO_REQUEST_SIZE, &sent_bytes);
-      note_connect (pool, message->easy_handle);
+      record_connect_time (pool, message->easy_handle);
       exchange->code = message->data.result;
       if (exchange->code == CURLE_OK)
-        exchange->state = BT_EXCHANGE_WHOLE;
+        exchange->state = BT_EXCHANGE_COMPLETE;
       else
         exchange->state = sent_bytes == 0 ? BT_EXCHANGE_UNSENT : BT_EXCHANGE_BROKEN;
-      mark_ready (exchange);
+      queue_progress (exchange);
     }
 }
 
@@ -133,31 +136,31 @@
   bt_exchange_pool_t *pool =
       (bt_exchange_pool_t *)((char *)turn - offsetof (bt_exchange_pool_t, turn));
 
-  collect_ends (pool);
-  while (pool->first_ready != NULL)
+  collect_results (pool);
+  while (pool->first_queued != NULL)
     {
-      bt_exchange_t *exchange = pool->first_ready;
+      bt_exchange_t *exchange = pool->first_queued;
 
-      pool->first_ready = exchange->next_ready;
-      if (pool->first_ready == NULL)
-        pool->last_ready = &pool->first_ready;
-      exchange->progressed = false;
+      pool->first_queued = exchange->next_queued;
+      if (pool->first_queued == NULL)
+        pool->last_queued = &pool->first_queued;
+      exchange->is_queued = false;
       if (exchange->dropped)
         free_exchange (exchange);
       else
         exchange->handler->vtable->on_progress (exchange->handler, exchange);
     }
-  while (pool->closed != NULL)
+  while (pool->closed_sockets != NULL)
     {
-      socket_watch_t *watch = pool->closed;
+      socket_watch_t *watch = pool->closed_sockets;
 
-      pool->closed = watch->next_closed;
+      pool->closed_sockets = watch->next_closed;
       bt_free (pool->ctx, watch);
     }
 }
 
 static void
-act_on_socket (bt_watch_t *watch, uint32_t events)
+handle_socket_events (bt_watch_t *watch, uint32_t events)
 {
   socket_watch_t *socket = (socket_watch_t *)watch;
   int action = 0;
@@ -175,7 +178,7 @@
 }
 
 static void
-act_on_time (bt_timer_t *timer)
+handle_pool_timer (bt_timer_t *timer)
 {
   bt_exchange_pool_t *pool =
       (bt_exchange_pool_t *)((char *)timer - offsetof (bt_exchange_pool_t, timer));
@@ -198,8 +201,8 @@
         return 0;
       bt_clear_watch (pool->loop, &socket->watch);
       socket->watch.fd = -1;
-      socket->next_closed = pool->closed;
-      pool->closed = socket;
+      socket->next_closed = pool->closed_sockets;
+      pool->closed_sockets = socket;
       curl_multi_assign (pool->multi, fd, NULL);
       return 0;
     }
@@ -208,7 +211,7 @@
       socket = bt_calloc (pool->ctx, 1, sizeof *socket);
       socket->pool = pool;
       socket->watch.fd = fd;
-      socket->watch.on_ready = act_on_socket;
+      socket->watch.on_ready = handle_socket_events;
       curl_multi_assign (pool->multi, fd, socket);
     }
   if ((what & CURL_POLL_IN) != 0)
@@ -242,8 +245,8 @@
   pool->limits = *limits;
   pool->connect_times =
       bt_new_histogram (ctx, "bilberry_connect_ms", "New connections to endpoints.");
-  pool->last_ready = &pool->first_ready;
-  pool->timer.on_time = act_on_time;
+  pool->last_queued = &pool->first_queued;
+  pool->timer.on_time = handle_pool_timer;
   pool->turn.on_turn = run_pool;
   pool->multi = curl_multi_init ();
   curl_multi_setopt (pool->multi, CURLMOPT_SOCKETFUNCTION, watch_socket);
@@ -262,7 +265,7 @@
     return;
   run_pool (&pool->turn);
   for (int32_t i = 0; i < pool->idle_count; i++)
-    curl_easy_cleanup (pool->idle[i]);
+    curl_easy_cleanup (pool->idle_handles[i]);
   curl_multi_cleanup (pool->multi);
   bt_clear_timer (pool->loop, &pool->timer);
   run_pool (&pool->turn);
@@ -271,22 +274,22 @@
 }
 
 static size_t
-take_body (char *data, size_t size, size_t count, void *user)
+append_body (char *data, size_t size, size_t count, void *user)
 {
   bt_exchange_t *exchange = user;
   size_t bytes = size * count;
 
   if (exchange->body_bytes + bytes > exchange->answer_bytes)
     return CURL_WRITEFUNC_ERROR;
-  if (exchange->body_bytes + bytes + 1 > exchange->body_room)
+  if (exchange->body_bytes + bytes + 1 > exchange->body_capacity)
     {
-      exchange->body_room = 2 * (exchange->body_bytes + bytes) + FIRST_BODY_BYTES;
-      exchange->body = bt_realloc (exchange->pool->ctx, exchange->body, exchange->body_room, 1);
+      exchange->body_capacity = 2 * (exchange->body_bytes + bytes) + MIN_BODY_CAPACITY;
+      exchange->body = bt_realloc (exchange->pool->ctx, exchange->body, exchange->body_capacity, 1);
     }
   memcpy (exchange->body + exchange->body_bytes, data, bytes);
   exchange->body_bytes += bytes;
   exchange->body[exchange->body_bytes] = '\0';
-  mark_ready (exchange);
+  queue_progress (exchange);
   return bytes;
 }
 
@@ -305,11 +308,11 @@
 }
 
 static size_t
-take_header (char *data, size_t size, size_t count, void *user)
+handle_header (char *data, size_t size, size_t count, void *user)
 {
   bt_exchange_t *exchange = user;
   size_t bytes = size * count;
-  char line[LINE_BYTES];
+  char line[MAX_HEADER_LINE_BYTES];
   char *value;
   long status = 0;
 
@@ -319,13 +322,13 @@
   line[bytes] = '\0';
   curl_easy_getinfo (exchange->curl, CURLINFO_RESPONSE_CODE, &status);
   /* An interim answer (1xx) has its own head, which is not that of the final answer. */
-  if (exchange->head_whole || status < FIRST_FINAL_STATUS)
+  if (exchange->head_complete || status < FIRST_FINAL_STATUS)
     return bytes;
   if (strcmp (line, "\r\n") == 0 || strcmp (line, "\n") == 0)
     {
-      exchange->head_whole = true;
+      exchange->head_complete = true;
       exchange->status = (int32_t)status;
-      mark_ready (exchange);
+      queue_progress (exchange);
       return bytes;
     }
   if (split_header (line, &value))
@@ -333,15 +336,17 @@
   return bytes;
 }
 
-/* The kernel retransmits to a host that is gone for many minutes, unless it is given a time limit. */
+/* The kernel retransmits to a host that is gone for many minutes, unless it is given a time
+ * limit. */
 static int
-bound_silence (void *user, curl_socket_t fd, curlsocktype purpose)
+limit_unacknowledged_time (void *user, curl_socket_t fd, curlsocktype purpose)
 {
   const bt_exchange_pool_t *pool = user;
-  unsigned int silent_ms = (unsigned int)pool->limits.silent_ms;
+  unsigned int max_unacknowledged_ms = (unsigned int)pool->limits.max_unacknowledged_ms;
 
   (void)purpose;
-  setsockopt (fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &silent_ms, sizeof silent_ms);
+  setsockopt (fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &max_unacknowledged_ms,
+              sizeof max_unacknowledged_ms);
   return CURL_SOCKOPT_OK;
 }
 
@@ -378,11 +383,11 @@
   curl_easy_setopt (curl, CURLOPT_FRESH_CONNECT, 1L);
   curl_easy_setopt (curl, CURLOPT_FORBID_REUSE, 1L);
   curl_easy_setopt (curl, CURLOPT_CONNECTTIMEOUT_MS, (long)exchange->pool->limits.connect_ms);
-  curl_easy_setopt (curl, CURLOPT_SOCKOPTFUNCTION, bound_silence);
+  curl_easy_setopt (curl, CURLOPT_SOCKOPTFUNCTION, limit_unacknowledged_time);
   curl_easy_setopt (curl, CURLOPT_SOCKOPTDATA, exchange->pool);
-  curl_easy_setopt (curl, CURLOPT_WRITEFUNCTION, take_body);
+  curl_easy_setopt (curl, CURLOPT_WRITEFUNCTION, append_body);
   curl_easy_setopt (curl, CURLOPT_WRITEDATA, exchange);
-  curl_easy_setopt (curl, CURLOPT_HEADERFUNCTION, take_header);
+  curl_easy_setopt (curl, CURLOPT_HEADERFUNCTION, handle_header);
   curl_easy_setopt (curl, CURLOPT_HEADERDATA, exchange);
   curl_easy_setopt (curl, CURLOPT_PRIVATE, exchange);
   set_method (curl, request);
@@ -394,27 +399,30 @@
                  const bt_exchange_request_t *request,
                  bt_exchange_handler_t *handler)
 {
-  static const char *const unsent[] = { "Accept:", "Content-Type:", "Expect:", "User-Agent:" };
+  static const char *const suppressed[] = { "Accept:", "Content-Type:", "Expect:", "User-Agent:" };
   bt_exchange_t *exchange = bt_calloc (ctx, 1, sizeof *exchange);
 
   exchange->pool = pool;
   exchange->handler = handler;
   exchange->target = bt_strdup (ctx, request->target);
   exchange->answer_bytes = request->answer_bytes;
-  exchange->curl = pool->idle_count > 0 ? pool->idle[--pool->idle_count] : curl_easy_init ();
+  exchange->curl =
+      pool->idle_count > 0 ? pool->idle_handles[--pool->idle_count] : curl_easy_init ();
   set_options (exchange, request);
-  /* libcurl would add these headers by itself. A header that the caller sent follows later in the list and is sent. */
-  for (size_t i = 0; i < sizeof unsent / sizeof unsent[0]; i++)
-    exchange->headers = curl_slist_append (exchange->headers, unsent[i]);
+  /* libcurl would add these headers by itself. A header that the caller sent follows later in the
+   * list and is sent. */
+  for (size_t i = 0; i < sizeof suppressed / sizeof suppressed[0]; i++)
+    exchange->headers = curl_slist_append (exchange->headers, suppressed[i]);
   return exchange;
 }
 
 void
 bt_add_exchange_header (bt_exchange_t *exchange, const char *name, const char *value)
 {
-  char line[LINE_BYTES];
+  char line[MAX_HEADER_LINE_BYTES];
 
-  /* libcurl omits a header that ends with its colon; with a semicolon it sends the header with an empty value. */
+  /* libcurl omits a header that ends with its colon; with a semicolon it sends the header with an
+   * empty value. */
   snprintf (line, sizeof line, value[0] == '\0' ? "%s;" : "%s: %s", name, value);
   exchange->headers = curl_slist_append (exchange->headers, line);
 }
@@ -438,16 +446,16 @@
   curl_multi_remove_handle (pool->multi, exchange->curl);
   curl_slist_free_all (exchange->headers);
   exchange->headers = NULL;
-  if (pool->idle_count < IDLE_HANDLES)
+  if (pool->idle_count < MAX_IDLE_HANDLES)
     {
       curl_easy_reset (exchange->curl);
-      pool->idle[pool->idle_count++] = exchange->curl;
+      pool->idle_handles[pool->idle_count++] = exchange->curl;
     }
   else
     curl_easy_cleanup (exchange->curl);
   exchange->curl = NULL;
   exchange->dropped = true;
-  if (!exchange->progressed)
+  if (!exchange->is_queued)
     free_exchange (exchange);
 }
 
@@ -471,7 +479,7 @@
 }
 
 void
-bt_take_exchange_body (bt_exchange_t *exchange, size_t bytes)
+bt_consume_exchange_body (bt_exchange_t *exchange, size_t bytes)
 {
   exchange->body_bytes -= bytes;
   if (exchange->body == NULL)
@@ -481,7 +489,7 @@
 }
 
 const char *
-bt_get_exchange_fault (const bt_exchange_t *exchange)
+bt_get_exchange_error (const bt_exchange_t *exchange)
 {
   return curl_easy_strerror (exchange->code);
 }
--- a/source/gateway/exchange.h
+++ b/source/gateway/exchange.h
@@ -2,9 +2,12 @@
 #define BILBERRYTRAY_SOURCE_GATEWAY_EXCHANGE_H
 
 /** @file
- * HTTP exchanges with endpoints, by libcurl on the event loop. Each request is sent once, on its own connection.
+ * HTTP exchanges with endpoints, by libcurl on the event loop. Each request is sent once, on its
+ * own connection.
  *
- * libcurl resends a request by itself when a reused connection turns out to be closed, and a late second answer on a reused connection would be read as the answer to the next request. A fresh connection excludes both: no request is sent twice, and bytes after an answer are discarded.
+ * libcurl resends a request by itself when a reused connection turns out to be closed, and a late
+ * second answer on a reused connection would be read as the answer to the next request. A fresh
+ * connection excludes both: no request is sent twice, and bytes after an answer are discarded.
  */
 
 #include "bilberrytray/base/error.h"
@@ -18,7 +21,7 @@
 typedef enum bt_exchange_state
 {
   BT_EXCHANGE_OPEN = 0, /**< In progress. */
-  BT_EXCHANGE_WHOLE,    /**< The complete answer has arrived. */
+  BT_EXCHANGE_COMPLETE, /**< The complete answer has arrived. */
   BT_EXCHANGE_UNSENT,   /**< It failed before any byte of the request was sent. */
   BT_EXCHANGE_BROKEN,   /**< The request was sent, but no complete answer arrived. */
 } bt_exchange_state_t;
@@ -45,14 +48,16 @@
   const char *target;
   const char *body; /**< Must outlive the exchange; NULL for none. */
   size_t body_bytes;
-  size_t answer_bytes; /**< Maximum size of the body that is buffered at a time; a larger one fails the exchange. */
+  size_t answer_bytes; /**< Maximum size of the body that is buffered at a time; a larger one fails
+                          the exchange. */
 } bt_exchange_request_t;
 
 /** Limits that all exchanges share. */
 typedef struct bt_exchange_limits
 {
   int64_t connect_ms;
-  int64_t silent_ms; /**< A peer that acknowledges no data for this long is considered gone. */
+  int64_t max_unacknowledged_ms; /**< A peer that acknowledges no data for this long is considered
+                                    gone. */
 } bt_exchange_limits_t;
 
 bt_exchange_pool_t *
@@ -79,13 +84,14 @@
 /** Returns the status code of the answer; 0 until its head is complete. */
 int32_t bt_get_exchange_status (const bt_exchange_t *exchange);
 
-/** Returns the part of the body that has arrived and was not consumed yet, followed by a zero byte. */
+/** Returns the part of the body that has arrived and was not consumed yet, followed by a zero
+ * byte. */
 const char *bt_peek_exchange_body (const bt_exchange_t *exchange, size_t *bytes);
 
 /** Removes the first @p bytes bytes from the buffered body. */
-void bt_take_exchange_body (bt_exchange_t *exchange, size_t bytes);
+void bt_consume_exchange_body (bt_exchange_t *exchange, size_t bytes);
 
 /** Returns the error that ended an exchange without a complete answer. */
-const char *bt_get_exchange_fault (const bt_exchange_t *exchange);
+const char *bt_get_exchange_error (const bt_exchange_t *exchange);
 
 #endif
--- a/source/gateway/forward.c
+++ b/source/gateway/forward.c
@@ -11,15 +11,18 @@
   MS_PER_S = 1000,
   NUMBER_BYTES = 24,
   RETRY_AFTER_BYTES = 32,
-  /* Interval at which queued requests are checked, in addition to the check after each request's end and each report. */
-  PUMP_MS = 10,
-  /* The caller's deadline runs from when it sent the request, and the answer has to travel back. Covers two long network delays between a caller and an entry, and one iteration of the loop. */
-  CALLER_WAY_MS = 10,
+  /* Interval at which queued requests are checked, in addition to the check after each request's
+   * end and each report. */
+  QUEUE_CHECK_MS = 10,
+  /* The caller's deadline runs from when it sent the request, and the answer has to travel back.
+   * Covers two long network delays between a caller and an entry, and one iteration of the loop. */
+  CALLER_DELAY_MS = 10,
   /* Used when nothing is free: a run takes about a second, so half a second later something is. */
-  RETRY_AFTER_LEAST_MS = 300,
+  MIN_RETRY_AFTER_MS = 300,
   RETRY_AFTER_SPREAD_MS = 700,
-  /* Divisor for the time in which callers expect the first part of an answer: an endpoint with a free slot takes nearly half of it to read a usual prompt. */
-  FIRST_PART = 2,
+  /* Divisor for the time in which callers expect the first part of an answer: an endpoint with a
+   * free slot takes nearly half of it to read a usual prompt. */
+  FIRST_PART_DIVISOR = 2,
   /* Entries learn the configuration within about this time. */
   NOT_READY_RETRY_MS = 500,
   /* Another instance can take the request at once. */
@@ -37,7 +40,7 @@
 int64_t
 bt_draw_retry_after_ms (bt_gateway_t *gateway)
 {
-  return RETRY_AFTER_LEAST_MS + (int64_t)bt_random_below (&gateway->random, RETRY_AFTER_SPREAD_MS);
+  return MIN_RETRY_AFTER_MS + (int64_t)bt_random_below (&gateway->random, RETRY_AFTER_SPREAD_MS);
 }
 
 bool
@@ -49,7 +52,7 @@
 }
 
 static void
-link_forward (bt_gateway_t *gateway, bt_forward_t *forward)
+add_forward (bt_gateway_t *gateway, bt_forward_t *forward)
 {
   forward->next = gateway->first_forward;
   if (forward->next != NULL)
@@ -59,7 +62,7 @@
 }
 
 static void
-unlink_forward (bt_gateway_t *gateway, bt_forward_t *forward)
+remove_forward (bt_gateway_t *gateway, bt_forward_t *forward)
 {
   if (forward->previous != NULL)
     forward->previous->next = forward->next;
@@ -71,7 +74,10 @@
 }
 
 static void
-log_end (const bt_forward_t *forward, bt_outcome_t outcome, bt_reason_t reason, int32_t status)
+log_request_end (const bt_forward_t *forward,
+                 bt_outcome_t outcome,
+                 bt_reason_t reason,
+                 int32_t status)
 {
   bt_gateway_t *gateway = forward->gateway;
   int64_t now_ms = bt_get_loop_ms (gateway->loop);
@@ -99,26 +105,26 @@
   bt_context_t *ctx = gateway->ctx;
 
   bt_count_outcome (ctx, outcome);
-  log_end (forward, outcome, reason, status);
+  log_request_end (forward, outcome, reason, status);
   bt_record_duration (gateway->timings.total, bt_get_loop_ms (gateway->loop) - forward->arrived_ms);
   bt_clear_timer (gateway->loop, &forward->timer);
   bt_end_forward_attempt (forward, BT_ATTEMPT_CANCELLED);
-  unlink_forward (gateway, forward);
-  bt_drop_front_call (ctx, forward->call);
+  remove_forward (gateway, forward);
+  bt_drop_frontend_call (ctx, forward->call);
   bt_drop_declarations (ctx, forward->declarations);
-  bt_free_front_header_list (ctx, forward->headers, forward->header_count);
+  bt_free_frontend_header_list (ctx, forward->headers, forward->header_count);
   bt_free (ctx, forward);
 }
 
 static void
-add_retry_after (bt_front_call_t *call, int64_t retry_after_ms)
+add_retry_after (bt_frontend_call_t *call, int64_t retry_after_ms)
 {
   char text[RETRY_AFTER_BYTES];
 
   if (retry_after_ms <= 0)
     return;
   snprintf (text, sizeof text, "%.3f", (double)retry_after_ms / MS_PER_S);
-  bt_add_front_header (call, "Retry-After", text);
+  bt_add_frontend_header (call, "Retry-After", text);
 }
 
 void
@@ -132,19 +138,19 @@
   bt_end_forward_attempt (forward, BT_ATTEMPT_CANCELLED);
   if (forward->state == BT_FORWARD_STREAMING)
     {
-      bt_end_front_stream (forward->call, BT_STREAM_CUT);
+      bt_end_frontend_stream (forward->call, BT_STREAM_CUT_OFF);
       bt_finish_forward (forward, BT_OUTCOME_UNKNOWN, reason, 0);
       return;
     }
   add_retry_after (forward->call, retry_after_ms);
-  bt_add_front_header (forward->call, "Bilberry-Reason", bt_name_reason (reason));
-  bt_answer_front_call (forward->call, status, "", 0);
+  bt_add_frontend_header (forward->call, "Bilberry-Reason", bt_name_reason (reason));
+  bt_answer_frontend_call (forward->call, status, "", 0);
   bt_finish_forward (forward, outcome, reason, status);
 }
 
 /* Ends a request whose time limit, the caller's or the rule's, has passed. */
 static void
-end_by_time (bt_timer_t *timer)
+handle_deadline (bt_timer_t *timer)
 {
   bt_forward_t *forward = (bt_forward_t *)((char *)timer - offsetof (bt_forward_t, timer));
   bt_gateway_t *gateway = forward->gateway;
@@ -159,9 +165,9 @@
 }
 
 static void
-pump_by_time (bt_timer_t *timer)
+handle_queue_timer (bt_timer_t *timer)
 {
-  bt_pump_forwards ((bt_gateway_t *)((char *)timer - offsetof (bt_gateway_t, pump_timer)));
+  bt_pump_forwards ((bt_gateway_t *)((char *)timer - offsetof (bt_gateway_t, queue_timer)));
 }
 
 static bt_forward_t *
@@ -200,17 +206,18 @@
       else
         bt_refuse_forward (forward, decision.reason, decision.retry_after_ms);
     }
-  gateway->pump_timer.on_time = pump_by_time;
+  gateway->queue_timer.on_time = handle_queue_timer;
   if (is_any_waiting (gateway))
-    bt_set_timer (gateway->loop, &gateway->pump_timer, now_ms + PUMP_MS);
+    bt_set_timer (gateway->loop, &gateway->queue_timer, now_ms + QUEUE_CHECK_MS);
 }
 
-/* Returns the time left until the caller expects the first part of the answer, less what an endpoint takes for it, at least 1; 0 when the rule states no such time. */
+/* Returns the time left until the caller expects the first part of the answer, less what an
+ * endpoint takes for it, at least 1; 0 when the rule states no such time. */
 static int64_t
-get_aim_left_ms (const bt_forward_t *forward, int64_t now_ms)
+get_queue_time_left_ms (const bt_forward_t *forward, int64_t now_ms)
 {
   int64_t aim_ms = forward->rule->then.aim_ms;
-  int64_t left_ms = forward->arrived_ms + aim_ms - aim_ms / FIRST_PART - now_ms;
+  int64_t left_ms = forward->arrived_ms + aim_ms - aim_ms / FIRST_PART_DIVISOR - now_ms;
 
   if (aim_ms == 0)
     return 0;
@@ -229,8 +236,8 @@
     .account = forward->account,
     .share = 1,
     .priority = (int32_t)forward->priority,
-    .deadline_left_ms = forward->end_ms - now_ms,
-    .aim_left_ms = get_aim_left_ms (forward, now_ms),
+    .deadline_left_ms = forward->deadline_ms - now_ms,
+    .aim_left_ms = get_queue_time_left_ms (forward, now_ms),
     .seed = bt_draw_gateway_seed (gateway),
   };
   bt_admission_decision_t decision;
@@ -246,25 +253,25 @@
   else if (decision.action == BT_ADMISSION_REFUSE)
     bt_refuse_forward (forward, decision.reason, decision.retry_after_ms);
   else
-    bt_set_timer (gateway->loop, &gateway->pump_timer, now_ms + PUMP_MS);
+    bt_set_timer (gateway->loop, &gateway->queue_timer, now_ms + QUEUE_CHECK_MS);
 }
 
 /* Matches a rule, and authenticates the caller only where the rule requires an account. */
 static bt_reason_t
-judge (bt_forward_t *forward, const char *path)
+match_and_authenticate (bt_forward_t *forward, const char *path)
 {
   const bt_declarations_t *declarations = forward->declarations;
-  const char *token = bt_find_front_header (forward->call, "Authorization");
-  const char *host = bt_find_front_header (forward->call, "Host");
+  const char *token = bt_find_frontend_header (forward->call, "Authorization");
+  const char *host = bt_find_frontend_header (forward->call, "Host");
   bt_header_t header = { "Host", host == NULL ? "" : host };
   bt_request_facts_t facts = {
     .account = "",
     .app = "",
-    .method = bt_get_front_request (forward->call)->method,
+    .method = bt_get_frontend_request (forward->call)->method,
     .path = path,
     .headers = &header,
     .header_count = 1,
-    .body_bytes = (int64_t)bt_get_front_request (forward->call)->body_bytes,
+    .body_bytes = (int64_t)bt_get_frontend_request (forward->call)->body_bytes,
     .priority = BT_PRIORITY_NORMAL,
   };
   int32_t rule = bt_match_rules (declarations, &facts);
@@ -301,9 +308,9 @@
 }
 
 static void
-read_facts (bt_forward_t *forward)
+read_call_headers (bt_forward_t *forward)
 {
-  const bt_front_request_t *request = bt_get_front_request (forward->call);
+  const bt_frontend_request_t *request = bt_get_frontend_request (forward->call);
   const bt_platform_t *platform = forward->gateway->platform;
 
   for (int32_t i = 0; i < request->header_count; i++)
@@ -312,23 +319,24 @@
 }
 
 static void
-set_end (bt_forward_t *forward)
+set_deadline (bt_forward_t *forward)
 {
   int64_t limit_ms = forward->rule->then.deadline_ms;
 
   if (limit_ms <= 0)
     limit_ms = forward->declarations->apps[forward->rule->then.app].deadline_ms;
-  forward->end_ms = forward->arrived_ms + limit_ms;
+  forward->deadline_ms = forward->arrived_ms + limit_ms;
   if (forward->facts.deadline_ms > 0
-      && forward->arrived_ms + forward->facts.deadline_ms - CALLER_WAY_MS < forward->end_ms)
-    forward->end_ms = forward->arrived_ms + forward->facts.deadline_ms - CALLER_WAY_MS;
-  forward->timer.on_time = end_by_time;
-  bt_set_timer (forward->gateway->loop, &forward->timer, forward->end_ms);
+      && forward->arrived_ms + forward->facts.deadline_ms - CALLER_DELAY_MS < forward->deadline_ms)
+    forward->deadline_ms = forward->arrived_ms + forward->facts.deadline_ms - CALLER_DELAY_MS;
+  forward->timer.on_time = handle_deadline;
+  bt_set_timer (forward->gateway->loop, &forward->timer, forward->deadline_ms);
 }
 
-/* Returns when a request that was refused before admission may be sent again, ms; 0: sending it again is no use. */
+/* Returns when a request that was refused before admission may be sent again, ms; 0: sending it
+ * again is no use. */
 static int64_t
-get_early_retry_ms (bt_reason_t reason)
+get_unadmitted_retry_ms (bt_reason_t reason)
 {
   if (reason == BT_REASON_NOT_READY)
     return NOT_READY_RETRY_MS;
@@ -336,9 +344,9 @@
 }
 
 void
-bt_start_forward (bt_gateway_t *gateway, bt_front_call_t *call)
+bt_start_forward (bt_gateway_t *gateway, bt_frontend_call_t *call)
 {
-  const bt_front_request_t *request = bt_get_front_request (call);
+  const bt_frontend_request_t *request = bt_get_frontend_request (call);
   bt_forward_t *forward = bt_calloc (gateway->ctx, 1, sizeof *forward);
   bt_reason_t reason = BT_REASON_NOT_READY;
   char *path = copy_path (gateway->ctx, request->target);
@@ -347,46 +355,47 @@
   forward->call = call;
   forward->id = ++gateway->last_forward_id;
   forward->arrived_ms = request->arrived_ms;
-  link_forward (gateway, forward);
-  bt_set_front_call_data (call, forward);
-  read_facts (forward);
+  add_forward (gateway, forward);
+  bt_set_frontend_call_data (call, forward);
+  read_call_headers (forward);
   if (bt_is_gateway_closing (gateway))
     reason = BT_REASON_STOPPING;
   else if (gateway->view != NULL && gateway->view->declarations != NULL)
     {
       forward->declarations = bt_keep_declarations (gateway->view->declarations);
-      reason = judge (forward, path);
+      reason = match_and_authenticate (forward, path);
     }
   bt_free (gateway->ctx, path);
   if (reason == BT_REASON_NONE)
     {
-      set_end (forward);
-      if (!bt_may_gateway_take (gateway, forward->end_ms))
+      set_deadline (forward);
+      if (!bt_may_gateway_accept (gateway, forward->deadline_ms))
         reason = BT_REASON_STOPPING;
     }
   if (reason != BT_REASON_NONE)
-    bt_refuse_forward (forward, reason, get_early_retry_ms (reason));
+    bt_refuse_forward (forward, reason, get_unadmitted_retry_ms (reason));
   else
     admit (forward);
 }
 
 void
-bt_abandon_forward (bt_gateway_t *gateway, bt_front_call_t *call)
+bt_abandon_forward (bt_gateway_t *gateway, bt_frontend_call_t *call)
 {
-  bt_forward_t *forward = bt_get_front_call_data (call);
+  bt_forward_t *forward = bt_get_frontend_call_data (call);
 
   if (forward == NULL)
     return;
-  bt_set_front_call_data (call, NULL);
+  bt_set_frontend_call_data (call, NULL);
   if (forward->state == BT_FORWARD_WAITING)
     bt_cancel_admission (gateway->admission, forward->id);
   bt_finish_forward (forward, BT_OUTCOME_UNKNOWN, BT_REASON_CANCELLED, 0);
   bt_pump_forwards (gateway);
 }
 
-/* A request that was sent may have run. An answer that says so is better than a broken connection, from which the caller can't tell whether the request was read at all. */
+/* A request that was sent may have run. An answer that says so is better than a broken connection,
+ * from which the caller can't tell whether the request was read at all. */
 static void
-cut_forward (bt_forward_t *forward)
+abort_forward (bt_forward_t *forward)
 {
   if (forward->state == BT_FORWARD_WAITING)
     {
@@ -398,8 +407,8 @@
 }
 
 void
-bt_cut_forwards (bt_gateway_t *gateway)
+bt_abort_forwards (bt_gateway_t *gateway)
 {
   while (gateway->first_forward != NULL)
-    cut_forward (gateway->first_forward);
+    abort_forward (gateway->first_forward);
 }
--- a/source/gateway/forward.h
+++ b/source/gateway/forward.h
@@ -2,7 +2,8 @@
 #define BILBERRYTRAY_SOURCE_GATEWAY_FORWARD_H
 
 /** @file
- * One request of a caller, from matching its rule to the end of its answer. Included only by the files of the forwarding path.
+ * One request of a caller, from matching its rule to the end of its answer. Included only by the
+ * files of the forwarding path.
  */
 
 #include "bilberrytray/config/rule.h"
@@ -29,16 +30,18 @@
 /** A request under way. */
 typedef struct bt_forward
 {
-  bt_exchange_handler_t handler; /**< Must be the first member: the callbacks cast it to bt_forward_t. */
+  bt_exchange_handler_t
+      handler; /**< Must be the first member: the callbacks cast it to bt_forward_t. */
   bt_gateway_t *gateway;
   struct bt_forward *next; /**< In the list of all requests under way. */
   struct bt_forward *previous;
   uint64_t id; /**< Identifies the request in admission. */
   bt_forward_state_t state;
-  bt_front_call_t *call; /**< NULL once it was released. */
-  bt_timer_t timer;      /**< Expires at deadline_ms. */
+  bt_frontend_call_t *call; /**< NULL once it was released. */
+  bt_timer_t timer;         /**< Expires at deadline_ms. */
 
-  bt_declarations_t *declarations; /**< Held from the match to the last retry, so that one revision decides. */
+  bt_declarations_t
+      *declarations; /**< Held from the match to the last retry, so that one revision decides. */
   const bt_rule_t *rule;
   const char *app;
   char account[BT_NAME_BYTES]; /**< "" for callers that need none. */
@@ -47,7 +50,7 @@
   bt_fingerprint_t fingerprint;
   bool has_fingerprint; /**< The fingerprint has been computed. */
   int64_t arrived_ms;
-  int64_t end_ms; /**< When the caller's or the rule's time limit ends, whichever is first. */
+  int64_t deadline_ms; /**< When the caller's or the rule's time limit ends, whichever is first. */
 
   bt_exchange_t *exchange; /**< The attempt under way, or NULL. */
   bt_route_t route;
@@ -59,7 +62,7 @@
   int32_t sends;
   int32_t runs; /**< Attempts that may have run. */
   bt_answer_facts_t answer;
-  bt_front_header_t *headers; /**< Headers of the present attempt's answer that are passed on. */
+  bt_frontend_header_t *headers; /**< Headers of the present attempt's answer that are passed on. */
   int32_t header_count;
   bt_event_stream_t events; /**< The events of a stream that the caller has received. */
 } bt_forward_t;
@@ -74,25 +77,30 @@
 void bt_end_forward_attempt (bt_forward_t *forward, bt_attempt_end_t end);
 
 /** Records that the endpoint broke off an attempt that may have run there. */
-void bt_note_forward_broken (bt_forward_t *forward);
+void bt_record_broken_attempt (bt_forward_t *forward);
 
 /** Records that the present attempt brought a complete answer. */
-void bt_note_forward_answered (bt_forward_t *forward);
+void bt_record_answered_attempt (bt_forward_t *forward);
 
-/** Returns true when the request may run once more after an attempt that may have run: it is repeatable, and no endpoint is known to have crashed while running it. */
+/** Returns true when the request may run once more after an attempt that may have run: it is
+ * repeatable, and no endpoint is known to have crashed while running it. */
 bool bt_may_forward_run_again (bt_forward_t *forward);
 
-/** Returns true when the request crashes the endpoints that run it and is to be refused. It may be sent again after @p retry_after_ms. */
+/** Returns true when the request crashes the endpoints that run it and is to be refused. It may be
+ * sent again after @p retry_after_ms. */
 bool bt_check_forward_crashing (bt_forward_t *forward, int64_t *retry_after_ms);
 
-/** Ends the request with an answer that the gateway makes itself. When part of a stream was delivered, the connection is broken instead. @p retry_after_ms 0: the answer states none. */
+/** Ends the request with an answer that the gateway makes itself. When part of a stream was
+ * delivered, the connection is broken instead. @p retry_after_ms 0: the answer states none. */
 void bt_refuse_forward (bt_forward_t *forward, bt_reason_t reason, int64_t retry_after_ms);
 
-/** Logs the end of a request and frees it. @p outcome and @p reason say how it ended; @p status is what the caller got, 0 for nothing. */
+/** Logs the end of a request and frees it. @p outcome and @p reason say how it ended; @p status is
+ * what the caller got, 0 for nothing. */
 void
 bt_finish_forward (bt_forward_t *forward, bt_outcome_t outcome, bt_reason_t reason, int32_t status);
 
-/** Returns when callers that found no free endpoint may retry, ms. The times are spread at random, so that callers that were refused together do not return together. */
+/** Returns when callers that found no free endpoint may retry, ms. The times are spread at random,
+ * so that callers that were refused together do not return together. */
 int64_t bt_draw_retry_after_ms (bt_gateway_t *gateway);
 
 #endif
--- a/source/gateway/forward_crashes.c
+++ b/source/gateway/forward_crashes.c
@@ -5,7 +5,7 @@
 static const bt_fingerprint_t *
 get_fingerprint (bt_forward_t *forward)
 {
-  const bt_front_request_t *request = bt_get_front_request (forward->call);
+  const bt_frontend_request_t *request = bt_get_frontend_request (forward->call);
   bt_request_content_t content = {
     .account = forward->account,
     .method = request->method,
@@ -27,7 +27,7 @@
 }
 
 void
-bt_note_forward_broken (bt_forward_t *forward)
+bt_record_broken_attempt (bt_forward_t *forward)
 {
   bt_gateway_t *gateway = forward->gateway;
   bt_crash_t attempt = describe_attempt (forward);
@@ -40,14 +40,14 @@
                 "request", forward->facts.request_id, "fingerprint", text, "endpoint",
                 attempt.endpoint.instance, "started_ms", (json_int_t)attempt.endpoint.incarnation,
                 "status", bt_get_exchange_status (forward->exchange), "fault",
-                bt_get_exchange_fault (forward->exchange));
+                bt_get_exchange_error (forward->exchange));
   /* An endpoint that leaves as planned may break off what it has not finished in time. */
   if (listed == NULL || !listed->leaving)
     bt_add_crash_suspect (gateway->crashes, &attempt, listed == NULL ? "" : listed->address);
 }
 
 void
-bt_note_forward_answered (bt_forward_t *forward)
+bt_record_answered_attempt (bt_forward_t *forward)
 {
   bt_crash_t attempt;
 
--- a/source/gateway/forward_send.c
+++ b/source/gateway/forward_send.c
@@ -7,14 +7,15 @@
 enum
 {
   /* Maximum size of an answer that is buffered until it is complete. */
-  MOST_ANSWER_BYTES = 8 << 20,
+  MAX_ANSWER_BYTES = 8 << 20,
   /* With less time left than this, no endpoint can answer. */
-  LEAST_SEND_MS = 5,
+  MIN_SEND_MS = 5,
   /* Refusals that a request may meet in addition to its runs; each costs a round trip. */
-  EXTRA_SENDS = 2,
+  MAX_EXTRA_SENDS = 2,
 };
 
-/* Returns true for headers that concern one connection only, and those that the HTTP library sets. */
+/* Returns true for headers that concern one connection only, and those that the HTTP library
+ * sets. */
 static bool
 is_hop_header (const char *name)
 {
@@ -39,7 +40,7 @@
 static void
 drop_headers (bt_forward_t *forward)
 {
-  bt_free_front_header_list (forward->gateway->ctx, forward->headers, forward->header_count);
+  bt_free_frontend_header_list (forward->gateway->ctx, forward->headers, forward->header_count);
   forward->headers = NULL;
   forward->header_count = 0;
 }
@@ -59,7 +60,7 @@
 }
 
 static void
-put_header (void *data, const char *name, const char *value)
+add_exchange_header (void *data, const char *name, const char *value)
 {
   bt_add_exchange_header (data, name, value);
 }
@@ -68,42 +69,43 @@
 static void
 add_headers (bt_forward_t *forward)
 {
-  const bt_front_request_t *request = bt_get_front_request (forward->call);
+  const bt_frontend_request_t *request = bt_get_frontend_request (forward->call);
   const bt_platform_vtable_t *platform = forward->gateway->platform->vtable;
-  const bool goes_on = forward->events.events > 0;
+  const bool resumes = forward->events.events > 0;
   bt_call_facts_t unused;
   bt_send_facts_t facts = {
     .endpoint = forward->route.identity.instance,
     .account = forward->account,
-    /* Reads the clock itself: the loop's time may date from before the request arrived or from before the process was suspended, and the endpoint would work for a caller who has left. */
-    .deadline_left_ms = forward->end_ms - bt_now_ms (forward->gateway->ctx),
+    /* Reads the clock itself: the loop's time may date from before the request arrived or from
+     * before the process was suspended, and the endpoint would work for a caller who has left. */
+    .deadline_left_ms = forward->deadline_ms - bt_now_ms (forward->gateway->ctx),
   };
 
   for (int32_t i = 0; i < request->header_count; i++)
     {
-      const bt_front_header_t *header = &request->headers[i];
+      const bt_frontend_header_t *header = &request->headers[i];
 
       if (is_hop_header (header->name) || strcasecmp (header->name, "Authorization") == 0
-          || (goes_on && strcasecmp (header->name, "Last-Event-Id") == 0)
+          || (resumes && strcasecmp (header->name, "Last-Event-Id") == 0)
           || !platform->read_call_header (header->name, header->value, &unused))
         continue;
       bt_add_exchange_header (forward->exchange, header->name, header->value);
     }
-  if (goes_on)
+  if (resumes)
     bt_add_exchange_header (forward->exchange, "Last-Event-Id", forward->events.last_id);
-  platform->write_send_headers (&facts, put_header, forward->exchange);
+  platform->write_send_headers (&facts, add_exchange_header, forward->exchange);
 }
 
 static void
-take_answer_header (bt_exchange_handler_t *handler, const char *name, const char *value)
+handle_answer_header (bt_exchange_handler_t *handler, const char *name, const char *value)
 {
   bt_forward_t *forward = (bt_forward_t *)handler;
 
   if (!forward->gateway->platform->vtable->read_answer_header (name, value, &forward->answer)
       || is_hop_header (name))
     return;
-  bt_append_front_header (forward->gateway->ctx, &forward->headers, &forward->header_count, name,
-                          value);
+  bt_append_frontend_header (forward->gateway->ctx, &forward->headers, &forward->header_count, name,
+                             value);
 }
 
 static bt_attempt_stage_t
@@ -111,7 +113,7 @@
 {
   switch (bt_get_exchange_state (exchange))
     {
-    case BT_EXCHANGE_WHOLE:
+    case BT_EXCHANGE_COMPLETE:
       return partial_bytes > 0 ? BT_ATTEMPT_CUT : BT_ATTEMPT_WHOLE;
     case BT_EXCHANGE_UNSENT:
       return BT_ATTEMPT_UNSENT;
@@ -135,15 +137,15 @@
 }
 
 static void
-pass_head (bt_forward_t *forward)
+copy_answer_head (bt_forward_t *forward)
 {
   for (int32_t i = 0; i < forward->header_count; i++)
-    bt_add_front_header (forward->call, forward->headers[i].name, forward->headers[i].value);
+    bt_add_frontend_header (forward->call, forward->headers[i].name, forward->headers[i].value);
 }
 
 /* Records that the caller gets a part of the answer now. */
 static void
-note_part (bt_forward_t *forward)
+record_answer_part (bt_forward_t *forward)
 {
   bt_timings_t *timings = &forward->gateway->timings;
   int64_t now_ms = bt_get_loop_ms (forward->gateway->loop);
@@ -159,21 +161,21 @@
 }
 
 static void
-pass_answer (bt_forward_t *forward)
+forward_answer (bt_forward_t *forward)
 {
   int32_t status = bt_get_exchange_status (forward->exchange);
   size_t bytes;
   const char *body = bt_peek_exchange_body (forward->exchange, &bytes);
 
-  note_part (forward);
-  pass_head (forward);
-  bt_note_forward_answered (forward);
-  bt_answer_front_call (forward->call, status, body, bytes);
+  record_answer_part (forward);
+  copy_answer_head (forward);
+  bt_record_answered_attempt (forward);
+  bt_answer_frontend_call (forward->call, status, body, bytes);
   bt_finish_forward (forward, BT_OUTCOME_ANSWERED, BT_REASON_NONE, status);
 }
 
 static bool
-is_tried (const bt_forward_t *forward, const bt_identity_t *identity)
+was_tried (const bt_forward_t *forward, const bt_identity_t *identity)
 {
   for (int32_t i = 0; i < forward->sends; i++)
     if (bt_same_identity (&forward->tried[i], identity))
@@ -188,10 +190,11 @@
                 "request", forward->facts.request_id, "reason", bt_name_retry (verdict->retry),
                 "endpoint", forward->route.identity.instance, "fault", fault, "sends",
                 forward->sends, "runs", forward->runs, "left_ms",
-                (json_int_t)(forward->end_ms - bt_get_loop_ms (forward->gateway->loop)));
+                (json_int_t)(forward->deadline_ms - bt_get_loop_ms (forward->gateway->loop)));
 }
 
-/* Sends the request to another endpoint when the retry budget that all requests of the app share allows it. */
+/* Sends the request to another endpoint when the retry budget that all requests of the app share
+ * allows it. */
 static void
 retry (bt_forward_t *forward, const bt_attempt_verdict_t *verdict)
 {
@@ -206,15 +209,15 @@
 }
 
 static void
-end_attempt_by_verdict (bt_forward_t *forward, bt_attempt_stage_t stage)
+apply_attempt_verdict (bt_forward_t *forward, bt_attempt_stage_t stage)
 {
   bt_gateway_t *gateway = forward->gateway;
-  int32_t most_sends = forward->rule->then.retries + 1 + EXTRA_SENDS;
+  int32_t max_sends = forward->rule->then.retries + 1 + MAX_EXTRA_SENDS;
   bt_attempt_rights_t rights = {
     .repeatable = bt_may_forward_run_again (forward),
     .runs_left = forward->rule->then.retries - forward->runs,
     .sends_left =
-        (most_sends < BT_MAX_FORWARD_SENDS ? most_sends : BT_MAX_FORWARD_SENDS) - forward->sends,
+        (max_sends < BT_MAX_FORWARD_SENDS ? max_sends : BT_MAX_FORWARD_SENDS) - forward->sends,
     .answer_started = forward->state == BT_FORWARD_STREAMING,
   };
   bt_attempt_result_t result;
@@ -226,16 +229,16 @@
     forward->runs++;
   if (verdict.may_have_run && stage != BT_ATTEMPT_WHOLE
       && bt_get_exchange_state (forward->exchange) != BT_EXCHANGE_OPEN)
-    bt_note_forward_broken (forward);
+    bt_record_broken_attempt (forward);
   if (verdict.endpoint_gone)
     bt_remove_listed_endpoint (gateway->ctx, gateway->endpoints, &forward->route.identity);
   if (verdict.next == BT_NEXT_PASS && !rights.answer_started)
     {
-      pass_answer (forward);
+      forward_answer (forward);
       return;
     }
   if (verdict.next == BT_NEXT_RETRY)
-    log_retry (forward, &verdict, bt_get_exchange_fault (forward->exchange));
+    log_retry (forward, &verdict, bt_get_exchange_error (forward->exchange));
   bt_end_forward_attempt (forward, verdict.end);
   if (verdict.next == BT_NEXT_RETRY)
     retry (forward, &verdict);
@@ -244,9 +247,10 @@
                        verdict.may_have_run ? 0 : bt_draw_retry_after_ms (gateway));
 }
 
-/* Returns true when the answer under way is a stream that may be passed on before it is complete. */
+/* Returns true when the answer under way is a stream that may be passed on before it is
+ * complete. */
 static bool
-is_good_stream (const bt_forward_t *forward)
+is_forwardable_stream (const bt_forward_t *forward)
 {
   bt_attempt_result_t result;
 
@@ -255,38 +259,39 @@
          && !result.other_id && !result.not_run;
 }
 
-/* Passes complete events on. The head is sent with the first one: until then another endpoint can still answer instead of this one. */
+/* Passes complete events on. The head is sent with the first one: until then another endpoint can
+ * still answer instead of this one. */
 static void
-pass_events (bt_forward_t *forward)
+forward_events (bt_forward_t *forward)
 {
   size_t bytes;
   const char *body = bt_peek_exchange_body (forward->exchange, &bytes);
-  size_t whole_bytes = bt_take_events (&forward->events, body, bytes);
+  size_t complete_bytes = bt_take_events (&forward->events, body, bytes);
 
-  if (whole_bytes == 0)
+  if (complete_bytes == 0)
     return;
   if (forward->state != BT_FORWARD_STREAMING)
     {
       forward->state = BT_FORWARD_STREAMING;
-      pass_head (forward);
-      bt_begin_front_stream (forward->call, bt_get_exchange_status (forward->exchange));
+      copy_answer_head (forward);
+      bt_begin_frontend_stream (forward->call, bt_get_exchange_status (forward->exchange));
     }
-  note_part (forward);
-  bt_push_front_stream (forward->call, body, whole_bytes);
-  bt_take_exchange_body (forward->exchange, whole_bytes);
+  record_answer_part (forward);
+  bt_push_frontend_stream (forward->call, body, complete_bytes);
+  bt_consume_exchange_body (forward->exchange, complete_bytes);
 }
 
 static void
 finish_stream (bt_forward_t *forward)
 {
-  bt_note_forward_answered (forward);
+  bt_record_answered_attempt (forward);
   bt_end_forward_attempt (forward, BT_ATTEMPT_ANSWERED);
-  bt_end_front_stream (forward->call, BT_STREAM_WHOLE);
+  bt_end_frontend_stream (forward->call, BT_STREAM_COMPLETE);
   bt_finish_forward (forward, BT_OUTCOME_ANSWERED, BT_REASON_NONE, 200);
 }
 
 static void
-take_load (bt_forward_t *forward)
+record_answer_load (bt_forward_t *forward)
 {
   bt_gateway_t *gateway = forward->gateway;
 
@@ -300,50 +305,52 @@
 }
 
 static void
-take_progress (bt_exchange_handler_t *handler, bt_exchange_t *exchange)
+handle_progress (bt_exchange_handler_t *handler, bt_exchange_t *exchange)
 {
   bt_forward_t *forward = (bt_forward_t *)handler;
   bt_gateway_t *gateway = forward->gateway;
-  bool stream = is_good_stream (forward);
+  bool is_stream = is_forwardable_stream (forward);
   size_t partial_bytes = 0;
 
-  take_load (forward);
-  if (stream)
+  record_answer_load (forward);
+  if (is_stream)
     {
-      pass_events (forward);
+      forward_events (forward);
       bt_peek_exchange_body (exchange, &partial_bytes);
     }
   /* Events before this one are missing, so what follows it can't be passed on. */
   if (forward->events.gap)
     {
       forward->events.gap = false;
-      end_attempt_by_verdict (forward, BT_ATTEMPT_CUT);
+      apply_attempt_verdict (forward, BT_ATTEMPT_CUT);
     }
   else if (bt_get_exchange_state (exchange) == BT_EXCHANGE_OPEN)
     return;
-  /* Only the end of a stream ends the caller's stream: the complete answer of an endpoint that refuses to resume it says nothing about the events that are still to come. */
-  else if (bt_get_exchange_state (exchange) == BT_EXCHANGE_WHOLE && stream && partial_bytes == 0
-           && forward->state == BT_FORWARD_STREAMING)
+  /* Only the end of a stream ends the caller's stream: the complete answer of an endpoint that
+   * refuses to resume it says nothing about the events that are still to come. */
+  else if (bt_get_exchange_state (exchange) == BT_EXCHANGE_COMPLETE && is_stream
+           && partial_bytes == 0 && forward->state == BT_FORWARD_STREAMING)
     finish_stream (forward);
   else
-    end_attempt_by_verdict (forward, get_stage (exchange, partial_bytes));
+    apply_attempt_verdict (forward, get_stage (exchange, partial_bytes));
   bt_pump_forwards (gateway);
 }
 
-static const bt_exchange_handler_vtable_t exchange_vtable = { take_progress, take_answer_header };
+static const bt_exchange_handler_vtable_t exchange_vtable = { handle_progress,
+                                                              handle_answer_header };
 
 static void
 begin_attempt (bt_forward_t *forward, const char *address, int64_t now_ms)
 {
   bt_gateway_t *gateway = forward->gateway;
-  const bt_front_request_t *request = bt_get_front_request (forward->call);
+  const bt_frontend_request_t *request = bt_get_frontend_request (forward->call);
   bt_exchange_request_t exchange = {
     .address = address,
     .method = request->method,
     .target = request->target,
     .body = request->body,
     .body_bytes = request->body_bytes,
-    .answer_bytes = MOST_ANSWER_BYTES,
+    .answer_bytes = MAX_ANSWER_BYTES,
   };
 
   forward->handler.vtable = &exchange_vtable;
@@ -374,7 +381,7 @@
     .app = forward->app,
     .account = forward->account,
     .priority = (int32_t)forward->priority,
-    .deadline_left_ms = forward->end_ms - now_ms,
+    .deadline_left_ms = forward->deadline_ms - now_ms,
     .excluded = forward->tried,
     .excluded_count = forward->sends,
     .seed = bt_draw_gateway_seed (gateway),
@@ -383,18 +390,20 @@
   int64_t retry_after_ms;
   bt_reason_t reason = BT_REASON_DEADLINE_UNREACHABLE;
 
-  /* A process that was restarted under its id looks like an endpoint that was not tried yet, but may have taken this request under its earlier start. A request that may have run and must run only once is therefore sent nowhere else, whatever is listed. */
+  /* A process that was restarted under its id looks like an endpoint that was not tried yet, but
+   * may have taken this request under its earlier start. A request that may have run and must run
+   * only once is therefore sent nowhere else, whatever is listed. */
   if (forward->runs > 0 && !bt_is_forward_repeatable (forward))
     reason = BT_REASON_ENGINE_FAILED;
   else if (bt_check_forward_crashing (forward, &retry_after_ms))
     reason = BT_REASON_CRASHES_ENDPOINTS;
-  else if (forward->end_ms - now_ms >= LEAST_SEND_MS)
+  else if (forward->deadline_ms - now_ms >= MIN_SEND_MS)
     reason =
         bt_choose_endpoint (gateway->router, &request, now_ms, &forward->route, &retry_after_ms);
   if (reason == BT_REASON_NONE)
     {
       listed = bt_find_listed_endpoint (gateway->endpoints, forward->route.identity.instance);
-      if (listed != NULL && !is_tried (forward, &forward->route.identity))
+      if (listed != NULL && !was_tried (forward, &forward->route.identity))
         {
           if (forward->sends == 0)
             bt_record_app_request (gateway, forward->app);
--- a/source/gateway/gateway.c
+++ b/source/gateway/gateway.c
@@ -8,28 +8,35 @@
 enum
 {
   MS_PER_S = 1000,
-  /* An instance that is among the first to return after all were lost sees few others to share the reserve with. */
-  MOST_FIRST_RETRIES = 8,
-  /* Buffer of libmicrohttpd for one connection: the longest request head that declarations usually allow, and as much again for the head of an answer. */
+  /* An instance that is among the first to return after all were lost sees few others to share the
+   * reserve with. */
+  MAX_INITIAL_RETRIES = 8,
+  /* Buffer of libmicrohttpd for one connection: the longest request head that declarations usually
+   * allow, and as much again for the head of an answer. */
   CONNECTION_BYTES = 24576,
   CONTROL_CONNECTIONS = 256,
   CONTROL_BODY_BYTES = 4096,
   CALLER_BODY_BYTES = 4 << 20,
   CALLER_IDLE_MS = 60000,
-  /* A connection is closed this long after the declared limit, so that a caller who uses it at the last moment still finds it open. */
+  /* A connection is closed this long after the declared limit, so that a caller who uses it at the
+   * last moment still finds it open. */
   IDLE_MARGIN_MS = 1000,
   CONNECT_MS = 500,
-  PEER_SILENT_MS = 3000,
-  /* Estimate of a run's time before any was measured. Endpoints are probed by requests only; a run takes about a second at first. */
-  FIRST_SERVICE_MS = 300,
-  /* Requests sent to an endpoint beyond its slots. Requests that wait in the gateway can still be ordered by when their callers expect the answer, those that wait at the endpoint can't. One request hides the network delay to the endpoint. */
-  BEHIND_SLOTS = 1,
-  /* How long an instance with more room is listed before a leader of rank groups hands over to it. */
-  STEADY_MS = 5000,
+  PEER_UNACKNOWLEDGED_MS = 3000,
+  /* Estimate of a run's time before any was measured. Endpoints are probed by requests only; a run
+   * takes about a second at first. */
+  DEFAULT_SERVICE_MS = 300,
+  /* Requests sent to an endpoint beyond its slots. Requests that wait in the gateway can still be
+   * ordered by when their callers expect the answer, those that wait at the endpoint can't. One
+   * request hides the network delay to the endpoint. */
+  ENDPOINT_QUEUE_DEPTH = 1,
+  /* How long an instance with a larger processor share is listed before a leader of rank groups
+   * hands over to it. */
+  HANDOVER_DELAY_MS = 5000,
 };
 
 static int32_t
-get_retry_part (const bt_gateway_t *gateway)
+get_retry_reserve (const bt_gateway_t *gateway)
 {
   return bt_get_retry_part ((int64_t)gateway->settings->retry_reserve,
                             gateway->view == NULL ? 1 : gateway->view->entry_count);
@@ -40,10 +47,10 @@
 {
   bt_retry_budget_options_t options = {
     .share_percent = (int32_t)gateway->settings->retry_percent,
-    .reserve = get_retry_part (gateway),
+    .reserve = get_retry_reserve (gateway),
   };
 
-  options.first = options.reserve < MOST_FIRST_RETRIES ? options.reserve : MOST_FIRST_RETRIES;
+  options.first = options.reserve < MAX_INITIAL_RETRIES ? options.reserve : MAX_INITIAL_RETRIES;
   return bt_new_retry_budget (gateway->ctx, &options);
 }
 
@@ -78,15 +85,15 @@
 static void
 apply_endpoints (bt_gateway_t *gateway)
 {
-  int64_t again_ms = bt_apply_listed_endpoints (gateway->ctx, gateway->endpoints, gateway->view,
-                                                bt_get_loop_ms (gateway->loop));
+  int64_t next_apply_ms = bt_apply_listed_endpoints (gateway->ctx, gateway->endpoints,
+                                                     gateway->view, bt_get_loop_ms (gateway->loop));
 
-  if (again_ms > 0)
-    bt_set_timer (gateway->loop, &gateway->relist_timer, again_ms);
+  if (next_apply_ms > 0)
+    bt_set_timer (gateway->loop, &gateway->relist_timer, next_apply_ms);
 }
 
 static void
-apply_endpoints_again (bt_timer_t *timer)
+handle_relist_timer (bt_timer_t *timer)
 {
   apply_endpoints ((bt_gateway_t *)((char *)timer - offsetof (bt_gateway_t, relist_timer)));
 }
@@ -95,9 +102,9 @@
 apply_limits (bt_gateway_t *gateway, const bt_caller_limits_t *limits)
 {
   if (limits->idle_ms > 0)
-    bt_set_front_idle (gateway->callers, limits->idle_ms + IDLE_MARGIN_MS);
+    bt_set_frontend_idle (gateway->caller_frontend, limits->idle_ms + IDLE_MARGIN_MS);
   if (limits->body_bytes > 0)
-    bt_set_front_body_limit (gateway->callers, (size_t)limits->body_bytes);
+    bt_set_frontend_body_limit (gateway->caller_frontend, (size_t)limits->body_bytes);
 }
 
 static bool
@@ -107,7 +114,7 @@
 }
 
 static void
-take_view (bt_store_listener_t *listener, bt_view_t *view)
+apply_view (bt_store_listener_t *listener, bt_view_t *view)
 {
   bt_gateway_t *gateway = (bt_gateway_t *)((char *)listener - offsetof (bt_gateway_t, listener));
   bt_view_t *before = gateway->view;
@@ -124,7 +131,7 @@
     apply_limits (gateway, &view->declarations->limits);
   bt_set_router_entries (gateway->router, view->entry_count);
   for (int32_t i = 0; i < gateway->budget_count; i++)
-    bt_set_retry_reserve (gateway->budgets[i].budget, get_retry_part (gateway));
+    bt_set_retry_reserve (gateway->budgets[i].budget, get_retry_reserve (gateway));
   bt_set_listed_crashes (gateway->crashes, view->crashes, view->crash_count);
   bt_refuse_crashing_forwards (gateway);
   apply_endpoints (gateway);
@@ -143,26 +150,26 @@
 }
 
 static void
-take_store_news (bt_store_listener_t *listener, bool there)
+handle_store_state (bt_store_listener_t *listener, bool reachable)
 {
   bt_gateway_t *gateway = (bt_gateway_t *)((char *)listener - offsetof (bt_gateway_t, listener));
 
-  gateway->store_lost = !there;
-  if (there)
-    bt_note_store_regained (gateway->endpoints, bt_get_loop_ms (gateway->loop));
+  gateway->store_lost = !reachable;
+  if (reachable)
+    bt_record_store_regained (gateway->endpoints, bt_get_loop_ms (gateway->loop));
 }
 
 static void
-run_agents (bt_turn_t *turn)
+run_agent_hook (bt_turn_t *turn)
 {
-  bt_gateway_t *gateway = (bt_gateway_t *)((char *)turn - offsetof (bt_gateway_t, agent_turn));
+  bt_gateway_t *gateway = (bt_gateway_t *)((char *)turn - offsetof (bt_gateway_t, agent_hook));
 
   bt_take_agents_news (gateway);
   bt_run_group_control (gateway->groups);
 }
 
 static bool
-link_agents (bt_gateway_t *gateway, bt_error_t *error)
+start_agent_control (bt_gateway_t *gateway, bt_error_t *error)
 {
   const bt_gateway_settings_t *settings = gateway->settings;
   bt_agent_links_options_t links = {
@@ -180,7 +187,7 @@
     .lease_s = settings->lead_lease_s,
     .renew_ms = settings->lead_renew_ms,
     .plan_ms = settings->plan_ms,
-    .steady_ms = STEADY_MS,
+    .steady_ms = HANDOVER_DELAY_MS,
   };
 
   if (settings->agent_port == 0)
@@ -189,36 +196,36 @@
   if (gateway->agents == NULL)
     return false;
   gateway->groups = bt_new_group_control (gateway->ctx, gateway->loop, gateway->agents, &control);
-  gateway->agent_turn.on_turn = run_agents;
-  bt_add_turn (gateway->loop, &gateway->agent_turn);
+  gateway->agent_hook.on_turn = run_agent_hook;
+  bt_add_turn (gateway->loop, &gateway->agent_hook);
   return true;
 }
 
 static void
-take_call (bt_front_handler_t *handler, bt_front_call_t *call)
+handle_call (bt_frontend_handler_t *handler, bt_frontend_call_t *call)
 {
   bt_start_forward ((bt_gateway_t *)((char *)handler - offsetof (bt_gateway_t, call_handler)),
                     call);
 }
 
 static void
-lose_call (bt_front_handler_t *handler, bt_front_call_t *call)
+handle_caller_left (bt_frontend_handler_t *handler, bt_frontend_call_t *call)
 {
   bt_abandon_forward ((bt_gateway_t *)((char *)handler - offsetof (bt_gateway_t, call_handler)),
                       call);
 }
 
 static bool
-has_path (const bt_front_call_t *call, const char *path)
+has_path (const bt_frontend_call_t *call, const char *path)
 {
-  const char *target = bt_get_front_request (call)->target;
+  const char *target = bt_get_frontend_request (call)->target;
   size_t bytes = strlen (path);
 
   return strncmp (target, path, bytes) == 0 && (target[bytes] == '\0' || target[bytes] == '?');
 }
 
 static void
-take_address_call (bt_front_handler_t *handler, bt_front_call_t *call)
+handle_address_call (bt_frontend_handler_t *handler, bt_frontend_call_t *call)
 {
   bt_gateway_t *gateway =
       (bt_gateway_t *)((char *)handler - offsetof (bt_gateway_t, address_handler));
@@ -226,12 +233,12 @@
   if (has_path (call, gateway->platform->address_path))
     bt_answer_gateway_addresses (gateway, call);
   else
-    bt_answer_front_call (call, bt_get_reason_status (BT_REASON_NO_SUCH_PATH), "", 0);
-  bt_drop_front_call (gateway->ctx, call);
+    bt_answer_frontend_call (call, bt_get_reason_status (BT_REASON_NO_SUCH_PATH), "", 0);
+  bt_drop_frontend_call (gateway->ctx, call);
 }
 
 static void
-take_ready_call (bt_front_handler_t *handler, bt_front_call_t *call)
+handle_ready_call (bt_frontend_handler_t *handler, bt_frontend_call_t *call)
 {
   bt_gateway_t *gateway =
       (bt_gateway_t *)((char *)handler - offsetof (bt_gateway_t, ready_handler));
@@ -239,47 +246,48 @@
 
   if (!has_path (call, gateway->platform->ready_path))
     reason = BT_REASON_NO_SUCH_PATH;
-  bt_answer_front_call (call, bt_get_reason_status (reason), "", 0);
-  bt_drop_front_call (gateway->ctx, call);
+  bt_answer_frontend_call (call, bt_get_reason_status (reason), "", 0);
+  bt_drop_frontend_call (gateway->ctx, call);
 }
 
 /* Calls that are answered at once have no work to cancel when the caller disconnects. */
 static void
-lose_answered_call (bt_front_handler_t *handler, bt_front_call_t *call)
+ignore_caller_left (bt_frontend_handler_t *handler, bt_frontend_call_t *call)
 {
   (void)handler;
   (void)call;
 }
 
-static const bt_front_handler_vtable_t call_vtable = { take_call, lose_call };
-static const bt_front_handler_vtable_t address_vtable = { take_address_call, lose_answered_call };
-static const bt_front_handler_vtable_t ready_vtable = { take_ready_call, lose_answered_call };
+static const bt_frontend_handler_vtable_t call_vtable = { handle_call, handle_caller_left };
+static const bt_frontend_handler_vtable_t address_vtable = { handle_address_call,
+                                                             ignore_caller_left };
+static const bt_frontend_handler_vtable_t ready_vtable = { handle_ready_call, ignore_caller_left };
 
 static bool
-open_fronts (bt_gateway_t *gateway, bt_error_t *error)
+open_frontends (bt_gateway_t *gateway, bt_error_t *error)
 {
   const bt_gateway_settings_t *settings = gateway->settings;
-  bt_front_limits_t callers = { (int32_t)settings->max_connections, CONNECTION_BYTES,
-                                CALLER_BODY_BYTES, CALLER_IDLE_MS };
-  bt_front_limits_t control = { CONTROL_CONNECTIONS, CONNECTION_BYTES, CONTROL_BODY_BYTES,
-                                CALLER_IDLE_MS };
+  bt_frontend_limits_t callers = { (int32_t)settings->max_connections, CONNECTION_BYTES,
+                                   CALLER_BODY_BYTES, CALLER_IDLE_MS };
+  bt_frontend_limits_t control = { CONTROL_CONNECTIONS, CONNECTION_BYTES, CONTROL_BODY_BYTES,
+                                   CALLER_IDLE_MS };
 
   gateway->call_handler.vtable = &call_vtable;
   gateway->address_handler.vtable = &address_vtable;
   gateway->ready_handler.vtable = &ready_vtable;
-  gateway->callers = bt_new_front (gateway->ctx, gateway->loop, settings->listen, &callers,
-                                   &gateway->call_handler, error);
-  if (gateway->callers != NULL)
-    gateway->addresses = bt_new_front (gateway->ctx, gateway->loop, settings->addresses, &control,
-                                       &gateway->address_handler, error);
-  if (gateway->addresses != NULL)
-    gateway->ready = bt_new_front (gateway->ctx, gateway->loop, settings->ready, &control,
-                                   &gateway->ready_handler, error);
-  return gateway->ready != NULL;
+  gateway->caller_frontend = bt_new_frontend (gateway->ctx, gateway->loop, settings->listen,
+                                              &callers, &gateway->call_handler, error);
+  if (gateway->caller_frontend != NULL)
+    gateway->address_frontend = bt_new_frontend (gateway->ctx, gateway->loop, settings->addresses,
+                                                 &control, &gateway->address_handler, error);
+  if (gateway->address_frontend != NULL)
+    gateway->ready_frontend = bt_new_frontend (gateway->ctx, gateway->loop, settings->ready,
+                                               &control, &gateway->ready_handler, error);
+  return gateway->ready_frontend != NULL;
 }
 
 static void
-open_load (bt_gateway_t *gateway)
+create_load_control (bt_gateway_t *gateway)
 {
   bt_router_options_t router;
   bt_admission_options_t admission;
@@ -287,15 +295,15 @@
   bt_default_router_options (&router);
   bt_default_admission_options (&admission);
   bt_copy_name (router.failure_domain, gateway->settings->failure_domain);
-  router.default_service_ms = FIRST_SERVICE_MS;
-  router.queue_depth = BEHIND_SLOTS;
+  router.default_service_ms = DEFAULT_SERVICE_MS;
+  router.queue_depth = ENDPOINT_QUEUE_DEPTH;
   gateway->router = bt_new_router (gateway->ctx, &router);
   gateway->admission = bt_new_admission (gateway->ctx, gateway->router, &admission);
   gateway->endpoints = bt_new_endpoint_table (gateway->ctx, gateway->router);
 }
 
 static void
-open_crash_control (bt_gateway_t *gateway)
+create_crash_control (bt_gateway_t *gateway)
 {
   const bt_gateway_settings_t *settings = gateway->settings;
   bt_crash_control_options_t options = {
@@ -312,7 +320,7 @@
 }
 
 static bool
-follow_store (bt_gateway_t *gateway, bt_error_t *error)
+start_store_follower (bt_gateway_t *gateway, bt_error_t *error)
 {
   const bt_gateway_settings_t *settings = gateway->settings;
   bt_store_follower_options_t options = {
@@ -330,8 +338,8 @@
   strncpy (options.entry.links, settings->links, sizeof options.entry.links - 1);
   bt_copy_name (options.entry.failure_domain, settings->failure_domain);
   options.entry.cores = settings->cores;
-  gateway->listener.on_view = take_view;
-  gateway->listener.on_store = take_store_news;
+  gateway->listener.on_view = apply_view;
+  gateway->listener.on_store = handle_store_state;
   gateway->follower =
       bt_new_store_follower (gateway->ctx, gateway->loop, &options, &gateway->listener, error);
   return gateway->follower != NULL;
@@ -344,7 +352,7 @@
                 bt_error_t *error)
 {
   bt_gateway_t *gateway = bt_calloc (ctx, 1, sizeof *gateway);
-  bt_exchange_limits_t limits = { CONNECT_MS, PEER_SILENT_MS };
+  bt_exchange_limits_t limits = { CONNECT_MS, PEER_UNACKNOWLEDGED_MS };
   uint64_t seed;
 
   gateway->ctx = ctx;
@@ -354,18 +362,19 @@
   bt_seed_random (&gateway->random, seed);
   bt_copy_name (gateway->identity.instance, settings->instance);
   bt_fill_secure_random (&gateway->identity.incarnation, sizeof gateway->identity.incarnation);
-  gateway->relist_timer.on_time = apply_endpoints_again;
+  gateway->relist_timer.on_time = handle_relist_timer;
   bt_open_timings (ctx, &gateway->timings);
   gateway->loop = bt_new_event_loop (ctx, error);
-  if (gateway->loop == NULL || !open_fronts (gateway, error) || !link_agents (gateway, error))
+  if (gateway->loop == NULL || !open_frontends (gateway, error)
+      || !start_agent_control (gateway, error))
     {
       bt_drop_gateway (ctx, gateway);
       return NULL;
     }
   gateway->exchanges = bt_new_exchange_pool (ctx, gateway->loop, &limits);
-  open_load (gateway);
-  open_crash_control (gateway);
-  if (!follow_store (gateway, error))
+  create_load_control (gateway);
+  create_crash_control (gateway);
+  if (!start_store_follower (gateway, error))
     {
       bt_drop_gateway (ctx, gateway);
       return NULL;
@@ -379,8 +388,8 @@
   bt_run_event_loop (gateway->loop);
   bt_log_event (gateway->ctx, BT_LOG_INFO, "serving-ended", "{s:I, s:i, s:i}", "after_ms",
                 (json_int_t)(bt_now_ms (gateway->ctx) - gateway->stop.began_ms), "requests",
-                gateway->forwards, "calls", bt_count_front_calls (gateway->callers));
-  bt_drop_gateway_fronts (gateway);
+                gateway->forwards, "calls", bt_count_frontend_calls (gateway->caller_frontend));
+  bt_drop_gateway_frontends (gateway);
 }
 
 void
@@ -388,8 +397,9 @@
 {
   if (gateway == NULL)
     return;
-  bt_drop_gateway_fronts (gateway);
-  /* The lease on the groups is released before the parts that may wait longer for the store: until it is released, no other instance leads the groups. */
+  bt_drop_gateway_frontends (gateway);
+  /* The lease on the groups is released before the parts that may wait longer for the store: until
+   * it is released, no other instance leads the groups. */
   bt_drop_group_control (ctx, gateway->groups);
   bt_drop_agent_links (ctx, gateway->agents);
   bt_drop_leaving_notice (ctx, gateway->notice);
--- a/source/gateway/gateway_private.h
+++ b/source/gateway/gateway_private.h
@@ -45,12 +45,12 @@
   bt_random_t random;
   bt_identity_t identity;
 
-  bt_front_t *callers;
-  bt_front_t *addresses;
-  bt_front_t *ready;
-  bt_front_handler_t call_handler;
-  bt_front_handler_t address_handler;
-  bt_front_handler_t ready_handler;
+  bt_frontend_t *caller_frontend;
+  bt_frontend_t *address_frontend;
+  bt_frontend_t *ready_frontend;
+  bt_frontend_handler_t call_handler;
+  bt_frontend_handler_t address_handler;
+  bt_frontend_handler_t ready_handler;
   bt_exchange_pool_t *exchanges;
 
   bt_store_follower_t *follower;
@@ -66,7 +66,7 @@
   bt_fingerprint_key_t fingerprint_key;
   bt_agent_links_t *agents;
   bt_group_control_t *groups;
-  bt_turn_t agent_turn;
+  bt_turn_t agent_hook;
   bt_group_pace_t *paces;
   int32_t pace_count;
   bt_app_budget_t *budgets;
@@ -75,8 +75,9 @@
   struct bt_forward *first_forward; /**< List of all requests under way. */
   int32_t forwards;
   uint64_t last_forward_id;
-  bt_timer_t pump_timer;
-  bt_timer_t relist_timer; /**< Expires when endpoints whose entries have lapsed are to be removed. */
+  bt_timer_t queue_timer;
+  bt_timer_t
+      relist_timer; /**< Expires when endpoints whose entries have lapsed are to be removed. */
 
   bool leaving;
   bt_stop_plan_t stop; /**< Valid while leaving. */
@@ -101,30 +102,34 @@
 void bt_drop_group_paces (bt_gateway_t *gateway);
 
 /** Starts to process a caller's request: matches a rule, then sends, queues or refuses it. */
-void bt_start_forward (bt_gateway_t *gateway, bt_front_call_t *call);
+void bt_start_forward (bt_gateway_t *gateway, bt_frontend_call_t *call);
 
 /** Ends a request under way whose caller has disconnected. */
-void bt_abandon_forward (bt_gateway_t *gateway, bt_front_call_t *call);
+void bt_abandon_forward (bt_gateway_t *gateway, bt_frontend_call_t *call);
 
-/** Sends the queued requests for which there is capacity now, and refuses those that can't be served in time. */
+/** Sends the queued requests for which there is capacity now, and refuses those that can't be
+ * served in time. */
 void bt_pump_forwards (bt_gateway_t *gateway);
 
 /** Refuses the queued requests that are known to crash endpoints. */
 void bt_refuse_crashing_forwards (bt_gateway_t *gateway);
 
-/** Returns true when this instance is leaving and no caller can still hold a cached address answer that names it. */
+/** Returns true when this instance is leaving and no caller can still hold a cached address answer
+ * that names it. */
 bool bt_is_gateway_closing (const bt_gateway_t *gateway);
 
-/** Returns false when this instance is leaving and a request that arrives now, and may take until @p end_ms, could be cut off by the end of the process. */
-bool bt_may_gateway_take (const bt_gateway_t *gateway, int64_t end_ms);
+/** Returns false when this instance is leaving and a request that arrives now, and may take until
+ * @p end_ms, could be cut off by the end of the process. */
+bool bt_may_gateway_accept (const bt_gateway_t *gateway, int64_t end_ms);
 
 /** Ends all requests under way and drops the frontends, which closes all callers' connections. */
-void bt_drop_gateway_fronts (bt_gateway_t *gateway);
+void bt_drop_gateway_frontends (bt_gateway_t *gateway);
 
-/** Ends all requests under way. Those that were not sent are refused as not run; streams that have begun are cut off. */
-void bt_cut_forwards (bt_gateway_t *gateway);
+/** Ends all requests under way. Those that were not sent are refused as not run; streams that have
+ * begun are cut off. */
+void bt_abort_forwards (bt_gateway_t *gateway);
 
 /** Answers a request for the addresses that a caller may use. */
-void bt_answer_gateway_addresses (bt_gateway_t *gateway, bt_front_call_t *call);
+void bt_answer_gateway_addresses (bt_gateway_t *gateway, bt_frontend_call_t *call);
 
 #endif
--- a/source/gateway/gateway_stop.c
+++ b/source/gateway/gateway_stop.c
@@ -3,7 +3,7 @@
 
 enum
 {
-  CHECK_MS = 20,
+  STOP_CHECK_MS = 20,
 };
 
 bool
@@ -13,28 +13,29 @@
 }
 
 bool
-bt_may_gateway_take (const bt_gateway_t *gateway, int64_t end_ms)
+bt_may_gateway_accept (const bt_gateway_t *gateway, int64_t end_ms)
 {
   return !gateway->leaving
-         || bt_may_take_at_stop (&gateway->stop, end_ms, bt_get_loop_ms (gateway->loop));
+         || bt_may_accept_at_stop (&gateway->stop, end_ms, bt_get_loop_ms (gateway->loop));
 }
 
-/* An open round of a rank group counts as work: if its leader left it unfinished, the group would be blocked until another instance leads it. */
+/* An open round of a rank group counts as work: if its leader left it unfinished, the group would
+ * be blocked until another instance leads it. */
 static int32_t
 count_open_work (const bt_gateway_t *gateway)
 {
   bool round = gateway->groups != NULL && bt_is_group_round_open (gateway->groups);
 
-  return bt_count_front_calls (gateway->callers) + (round ? 1 : 0);
+  return bt_count_frontend_calls (gateway->caller_frontend) + (round ? 1 : 0);
 }
 
 static void
-close_fronts (bt_gateway_t *gateway)
+close_frontends (bt_gateway_t *gateway)
 {
-  bt_cut_forwards (gateway);
-  bt_close_front (gateway->callers);
-  bt_close_front (gateway->addresses);
-  bt_close_front (gateway->ready);
+  bt_abort_forwards (gateway);
+  bt_close_frontend (gateway->caller_frontend);
+  bt_close_frontend (gateway->address_frontend);
+  bt_close_frontend (gateway->ready_frontend);
 }
 
 /* Performs the actions of a phase of the stop when it is entered. */
@@ -43,11 +44,11 @@
 {
   bt_log_event (gateway->ctx, BT_LOG_INFO, "stop-phase", "{s:s, s:i, s:i}", "phase",
                 bt_name_stop_phase (phase), "requests", gateway->forwards, "calls",
-                bt_count_front_calls (gateway->callers));
+                bt_count_frontend_calls (gateway->caller_frontend));
   switch (phase)
     {
     case BT_STOP_LINGERING:
-      close_fronts (gateway);
+      close_frontends (gateway);
       /* Not earlier: until now requests were sent, and none may go to an endpoint that leaves. */
       bt_end_store_watch (gateway->follower);
       break;
@@ -70,11 +71,11 @@
   if (phase != before)
     enter_phase (gateway, phase);
   if (phase != BT_STOP_DONE)
-    bt_set_timer (gateway->loop, &gateway->stop_timer, now_ms + CHECK_MS);
+    bt_set_timer (gateway->loop, &gateway->stop_timer, now_ms + STOP_CHECK_MS);
 }
 
 static void
-tell_peers (bt_gateway_t *gateway)
+notify_peers (bt_gateway_t *gateway)
 {
   bt_peer_name_t self = {
     .links = gateway->settings->links,
@@ -88,9 +89,11 @@
                                              gateway->view->entry_count);
 }
 
-/* Starts to leave: the instance is no longer in the address answers and is not ready from now on. Callers that hold an old address answer are still served, until the last of them has asked again. */
+/* Starts to leave: the instance is no longer in the address answers and is not ready from now on.
+ * Callers that hold an old address answer are still served, until the last of them has asked
+ * again. */
 static void
-begin_leaving (bt_task_t *task)
+start_leaving (bt_task_t *task)
 {
   bt_gateway_t *gateway = (bt_gateway_t *)((char *)task - offsetof (bt_gateway_t, stop_task));
   bt_stop_limits_t limits = {
@@ -103,9 +106,9 @@
   gateway->leaving = true;
   bt_begin_stop (&gateway->stop, &limits, bt_get_loop_ms (gateway->loop));
   bt_log_event (gateway->ctx, BT_LOG_INFO, "leaving", "{s:i}", "requests", gateway->forwards);
-  bt_set_front_leaving (gateway->callers, true);
+  bt_set_frontend_leaving (gateway->caller_frontend, true);
   bt_set_follower_listed (gateway->follower, false);
-  tell_peers (gateway);
+  notify_peers (gateway);
   if (gateway->groups != NULL && gateway->view != NULL)
     bt_set_group_view (gateway->groups, gateway->view, true);
   gateway->stop_timer.on_time = advance_stop;
@@ -115,21 +118,23 @@
 void
 bt_stop_gateway (bt_gateway_t *gateway)
 {
-  gateway->stop_task.run = begin_leaving;
+  gateway->stop_task.run = start_leaving;
   if (!bt_post_task (gateway->loop, &gateway->stop_task))
     bt_log_event (gateway->ctx, BT_LOG_ERROR, "stop-failed", "{}");
 }
 
-/* The callers' sockets are closed before everything else that the gateway owns: the parts that are dropped afterwards may wait for the store for a second or more, and a request sent meanwhile would get no answer. */
+/* The callers' sockets are closed before everything else that the gateway owns: the parts that are
+ * dropped afterwards may wait for the store for a second or more, and a request sent meanwhile
+ * would get no answer. */
 void
-bt_drop_gateway_fronts (bt_gateway_t *gateway)
+bt_drop_gateway_frontends (bt_gateway_t *gateway)
 {
-  if (gateway->callers != NULL)
-    bt_cut_forwards (gateway);
-  bt_drop_front (gateway->ctx, gateway->callers);
-  bt_drop_front (gateway->ctx, gateway->addresses);
-  bt_drop_front (gateway->ctx, gateway->ready);
-  gateway->callers = NULL;
-  gateway->addresses = NULL;
-  gateway->ready = NULL;
+  if (gateway->caller_frontend != NULL)
+    bt_abort_forwards (gateway);
+  bt_drop_frontend (gateway->ctx, gateway->caller_frontend);
+  bt_drop_frontend (gateway->ctx, gateway->address_frontend);
+  bt_drop_frontend (gateway->ctx, gateway->ready_frontend);
+  gateway->caller_frontend = NULL;
+  gateway->address_frontend = NULL;
+  gateway->ready_frontend = NULL;
 }
--- a/source/gateway/http_answer.c
+++ b/source/gateway/http_answer.c
@@ -4,27 +4,27 @@
 
 enum
 {
-  HEADERS_STEP = 16,
+  HEADER_CAPACITY_STEP = 16,
   STREAM_BLOCK_BYTES = 4096,
-  FIRST_STREAM_BYTES = 512,
+  MIN_STREAM_CAPACITY = 512,
 };
 
 void
-bt_append_front_header (bt_context_t *ctx,
-                        bt_front_header_t **headers,
-                        int32_t *count,
-                        const char *name,
-                        const char *value)
+bt_append_frontend_header (bt_context_t *ctx,
+                           bt_frontend_header_t **headers,
+                           int32_t *count,
+                           const char *name,
+                           const char *value)
 {
-  if (*count % HEADERS_STEP == 0)
-    *headers = bt_realloc (ctx, *headers, (size_t)*count + HEADERS_STEP, sizeof **headers);
+  if (*count % HEADER_CAPACITY_STEP == 0)
+    *headers = bt_realloc (ctx, *headers, (size_t)*count + HEADER_CAPACITY_STEP, sizeof **headers);
   (*headers)[*count].name = bt_strdup (ctx, name);
   (*headers)[*count].value = bt_strdup (ctx, value);
   (*count)++;
 }
 
 void
-bt_free_front_header_list (bt_context_t *ctx, bt_front_header_t *headers, int32_t count)
+bt_free_frontend_header_list (bt_context_t *ctx, bt_frontend_header_t *headers, int32_t count)
 {
   for (int32_t i = 0; i < count; i++)
     {
@@ -35,18 +35,18 @@
 }
 
 void
-bt_resume_front_call (bt_front_call_t *call)
+bt_resume_frontend_call (bt_frontend_call_t *call)
 {
   if (call->connection == NULL || !call->suspended)
     return;
   call->suspended = false;
   MHD_resume_connection (call->connection);
-  call->front->due = true;
-  bt_hurry_event_loop (call->front->loop);
+  call->frontend->run_requested = true;
+  bt_request_loop_iteration (call->frontend->loop);
 }
 
 enum MHD_Result
-bt_queue_front_answer (bt_front_call_t *call)
+bt_queue_frontend_answer (bt_frontend_call_t *call)
 {
   enum MHD_Result result;
 
@@ -56,7 +56,7 @@
   for (int32_t i = 0; i < call->answer_header_count; i++)
     MHD_add_response_header (call->response, call->answer_headers[i].name,
                              call->answer_headers[i].value);
-  if (call->front->leaving)
+  if (call->frontend->leaving)
     MHD_add_response_header (call->response, MHD_HTTP_HEADER_CONNECTION, "close");
   result = MHD_queue_response (call->connection, (unsigned int)call->status, call->response);
   MHD_destroy_response (call->response);
@@ -65,42 +65,46 @@
 }
 
 void
-bt_add_front_header (bt_front_call_t *call, const char *name, const char *value)
+bt_add_frontend_header (bt_frontend_call_t *call, const char *name, const char *value)
 {
-  bt_append_front_header (call->front->ctx, &call->answer_headers, &call->answer_header_count, name,
-                          value);
+  bt_append_frontend_header (call->frontend->ctx, &call->answer_headers, &call->answer_header_count,
+                             name, value);
 }
 
 static void
-set_answer (bt_front_call_t *call, int32_t status, struct MHD_Response *response)
+set_response (bt_frontend_call_t *call, int32_t status, struct MHD_Response *response)
 {
   call->status = status;
   call->response = response;
   call->answer = ANSWER_READY;
-  bt_resume_front_call (call);
+  bt_resume_frontend_call (call);
 }
 
 void
-bt_answer_front_call (bt_front_call_t *call, int32_t status, const char *body, size_t body_bytes)
+bt_answer_frontend_call (bt_frontend_call_t *call,
+                         int32_t status,
+                         const char *body,
+                         size_t body_bytes)
 {
   if (call->connection == NULL || call->answer != ANSWER_NONE)
     return;
-  set_answer (call, status,
-              MHD_create_response_from_buffer (body_bytes, (void *)body, MHD_RESPMEM_MUST_COPY));
+  set_response (call, status,
+                MHD_create_response_from_buffer (body_bytes, (void *)body, MHD_RESPMEM_MUST_COPY));
 }
 
-/* Passes the next bytes of a stream to libmicrohttpd; suspends the connection when there are none. */
+/* Passes the next bytes of a stream to libmicrohttpd; suspends the connection when there are
+ * none. */
 static ssize_t
-read_stream (void *argument, uint64_t position, char *buffer, size_t room)
+read_stream (void *argument, uint64_t position, char *buffer, size_t max_bytes)
 {
-  bt_front_call_t *call = argument;
+  bt_frontend_call_t *call = argument;
   size_t bytes = call->stream_bytes - call->stream_read;
 
   (void)position;
   if (bytes == 0 && call->stream_ended)
-    return call->stream_end == BT_STREAM_WHOLE ? MHD_CONTENT_READER_END_OF_STREAM
-                                               : MHD_CONTENT_READER_END_WITH_ERROR;
-  if (bytes == 0 && call->front->dropping)
+    return call->stream_end == BT_STREAM_COMPLETE ? MHD_CONTENT_READER_END_OF_STREAM
+                                                  : MHD_CONTENT_READER_END_WITH_ERROR;
+  if (bytes == 0 && call->frontend->dropping)
     return MHD_CONTENT_READER_END_WITH_ERROR;
   if (bytes == 0)
     {
@@ -108,8 +112,8 @@
       MHD_suspend_connection (call->connection);
       return 0;
     }
-  if (bytes > room)
-    bytes = room;
+  if (bytes > max_bytes)
+    bytes = max_bytes;
   memcpy (buffer, call->stream + call->stream_read, bytes);
   call->stream_read += bytes;
   if (call->stream_read == call->stream_bytes)
@@ -118,51 +122,51 @@
 }
 
 void
-bt_begin_front_stream (bt_front_call_t *call, int32_t status)
+bt_begin_frontend_stream (bt_frontend_call_t *call, int32_t status)
 {
   if (call->connection == NULL || call->answer != ANSWER_NONE)
     return;
   call->streaming = true;
-  set_answer (call, status,
-              MHD_create_response_from_callback (MHD_SIZE_UNKNOWN, STREAM_BLOCK_BYTES, read_stream,
-                                                 call, NULL));
+  set_response (call, status,
+                MHD_create_response_from_callback (MHD_SIZE_UNKNOWN, STREAM_BLOCK_BYTES,
+                                                   read_stream, call, NULL));
 }
 
 void
-bt_push_front_stream (bt_front_call_t *call, const char *data, size_t bytes)
+bt_push_frontend_stream (bt_frontend_call_t *call, const char *data, size_t bytes)
 {
   if (call->connection == NULL || call->stream_ended)
     return;
-  if (call->stream_bytes + bytes > call->stream_room)
+  if (call->stream_bytes + bytes > call->stream_capacity)
     {
-      call->stream_room = 2 * (call->stream_bytes + bytes) + FIRST_STREAM_BYTES;
-      call->stream = bt_realloc (call->front->ctx, call->stream, call->stream_room, 1);
+      call->stream_capacity = 2 * (call->stream_bytes + bytes) + MIN_STREAM_CAPACITY;
+      call->stream = bt_realloc (call->frontend->ctx, call->stream, call->stream_capacity, 1);
     }
   memcpy (call->stream + call->stream_bytes, data, bytes);
   call->stream_bytes += bytes;
-  bt_resume_front_call (call);
+  bt_resume_frontend_call (call);
 }
 
 void
-bt_end_front_stream (bt_front_call_t *call, bt_stream_end_t end)
+bt_end_frontend_stream (bt_frontend_call_t *call, bt_stream_end_t end)
 {
   if (call->connection == NULL || call->stream_ended)
     return;
   call->stream_ended = true;
   call->stream_end = end;
-  bt_resume_front_call (call);
+  bt_resume_frontend_call (call);
 }
 
 void
-bt_break_front_call (bt_front_call_t *call)
+bt_break_frontend_call (bt_frontend_call_t *call)
 {
   if (call->connection == NULL)
     return;
   if (call->streaming)
     {
-      bt_end_front_stream (call, BT_STREAM_CUT);
+      bt_end_frontend_stream (call, BT_STREAM_CUT_OFF);
       return;
     }
-  call->answer = ANSWER_TO_BREAK;
-  bt_resume_front_call (call);
+  call->answer = ANSWER_ABORTED;
+  bt_resume_frontend_call (call);
 }
--- a/source/gateway/http_front_private.h
+++ b/source/gateway/http_front_private.h
@@ -2,7 +2,8 @@
 #define BILBERRYTRAY_SOURCE_GATEWAY_HTTP_FRONT_PRIVATE_H
 
 /** @file
- * Shared by http_front.c, which reads requests, and http_answer.c, which answers them. The library is libmicrohttpd.
+ * Shared by http_front.c, which reads requests, and http_answer.c, which answers them. The library
+ * is libmicrohttpd.
  */
 
 #include <microhttpd.h>
@@ -13,67 +14,67 @@
 typedef enum answer_state
 {
   ANSWER_NONE = 0,
-  ANSWER_READY,    /* a response is to be queued */
-  ANSWER_QUEUED,   /* the library has the response */
-  ANSWER_TO_BREAK, /* the connection is to be closed without an answer */
+  ANSWER_READY,   /* a response is to be queued */
+  ANSWER_QUEUED,  /* the library has the response */
+  ANSWER_ABORTED, /* the connection is to be closed without an answer */
 } answer_state_t;
 
-struct bt_front_call
+struct bt_frontend_call
 {
-  bt_front_t *front;
+  bt_frontend_t *frontend;
   struct MHD_Connection *connection; /* NULL once the library has released it */
-  bt_front_request_t request;
-  size_t body_room;
-  bool too_long;
-  bool whole; /* the request was read completely */
+  bt_frontend_request_t request;
+  size_t body_capacity;
+  bool body_too_large;
+  bool complete; /* the request was read completely */
   bool suspended;
-  bool held; /* the handler has not released it yet */
-  bool left; /* the caller disconnected */
+  bool held_by_handler; /* the handler has not released it yet */
+  bool caller_left;     /* the caller disconnected */
   answer_state_t answer;
   struct MHD_Response *response;
   int32_t status;
   char *stream;
   size_t stream_bytes;
   size_t stream_read;
-  size_t stream_room;
+  size_t stream_capacity;
   bool streaming;
   bool stream_ended;
   bt_stream_end_t stream_end;
-  bt_front_header_t *answer_headers;
+  bt_frontend_header_t *answer_headers;
   int32_t answer_header_count;
   bt_watch_t watch;
   void *data;
-  bt_front_call_t *next_arrival;
-  bt_front_call_t *next; /* in the list of all calls that the library knows */
-  bt_front_call_t *previous;
+  bt_frontend_call_t *next_arrival;
+  bt_frontend_call_t *next; /* in the list of all calls that the library knows */
+  bt_frontend_call_t *previous;
 };
 
-struct bt_front
+struct bt_frontend
 {
   bt_context_t *ctx;
   bt_event_loop_t *loop;
-  bt_front_handler_t *handler;
-  bt_front_limits_t limits;
+  bt_frontend_handler_t *handler;
+  bt_frontend_limits_t limits;
   struct MHD_Daemon *daemon;
   bt_watch_t watch; /* the library's epoll descriptor */
   bt_turn_t turn;
-  bt_timer_t timer; /* the library's next timeout */
-  bool due;         /* MHD_run is to be called in this iteration */
+  bt_timer_t timer;   /* the library's next timeout */
+  bool run_requested; /* MHD_run is to be called in this iteration */
   bool leaving;
   bool closed;         /* no new connections are accepted */
   bool dropping;       /* the loop has ended: no handler would answer a request that is read now */
   int32_t connections; /* number accepted so far */
   int32_t refused;     /* requests that were read after the end of the loop */
   int32_t calls;
-  bt_front_call_t *first_call;
-  bt_front_call_t *first_arrival;
-  bt_front_call_t **last_arrival;
+  bt_frontend_call_t *first_call;
+  bt_frontend_call_t *first_arrival;
+  bt_frontend_call_t **last_arrival;
 };
 
 /** Resumes a suspended connection, so that the library processes its call again. */
-void bt_resume_front_call (bt_front_call_t *call);
+void bt_resume_frontend_call (bt_frontend_call_t *call);
 
 /** Queues the answer of a resumed call in the library. */
-enum MHD_Result bt_queue_front_answer (bt_front_call_t *call);
+enum MHD_Result bt_queue_frontend_answer (bt_frontend_call_t *call);
 
 #endif
--- a/source/gateway/port_probes.c
+++ b/source/gateway/port_probes.c
@@ -12,10 +12,10 @@
 
 enum
 {
-  MOST_PROBES = 128,
+  MAX_PROBES = 128,
   /* A process that ends closes its sockets one after the other, the listening one maybe last. */
   DELAY_MS = 30,
-  ANSWER_MS = 1000,
+  CONNECT_TIMEOUT_MS = 1000,
 };
 
 /** One probe. */
@@ -24,7 +24,7 @@
   bt_watch_t watch; /* its fd is -1 before the connection is started */
   bt_timer_t timer;
   bt_port_probes_t *probes;
-  bool used;
+  bool in_use;
   struct sockaddr_in address;
   bt_identity_t endpoint;
 } probe_t;
@@ -34,7 +34,7 @@
   bt_context_t *ctx;
   bt_event_loop_t *loop;
   bt_port_probes_handler_t *handler;
-  probe_t list[MOST_PROBES];
+  probe_t entries[MAX_PROBES];
   /* Entries are used in rotation: an event of the entry's earlier probe may still be pending. */
   int32_t next;
 };
@@ -47,8 +47,8 @@
   probes->ctx = ctx;
   probes->loop = loop;
   probes->handler = handler;
-  for (int32_t i = 0; i < MOST_PROBES; i++)
-    probes->list[i].probes = probes;
+  for (int32_t i = 0; i < MAX_PROBES; i++)
+    probes->entries[i].probes = probes;
   return probes;
 }
 
@@ -64,7 +64,7 @@
       close (probe->watch.fd);
     }
   probe->watch.fd = -1;
-  probe->used = false;
+  probe->in_use = false;
 }
 
 void
@@ -72,14 +72,14 @@
 {
   if (probes == NULL)
     return;
-  for (int32_t i = 0; i < MOST_PROBES; i++)
-    if (probes->list[i].used)
-      end_probe (&probes->list[i]);
+  for (int32_t i = 0; i < MAX_PROBES; i++)
+    if (probes->entries[i].in_use)
+      end_probe (&probes->entries[i]);
   bt_free (ctx, probes);
 }
 
 static void
-take_result (probe_t *probe, int error)
+finish_probe (probe_t *probe, int error)
 {
   bt_port_probes_handler_t *handler = probe->probes->handler;
 
@@ -89,28 +89,28 @@
 }
 
 static void
-take_events (bt_watch_t *watch, uint32_t events)
+handle_connect_result (bt_watch_t *watch, uint32_t events)
 {
   probe_t *probe = (probe_t *)watch;
   socklen_t bytes = sizeof (int);
   int error = 0;
 
   (void)events;
-  if (!probe->used || watch->fd < 0)
+  if (!probe->in_use || watch->fd < 0)
     return;
   if (getsockopt (watch->fd, SOL_SOCKET, SO_ERROR, &error, &bytes) < 0)
     error = errno;
-  take_result (probe, error);
+  finish_probe (probe, error);
 }
 
 static void
-give_up (bt_timer_t *timer)
+handle_connect_timeout (bt_timer_t *timer)
 {
   end_probe ((probe_t *)((char *)timer - offsetof (probe_t, timer)));
 }
 
 static void
-connect_probe (bt_timer_t *timer)
+start_connect (bt_timer_t *timer)
 {
   probe_t *probe = (probe_t *)((char *)timer - offsetof (probe_t, timer));
   bt_event_loop_t *loop = probe->probes->loop;
@@ -124,20 +124,20 @@
   if (connect (probe->watch.fd, (struct sockaddr *)&probe->address, sizeof probe->address) < 0
       && errno != EINPROGRESS)
     {
-      take_result (probe, errno);
+      finish_probe (probe, errno);
       return;
     }
-  probe->watch.on_ready = take_events;
+  probe->watch.on_ready = handle_connect_result;
   bt_set_watch (loop, &probe->watch, EPOLLOUT);
-  probe->timer.on_time = give_up;
-  bt_set_timer (loop, &probe->timer, bt_get_loop_ms (loop) + ANSWER_MS);
+  probe->timer.on_time = handle_connect_timeout;
+  bt_set_timer (loop, &probe->timer, bt_get_loop_ms (loop) + CONNECT_TIMEOUT_MS);
 }
 
 static bool
-is_under_way (const bt_port_probes_t *probes, const bt_identity_t *endpoint)
+is_probing (const bt_port_probes_t *probes, const bt_identity_t *endpoint)
 {
-  for (int32_t i = 0; i < MOST_PROBES; i++)
-    if (probes->list[i].used && bt_same_identity (&probes->list[i].endpoint, endpoint))
+  for (int32_t i = 0; i < MAX_PROBES; i++)
+    if (probes->entries[i].in_use && bt_same_identity (&probes->entries[i].endpoint, endpoint))
       return true;
   return false;
 }
@@ -145,15 +145,15 @@
 void
 bt_probe_port (bt_port_probes_t *probes, const char *address, const bt_identity_t *endpoint)
 {
-  probe_t *probe = &probes->list[probes->next];
+  probe_t *probe = &probes->entries[probes->next];
 
-  if (probe->used || is_under_way (probes, endpoint)
+  if (probe->in_use || is_probing (probes, endpoint)
       || !bt_parse_address (address, &probe->address))
     return;
-  probes->next = (probes->next + 1) % MOST_PROBES;
-  probe->used = true;
+  probes->next = (probes->next + 1) % MAX_PROBES;
+  probe->in_use = true;
   probe->watch.fd = -1;
   probe->endpoint = *endpoint;
-  probe->timer.on_time = connect_probe;
+  probe->timer.on_time = start_connect;
   bt_set_timer (probes->loop, &probe->timer, bt_get_loop_ms (probes->loop) + DELAY_MS);
 }
--- a/source/gateway/stop_plan.c
+++ b/source/gateway/stop_plan.c
@@ -5,11 +5,15 @@
 enum
 {
   /* Some callers cache an address answer for this many times the lifetime that they are told. */
-  ANSWER_LIVES = 3,
-  /* The request of a caller whose connection was accepted just before accepting stopped arrives within a round trip of a few ms; the rest is a margin for a busy instance. */
+  MAX_ANSWER_LIFETIMES = 3,
+  /* The request of a caller whose connection was accepted just before accepting stopped arrives
+   * within a round trip of a few ms; the rest is a margin for a busy instance. */
   LINGER_MS = 120,
-  /* In this first part of a stop every request is accepted: the time left is more than nearly all streams take, on slow groups too. Accepting only what was shorter of late would refuse many requests that end in time. After it, a stream could be cut off whose caller another instance would serve at once. */
-  TAKE_ALL_PERCENT = 38,
+  /* In this first part of a stop every request is accepted: the time left is more than nearly all
+   * streams take, on slow groups too. Accepting only what was shorter of late would refuse many
+   * requests that end in time. After it, a stream could be cut off whose caller another instance
+   * would serve at once. */
+  ACCEPT_ALL_PERCENT = 38,
   PERCENT = 100,
 };
 
@@ -36,16 +40,16 @@
 static int64_t
 get_close_ms (const bt_stop_plan_t *plan)
 {
-  return plan->began_ms + ANSWER_LIVES * plan->limits.address_life_ms;
+  return plan->began_ms + MAX_ANSWER_LIFETIMES * plan->limits.address_life_ms;
 }
 
 /* Returns the latest time at which requests under way are ended. */
 static int64_t
-get_cut_ms (const bt_stop_plan_t *plan)
+get_abort_ms (const bt_stop_plan_t *plan)
 {
-  int64_t cut_ms = plan->began_ms + plan->limits.drain_ms - LINGER_MS;
+  int64_t abort_ms = plan->began_ms + plan->limits.drain_ms - LINGER_MS;
 
-  return cut_ms > plan->began_ms ? cut_ms : plan->began_ms;
+  return abort_ms > plan->began_ms ? abort_ms : plan->began_ms;
 }
 
 bt_stop_phase_t
@@ -54,23 +58,24 @@
   if (plan->phase == BT_STOP_LEAVING && now_ms >= get_close_ms (plan))
     plan->phase = BT_STOP_CLOSING;
   if (plan->phase < BT_STOP_LINGERING
-      && (now_ms >= get_cut_ms (plan) || (plan->phase == BT_STOP_CLOSING && open_work == 0)))
+      && (now_ms >= get_abort_ms (plan) || (plan->phase == BT_STOP_CLOSING && open_work == 0)))
     {
       plan->phase = BT_STOP_LINGERING;
-      plan->lingers_since_ms = now_ms;
+      plan->lingering_since_ms = now_ms;
     }
-  if (plan->phase == BT_STOP_LINGERING && now_ms >= plan->lingers_since_ms + LINGER_MS)
+  if (plan->phase == BT_STOP_LINGERING && now_ms >= plan->lingering_since_ms + LINGER_MS)
     plan->phase = BT_STOP_DONE;
   return plan->phase;
 }
 
 bool
-bt_may_take_at_stop (const bt_stop_plan_t *plan, int64_t end_ms, int64_t now_ms)
+bt_may_accept_at_stop (const bt_stop_plan_t *plan, int64_t end_ms, int64_t now_ms)
 {
-  int64_t cut_ms = get_cut_ms (plan);
-  int64_t sure_ms = plan->began_ms + (cut_ms - plan->began_ms) * TAKE_ALL_PERCENT / PERCENT;
+  int64_t abort_ms = get_abort_ms (plan);
+  int64_t accept_all_end_ms =
+      plan->began_ms + (abort_ms - plan->began_ms) * ACCEPT_ALL_PERCENT / PERCENT;
 
   if (plan->phase != BT_STOP_LEAVING || now_ms >= get_close_ms (plan))
     return false;
-  return now_ms < sure_ms || end_ms <= cut_ms;
+  return now_ms < accept_all_end_ms || end_ms <= abort_ms;
 }
--- a/source/gateway/stop_plan.h
+++ b/source/gateway/stop_plan.h
@@ -4,7 +4,9 @@
 /** @file
  * The phases of a gateway's stop, ordered so that every request that it reads is answered.
  *
- * An open connection implies that its requests are read. So callers' sockets are closed while the event loop still runs, and the loop ends only when no caller can send a request any more. Nothing that may block runs between the two.
+ * An open connection implies that its requests are read. So callers' sockets are closed while the
+ * event loop still runs, and the loop ends only when no caller can send a request any more. Nothing
+ * that may block runs between the two.
  *
  * Pure functions: times are arguments.
  */
@@ -21,10 +23,11 @@
 
 /** The phase of a stop.
  *
- * LEAVING: not in the address answers and not ready. Callers that hold an old address answer are served, unless their request could not end in time.
- * CLOSING: no caller can still hold an old address answer. New requests are refused, those under way continue.
- * LINGERING: no new connections are accepted, and what was under way has been ended. Requests on existing connections are refused.
- * DONE: the loop may end. */
+ * LEAVING: not in the address answers and not ready. Callers that hold an old address answer are
+ * served, unless their request could not end in time. CLOSING: no caller can still hold an old
+ * address answer. New requests are refused, those under way continue. LINGERING: no new connections
+ * are accepted, and what was under way has been ended. Requests on existing connections are
+ * refused. DONE: the loop may end. */
 typedef enum bt_stop_phase
 {
 #define BT_STOP_PHASE_ENUM(id, name) BT_STOP_##id,
@@ -45,17 +48,20 @@
   bt_stop_limits_t limits;
   bt_stop_phase_t phase;
   int64_t began_ms;
-  int64_t lingers_since_ms;
+  int64_t lingering_since_ms;
 } bt_stop_plan_t;
 
 /** Starts a stop at @p now_ms. */
 void bt_begin_stop (bt_stop_plan_t *plan, const bt_stop_limits_t *limits, int64_t now_ms);
 
-/** Advances to the phase at @p now_ms, and returns it. @p open_work counts what should end first: requests that were read, or are being read, and are not completely answered, and other work that only this instance can finish. */
+/** Advances to the phase at @p now_ms, and returns it. @p open_work counts what should end first:
+ * requests that were read, or are being read, and are not completely answered, and other work that
+ * only this instance can finish. */
 bt_stop_phase_t bt_advance_stop (bt_stop_plan_t *plan, int32_t open_work, int64_t now_ms);
 
-/** Returns true when a request that arrives at @p now_ms, and may take until @p end_ms, may be accepted. */
-bool bt_may_take_at_stop (const bt_stop_plan_t *plan, int64_t end_ms, int64_t now_ms);
+/** Returns true when a request that arrives at @p now_ms, and may take until @p end_ms, may be
+ * accepted. */
+bool bt_may_accept_at_stop (const bt_stop_plan_t *plan, int64_t end_ms, int64_t now_ms);
 
 const char *bt_name_stop_phase (bt_stop_phase_t phase);
 
--- a/test/gateway/test_endpoint_table.c
+++ b/test/gateway/test_endpoint_table.c
@@ -9,8 +9,8 @@
 {
   REGAINED_MS = 10000,
   LEFT_MS = 10010,
-  /* What a request needs to reach an endpoint that was chosen a moment before. */
-  WAY_MS = 100,
+  /* Time that a request takes to reach an endpoint that was chosen before. */
+  SEND_DELAY_MS = 100,
   DRAIN_MS = 2000,
   SLOTS = 4,
   FIRST_START_MS = 100,
@@ -21,11 +21,11 @@
 static bt_router_t *router;
 static bt_endpoint_table_t *table;
 static bt_listed_endpoint_t listed;
-static bt_view_t full;
-static bt_view_t empty;
+static bt_view_t listed_view;
+static bt_view_t empty_view;
 
 static void
-start (void)
+create_table (void)
 {
   bt_router_options_t options;
 
@@ -39,58 +39,58 @@
   snprintf (listed.address, sizeof listed.address, "127.0.0.1:1");
   listed.slots = SLOTS;
   listed.started_ms = FIRST_START_MS;
-  full.endpoints = &listed;
-  full.endpoint_count = 1;
-  bt_apply_listed_endpoints (ctx, table, &full, 0);
+  listed_view.endpoints = &listed;
+  listed_view.endpoint_count = 1;
+  bt_apply_listed_endpoints (ctx, table, &listed_view, 0);
 }
 
 static void
-stop (void)
+drop_table (void)
 {
   bt_drop_endpoint_table (ctx, table);
   bt_drop_router (ctx, router);
   bt_drop_context (ctx);
 }
 
-/* An entry had been cut off from the store alone. Just after its return an endpoint leaves. It
- * could have lapsed with the store and be listed again, but callers may not be sent there for as
- * long. */
+/* An entry that alone was cut off from the store has reached it again, and just then an endpoint
+ * leaves. Its entry could have lapsed with the store and be listed again, but requests must not be
+ * sent to the endpoint for that long. */
 static void
-test_endpoint_that_leaves_after_an_outage_gets_nothing_late (void)
+test_endpoint_that_leaves_after_an_outage_is_removed_in_time (void)
 {
-  int64_t again_ms;
+  int64_t next_apply_ms;
 
-  start ();
-  bt_note_store_regained (table, REGAINED_MS);
-  again_ms = bt_apply_listed_endpoints (ctx, table, &empty, LEFT_MS);
+  create_table ();
+  bt_record_store_regained (table, REGAINED_MS);
+  next_apply_ms = bt_apply_listed_endpoints (ctx, table, &empty_view, LEFT_MS);
   CU_ASSERT_PTR_NOT_NULL (bt_find_listed_endpoint (table, "i-1"));
-  CU_ASSERT (again_ms > LEFT_MS && again_ms + WAY_MS < LEFT_MS + DRAIN_MS);
-  CU_ASSERT_EQUAL (bt_apply_listed_endpoints (ctx, table, &empty, again_ms), 0);
+  CU_ASSERT (next_apply_ms > LEFT_MS && next_apply_ms + SEND_DELAY_MS < LEFT_MS + DRAIN_MS);
+  CU_ASSERT_EQUAL (bt_apply_listed_endpoints (ctx, table, &empty_view, next_apply_ms), 0);
   CU_ASSERT_PTR_NULL (bt_find_listed_endpoint (table, "i-1"));
-  stop ();
+  drop_table ();
 }
 
-/* The store was down, and its return ended all leases. The endpoints list themselves again, and
- * none of them is out meanwhile. */
+/* The store was down, and all leases ended when it returned. The endpoints list themselves again,
+ * and none of them may be removed meanwhile. */
 static void
-test_endpoint_that_lapsed_with_the_store_stays (void)
+test_endpoint_that_lapsed_with_the_store_is_kept (void)
 {
-  start ();
-  bt_note_store_regained (table, REGAINED_MS);
-  bt_apply_listed_endpoints (ctx, table, &empty, LEFT_MS);
-  CU_ASSERT_EQUAL (bt_apply_listed_endpoints (ctx, table, &full, LEFT_MS + 1500), 0);
+  create_table ();
+  bt_record_store_regained (table, REGAINED_MS);
+  bt_apply_listed_endpoints (ctx, table, &empty_view, LEFT_MS);
+  CU_ASSERT_EQUAL (bt_apply_listed_endpoints (ctx, table, &listed_view, LEFT_MS + 1500), 0);
   CU_ASSERT_PTR_NOT_NULL (bt_find_listed_endpoint (table, "i-1"));
-  stop ();
+  drop_table ();
 }
 
-/* Without an outage, what is no longer listed is gone at once. */
+/* Without an outage of the store, an endpoint that is not listed any more is removed at once. */
 static void
-test_endpoint_that_leaves_is_gone_at_once (void)
+test_endpoint_that_leaves_is_removed_at_once (void)
 {
-  start ();
-  CU_ASSERT_EQUAL (bt_apply_listed_endpoints (ctx, table, &empty, LEFT_MS), 0);
+  create_table ();
+  CU_ASSERT_EQUAL (bt_apply_listed_endpoints (ctx, table, &empty_view, LEFT_MS), 0);
   CU_ASSERT_PTR_NULL (bt_find_listed_endpoint (table, "i-1"));
-  stop ();
+  drop_table ();
 }
 
 /* Sends one request to the endpoint. */
@@ -120,18 +120,18 @@
 list_start (int64_t started_ms)
 {
   listed.started_ms = started_ms;
-  bt_apply_listed_endpoints (ctx, table, &full, LEFT_MS);
+  bt_apply_listed_endpoints (ctx, table, &listed_view, LEFT_MS);
 }
 
-/* A process with all slots taken is killed and started again under its id. Its callers are told so
- * by their broken connections, some of them late. The new start is free at once, and what ends late
- * does not count against it. */
+/* A process with all slots taken is killed and restarted under its id. Broken connections of its
+ * requests are noticed late. The slots of the new start must be free at once, and attempts of the
+ * old start that end late must not count against it. */
 static void
-test_new_start_owes_nothing_for_the_one_before (void)
+test_new_start_has_free_slots (void)
 {
   bt_route_t routes[SLOTS];
 
-  start ();
+  create_table ();
   for (int32_t i = 0; i < SLOTS; i++)
     routes[i] = dispatch ();
   CU_ASSERT_EQUAL (get_capacity ().in_flight, SLOTS);
@@ -142,19 +142,19 @@
     bt_record_attempt_end (router, &routes[i], BT_ATTEMPT_FAILED, 1, LEFT_MS);
   CU_ASSERT_EQUAL (get_capacity ().in_flight, 1);
   CU_ASSERT_EQUAL (get_capacity ().endpoints, 1);
-  stop ();
+  drop_table ();
 }
 
-/* The endpoint failed until it was taken out of the choice. Its operator starts it again. What the
- * old process did is no reason to leave the new one idle. */
+/* Guards against an outlier verdict that outlives its process: an endpoint that failed until it was
+ * taken out as an outlier is restarted by its operator, and the new process must get requests. */
 static void
-test_new_start_is_not_the_outlier_that_the_one_before_was (void)
+test_new_start_is_no_outlier (void)
 {
   bt_router_options_t options;
   bt_listed_endpoint_t pair[2];
   bt_view_t both = { .endpoints = pair, .endpoint_count = 2 };
 
-  start ();
+  create_table ();
   bt_default_router_options (&options);
   pair[0] = pair[1] = listed;
   bt_copy_name (pair[1].id, "i-2");
@@ -170,17 +170,18 @@
   bt_apply_listed_endpoints (ctx, table, &both, LEFT_MS);
   CU_ASSERT_EQUAL (bt_count_outliers (router, "svc", LEFT_MS), 0);
   CU_ASSERT_EQUAL (get_capacity ().endpoints, 2);
-  stop ();
+  drop_table ();
 }
 
-/* Another process answered at the address, so the endpoint was marked as gone. It is started again
- * under its id and is back. A refusal of the time before comes late, and says nothing of it. */
+/* Another process answered at the address, so the endpoint was marked as gone. It is restarted
+ * under its id and must get requests again. A refusal of an earlier request arrives late and must
+ * not remove the new start. */
 static void
-test_new_start_is_back_where_the_one_before_was_gone (void)
+test_new_start_is_used_after_the_earlier_one_was_gone (void)
 {
   bt_identity_t before;
 
-  start ();
+  create_table ();
   bt_identify_endpoint (&listed, &before);
   bt_remove_listed_endpoint (ctx, table, &before);
   list_start (FIRST_START_MS);
@@ -190,15 +191,16 @@
   bt_remove_listed_endpoint (ctx, table, &before);
   CU_ASSERT_EQUAL (get_capacity ().endpoints, 1);
   CU_ASSERT_PTR_NOT_NULL (bt_find_endpoint_at (table, "127.0.0.1:1"));
-  stop ();
+  drop_table ();
 }
 
-/* The last word of the old process, that it drains, is written after the new one has listed itself.
- * The new one goes on getting requests: it has not said so. */
+/* Guards against applying an old start's entry to the new one: the old process's last write, that
+ * it is leaving, arrives after the new one has listed itself. The new one must still get
+ * requests. */
 static void
-test_late_news_of_an_old_start_changes_nothing (void)
+test_late_entry_of_an_old_start_is_ignored (void)
 {
-  start ();
+  create_table ();
   list_start (SECOND_START_MS);
   dispatch ();
   listed.leaving = true;
@@ -207,39 +209,39 @@
   CU_ASSERT_EQUAL (get_capacity ().endpoints, 1);
   CU_ASSERT_EQUAL (get_capacity ().in_flight, 1);
   CU_ASSERT_EQUAL (bt_find_listed_endpoint (table, "i-1")->started_ms, SECOND_START_MS);
-  stop ();
+  drop_table ();
 }
 
-/* After an outage of the store an endpoint that is missing is kept for a while, and taken out then.
- * One that comes back as a new start meanwhile has not been missing at all. */
+/* After an outage of the store a missing endpoint is kept for a while and then removed. A new start
+ * that is listed meanwhile must not inherit the time since which it was missing. */
 static void
-test_new_start_was_never_missing (void)
+test_new_start_does_not_inherit_missing_time (void)
 {
-  start ();
-  bt_note_store_regained (table, REGAINED_MS);
-  bt_apply_listed_endpoints (ctx, table, &empty, LEFT_MS);
+  create_table ();
+  bt_record_store_regained (table, REGAINED_MS);
+  bt_apply_listed_endpoints (ctx, table, &empty_view, LEFT_MS);
   list_start (SECOND_START_MS);
-  CU_ASSERT (bt_apply_listed_endpoints (ctx, table, &empty, LEFT_MS + 1) > LEFT_MS + 1);
+  CU_ASSERT (bt_apply_listed_endpoints (ctx, table, &empty_view, LEFT_MS + 1) > LEFT_MS + 1);
   CU_ASSERT_PTR_NOT_NULL (bt_find_listed_endpoint (table, "i-1"));
-  stop ();
+  drop_table ();
 }
 
-/* An endpoint of older software does not say when it started. It is used as it always was. */
+/* An endpoint of an older version does not state when it started. It must be used as before. */
 static void
-test_endpoint_that_does_not_tell_its_start_is_used (void)
+test_endpoint_without_start_time_is_used (void)
 {
-  start ();
-  bt_apply_listed_endpoints (ctx, table, &empty, LEFT_MS);
+  create_table ();
+  bt_apply_listed_endpoints (ctx, table, &empty_view, LEFT_MS);
   list_start (0);
   dispatch ();
   list_start (0);
   CU_ASSERT_EQUAL (get_capacity ().in_flight, 1);
   list_start (SECOND_START_MS);
   CU_ASSERT_EQUAL (get_capacity ().in_flight, 0);
-  stop ();
+  drop_table ();
 }
 
-/** Counts the ends that it is told of. */
+/** Counts the unannounced ends of endpoints. */
 typedef struct end_counter
 {
   bt_endpoint_end_handler_t handler;
@@ -257,35 +259,35 @@
 }
 
 static void
-test_end_without_notice_is_told (void)
+test_unannounced_end_is_reported (void)
 {
   end_counter_t counter = { { count_end } };
 
-  start ();
+  create_table ();
   bt_set_endpoint_end_handler (table, &counter.handler);
   listed.started_ms = SECOND_START_MS;
-  bt_apply_listed_endpoints (ctx, table, &full, 1);
+  bt_apply_listed_endpoints (ctx, table, &listed_view, 1);
   CU_ASSERT_EQUAL (counter.count, 1);
   CU_ASSERT_EQUAL (counter.last.incarnation, FIRST_START_MS);
-  bt_apply_listed_endpoints (ctx, table, &empty, 2);
+  bt_apply_listed_endpoints (ctx, table, &empty_view, 2);
   CU_ASSERT_EQUAL (counter.count, 2);
   CU_ASSERT_EQUAL (counter.last.incarnation, SECOND_START_MS);
-  stop ();
+  drop_table ();
 }
 
-/* Guards against taking a planned stop for a crash. */
+/* Guards against counting a planned stop as a crash. */
 static void
-test_end_of_one_that_leaves_is_not_told (void)
+test_announced_end_is_not_reported (void)
 {
   end_counter_t counter = { { count_end } };
 
-  start ();
+  create_table ();
   bt_set_endpoint_end_handler (table, &counter.handler);
   listed.leaving = true;
-  bt_apply_listed_endpoints (ctx, table, &full, 1);
-  bt_apply_listed_endpoints (ctx, table, &empty, 2);
+  bt_apply_listed_endpoints (ctx, table, &listed_view, 1);
+  bt_apply_listed_endpoints (ctx, table, &empty_view, 2);
   CU_ASSERT_EQUAL (counter.count, 0);
-  stop ();
+  drop_table ();
 }
 
 int
@@ -296,17 +298,17 @@
 
   CU_initialize_registry ();
   suite = CU_add_suite ("endpoint_table", NULL, NULL);
-  CU_ADD_TEST (suite, test_endpoint_that_leaves_after_an_outage_gets_nothing_late);
-  CU_ADD_TEST (suite, test_endpoint_that_lapsed_with_the_store_stays);
-  CU_ADD_TEST (suite, test_endpoint_that_leaves_is_gone_at_once);
-  CU_ADD_TEST (suite, test_new_start_owes_nothing_for_the_one_before);
-  CU_ADD_TEST (suite, test_new_start_is_not_the_outlier_that_the_one_before_was);
-  CU_ADD_TEST (suite, test_new_start_is_back_where_the_one_before_was_gone);
-  CU_ADD_TEST (suite, test_late_news_of_an_old_start_changes_nothing);
-  CU_ADD_TEST (suite, test_new_start_was_never_missing);
-  CU_ADD_TEST (suite, test_endpoint_that_does_not_tell_its_start_is_used);
-  CU_ADD_TEST (suite, test_end_without_notice_is_told);
-  CU_ADD_TEST (suite, test_end_of_one_that_leaves_is_not_told);
+  CU_ADD_TEST (suite, test_endpoint_that_leaves_after_an_outage_is_removed_in_time);
+  CU_ADD_TEST (suite, test_endpoint_that_lapsed_with_the_store_is_kept);
+  CU_ADD_TEST (suite, test_endpoint_that_leaves_is_removed_at_once);
+  CU_ADD_TEST (suite, test_new_start_has_free_slots);
+  CU_ADD_TEST (suite, test_new_start_is_no_outlier);
+  CU_ADD_TEST (suite, test_new_start_is_used_after_the_earlier_one_was_gone);
+  CU_ADD_TEST (suite, test_late_entry_of_an_old_start_is_ignored);
+  CU_ADD_TEST (suite, test_new_start_does_not_inherit_missing_time);
+  CU_ADD_TEST (suite, test_endpoint_without_start_time_is_used);
+  CU_ADD_TEST (suite, test_unannounced_end_is_reported);
+  CU_ADD_TEST (suite, test_announced_end_is_not_reported);
   CU_basic_set_mode (CU_BRM_VERBOSE);
   CU_basic_run_tests ();
   failures = CU_get_number_of_failures ();
--- a/test/gateway/test_port_probes.c
+++ b/test/gateway/test_port_probes.c
@@ -9,14 +9,14 @@
 
 enum
 {
-  LOOP_MS = 400,
-  MANY = 500,
+  RUN_MS = 400,
+  MANY_PROBES = 500,
 };
 
 static bt_context_t *ctx;
 static bt_event_loop_t *loop;
 
-/** Counts refusals. */
+/** Counts refused connections. */
 typedef struct refusals
 {
   bt_port_probes_handler_t handler;
@@ -45,13 +45,13 @@
 {
   bt_timer_t timer = { .on_time = stop_loop };
 
-  bt_set_timer (loop, &timer, bt_now_ms (ctx) + LOOP_MS);
+  bt_set_timer (loop, &timer, bt_now_ms (ctx) + RUN_MS);
   bt_run_event_loop (loop);
 }
 
-/* A socket that listens; its address is written to @p text. */
+/* Opens a listening socket and writes its address to @p text. */
 static int
-listen_somewhere (char text[BT_ADDRESS_BYTES])
+open_listener (char text[BT_ADDRESS_BYTES])
 {
   struct sockaddr_in address = { .sin_family = AF_INET, .sin_addr = { htonl (INADDR_LOOPBACK) } };
   socklen_t bytes = sizeof address;
@@ -82,9 +82,9 @@
   char open_address[BT_ADDRESS_BYTES];
   char closed_address[BT_ADDRESS_BYTES];
   bt_port_probes_t *probes;
-  int listening = listen_somewhere (open_address);
+  int listener = open_listener (open_address);
 
-  close (listen_somewhere (closed_address));
+  close (open_listener (closed_address));
   loop = bt_new_event_loop (ctx, NULL);
   probes = bt_new_port_probes (ctx, loop, &refusals.handler);
   bt_probe_port (probes, open_address, &open);
@@ -95,22 +95,22 @@
   CU_ASSERT_EQUAL (refusals.last.incarnation, closed.incarnation);
   bt_drop_port_probes (ctx, probes);
   bt_drop_event_loop (ctx, loop);
-  close (listening);
+  close (listener);
 }
 
-/* Guards against a probe for each of many attempts that broke at once. */
+/* Guards against one probe for each of many attempts that broke at the same time. */
 static void
-test_one_start_is_probed_once_at_a_time (void)
+test_start_has_one_probe_at_a_time (void)
 {
   refusals_t refusals = { { count_refusal } };
   bt_identity_t closed = make_identity (2);
   char address[BT_ADDRESS_BYTES];
   bt_port_probes_t *probes;
 
-  close (listen_somewhere (address));
+  close (open_listener (address));
   loop = bt_new_event_loop (ctx, NULL);
   probes = bt_new_port_probes (ctx, loop, &refusals.handler);
-  for (int32_t i = 0; i < MANY; i++)
+  for (int32_t i = 0; i < MANY_PROBES; i++)
     bt_probe_port (probes, address, &closed);
   run_loop ();
   CU_ASSERT_EQUAL (refusals.count, 1);
@@ -119,23 +119,23 @@
 }
 
 static void
-test_probes_are_bounded (void)
+test_number_of_probes_is_limited (void)
 {
   refusals_t refusals = { { count_refusal } };
   char address[BT_ADDRESS_BYTES];
   bt_port_probes_t *probes;
 
-  close (listen_somewhere (address));
+  close (open_listener (address));
   loop = bt_new_event_loop (ctx, NULL);
   probes = bt_new_port_probes (ctx, loop, &refusals.handler);
-  for (int32_t i = 0; i < MANY; i++)
+  for (int32_t i = 0; i < MANY_PROBES; i++)
     {
       bt_identity_t other = make_identity (i);
 
       bt_probe_port (probes, address, &other);
     }
   run_loop ();
-  CU_ASSERT (refusals.count > 1 && refusals.count < MANY);
+  CU_ASSERT (refusals.count > 1 && refusals.count < MANY_PROBES);
   bt_drop_port_probes (ctx, probes);
   bt_drop_event_loop (ctx, loop);
 }
@@ -150,8 +150,8 @@
   CU_initialize_registry ();
   suite = CU_add_suite ("port_probes", NULL, NULL);
   CU_ADD_TEST (suite, test_only_a_port_without_listener_is_refused);
-  CU_ADD_TEST (suite, test_one_start_is_probed_once_at_a_time);
-  CU_ADD_TEST (suite, test_probes_are_bounded);
+  CU_ADD_TEST (suite, test_start_has_one_probe_at_a_time);
+  CU_ADD_TEST (suite, test_number_of_probes_is_limited);
   CU_basic_set_mode (CU_BRM_VERBOSE);
   CU_basic_run_tests ();
   failures = CU_get_number_of_failures ();
