--- a/include/bilberrytray/gateway/gateway.h
+++ b/include/bilberrytray/gateway/gateway.h
@@ -26,7 +26,7 @@
                         the store does not answer at the start; may be "". */
   const char *store; /**< The platform's store, "IP:PORT". */
   const char *log_level;
-  double cores; /**< Processor share of this instance, in cores; the largest share leads. */
+  double cores; /**< Processor share in cores; the instance with the largest leads the groups. */
   int64_t max_connections;
   int64_t address_life_ms; /**< How long callers may cache an address answer. */
   int64_t drain_ms;        /**< Maximum time from SIGTERM to the end of the process. */
@@ -36,10 +36,9 @@
   int64_t retry_percent;   /**< Retries allowed for 100 requests of an app. */
   double retry_reserve; /**< Retries of an app that all instances together may make in addition. */
   int64_t crash_ends;   /**< Endpoints that a request may crash before it is refused. */
-  int64_t
-      crash_keep_s;   /**< A crashing request that is not sent again for this long is forgotten. */
-  int64_t agent_port; /**< Port on which agents beside engines accept links; 0: there are none. */
-  int64_t lead_lease_s;  /**< Lifetime of the lease of the instance that leads the rank groups. */
+  int64_t crash_keep_s; /**< A crashing request that is not repeated for this long is forgotten. */
+  int64_t agent_port;   /**< Port on which agents beside engines accept links; 0: there are none. */
+  int64_t lead_lease_s; /**< Lifetime of the lease of the instance that leads the rank groups. */
   int64_t lead_renew_ms; /**< Interval between two renewals of that lease. */
   int64_t plan_ms;       /**< Interval between two plans of a group's expert map. */
 } bt_gateway_settings_t;
--- a/source/gateway/endpoint_table.c
+++ b/source/gateway/endpoint_table.c
@@ -10,9 +10,10 @@
    * return. Half a second is added for the watch and the read that bring the entry here. */
   RELIST_WAIT_MS = 2500,
   /* An endpoint that leaves just then is missing as well, and must get no requests two seconds
-   * later. An entry that alone was cut off from the store must not send to it for longer. */
+     later. An entry instance that alone was cut off from the store must not send to it for longer.
+   */
   MAX_MISSING_MS = 1800,
-  /* Three missed heartbeats of an endpoint, and the time for that news to arrive. */
+  /* Three missed heartbeats of an endpoint, and the delay until that is known here. */
   ENDED_SUSPENSION_MS = 5000,
 };
 
--- a/source/gateway/endpoint_table.h
+++ b/source/gateway/endpoint_table.h
@@ -51,8 +51,8 @@
  * the two are equal, or one of them is unknown (0). */
 bool bt_is_listed_start (const bt_listed_endpoint_t *listed, int64_t started_ms);
 
-/** Removes a start of an endpoint that is known to be gone, until the store lists the endpoint
- * anew. Does nothing when another start is listed by now. */
+/** Removes a start of an endpoint that is known to be gone, until the store lists a new entry of
+ * the endpoint. Does nothing when another start is listed by now. */
 void bt_remove_listed_endpoint (bt_context_t *ctx,
                                 bt_endpoint_table_t *table,
                                 const bt_identity_t *identity);
--- a/source/gateway/exchange.c
+++ b/source/gateway/exchange.c
@@ -60,12 +60,10 @@
   CURLM *multi;
   bt_histogram_t *connect_times;
   bt_timer_t timer;
-  bt_turn_t turn;
-  bt_exchange_t *first_queued; /* exchanges with a pending call of on_progress, or dropped and still
-                                  in this list */
+  bt_turn_t hook;
+  bt_exchange_t *first_queued; /* exchanges to report progress of, or to free if dropped */
   bt_exchange_t **last_queued;
-  socket_watch_t *closed_sockets; /* freed by run_pool: until then, events that were already read
-                                     may refer to them */
+  socket_watch_t *closed_sockets; /* freed by run_pool: earlier events may refer to them */
   CURL *idle_handles[MAX_IDLE_HANDLES];
   int32_t idle_count;
 };
@@ -131,10 +129,10 @@
 }
 
 static void
-run_pool (bt_turn_t *turn)
+run_pool (bt_turn_t *hook)
 {
   bt_exchange_pool_t *pool =
-      (bt_exchange_pool_t *)((char *)turn - offsetof (bt_exchange_pool_t, turn));
+      (bt_exchange_pool_t *)((char *)hook - offsetof (bt_exchange_pool_t, hook));
 
   collect_results (pool);
   while (pool->first_queued != NULL)
@@ -247,14 +245,14 @@
       bt_new_histogram (ctx, "bilberry_connect_ms", "New connections to endpoints.");
   pool->last_queued = &pool->first_queued;
   pool->timer.on_time = handle_pool_timer;
-  pool->turn.on_turn = run_pool;
+  pool->hook.on_turn = run_pool;
   pool->multi = curl_multi_init ();
   curl_multi_setopt (pool->multi, CURLMOPT_SOCKETFUNCTION, watch_socket);
   curl_multi_setopt (pool->multi, CURLMOPT_SOCKETDATA, pool);
   curl_multi_setopt (pool->multi, CURLMOPT_TIMERFUNCTION, set_pool_timer);
   curl_multi_setopt (pool->multi, CURLMOPT_TIMERDATA, pool);
   curl_multi_setopt (pool->multi, CURLMOPT_MAXCONNECTS, 1L);
-  bt_add_turn (loop, &pool->turn);
+  bt_add_turn (loop, &pool->hook);
   return pool;
 }
 
@@ -263,12 +261,12 @@
 {
   if (pool == NULL)
     return;
-  run_pool (&pool->turn);
+  run_pool (&pool->hook);
   for (int32_t i = 0; i < pool->idle_count; i++)
     curl_easy_cleanup (pool->idle_handles[i]);
   curl_multi_cleanup (pool->multi);
   bt_clear_timer (pool->loop, &pool->timer);
-  run_pool (&pool->turn);
+  run_pool (&pool->hook);
   bt_drop_histogram (ctx, pool->connect_times);
   bt_free (ctx, pool);
 }
@@ -339,14 +337,13 @@
 /* The kernel retransmits to a host that is gone for many minutes, unless it is given a time
  * limit. */
 static int
-limit_unacknowledged_time (void *user, curl_socket_t fd, curlsocktype purpose)
+set_tcp_user_timeout (void *user, curl_socket_t fd, curlsocktype purpose)
 {
   const bt_exchange_pool_t *pool = user;
-  unsigned int max_unacknowledged_ms = (unsigned int)pool->limits.max_unacknowledged_ms;
+  unsigned int user_timeout_ms = (unsigned int)pool->limits.user_timeout_ms;
 
   (void)purpose;
-  setsockopt (fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &max_unacknowledged_ms,
-              sizeof max_unacknowledged_ms);
+  setsockopt (fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &user_timeout_ms, sizeof user_timeout_ms);
   return CURL_SOCKOPT_OK;
 }
 
@@ -383,7 +380,7 @@
   curl_easy_setopt (curl, CURLOPT_FRESH_CONNECT, 1L);
   curl_easy_setopt (curl, CURLOPT_FORBID_REUSE, 1L);
   curl_easy_setopt (curl, CURLOPT_CONNECTTIMEOUT_MS, (long)exchange->pool->limits.connect_ms);
-  curl_easy_setopt (curl, CURLOPT_SOCKOPTFUNCTION, limit_unacknowledged_time);
+  curl_easy_setopt (curl, CURLOPT_SOCKOPTFUNCTION, set_tcp_user_timeout);
   curl_easy_setopt (curl, CURLOPT_SOCKOPTDATA, exchange->pool);
   curl_easy_setopt (curl, CURLOPT_WRITEFUNCTION, append_body);
   curl_easy_setopt (curl, CURLOPT_WRITEDATA, exchange);
--- a/source/gateway/exchange.h
+++ b/source/gateway/exchange.h
@@ -48,16 +48,14 @@
   const char *target;
   const char *body; /**< Must outlive the exchange; NULL for none. */
   size_t body_bytes;
-  size_t answer_bytes; /**< Maximum size of the body that is buffered at a time; a larger one fails
-                          the exchange. */
+  size_t answer_bytes; /**< Maximum buffered body; a larger one fails the exchange. */
 } bt_exchange_request_t;
 
 /** Limits that all exchanges share. */
 typedef struct bt_exchange_limits
 {
   int64_t connect_ms;
-  int64_t max_unacknowledged_ms; /**< A peer that acknowledges no data for this long is considered
-                                    gone. */
+  int64_t user_timeout_ms; /**< A peer that acknowledges no data for this long is gone. */
 } bt_exchange_limits_t;
 
 bt_exchange_pool_t *
--- a/source/gateway/forward.c
+++ b/source/gateway/forward.c
@@ -23,7 +23,7 @@
   /* Divisor for the time in which callers expect the first part of an answer: an endpoint with a
    * free slot takes nearly half of it to read a usual prompt. */
   FIRST_PART_DIVISOR = 2,
-  /* Entries learn the configuration within about this time. */
+  /* Entry instances learn the configuration within about this time. */
   NOT_READY_RETRY_MS = 500,
   /* Another instance can take the request at once. */
   STOPPING_RETRY_MS = 1,
@@ -155,7 +155,7 @@
   bt_forward_t *forward = (bt_forward_t *)((char *)timer - offsetof (bt_forward_t, timer));
   bt_gateway_t *gateway = forward->gateway;
 
-  if (forward->state == BT_FORWARD_WAITING)
+  if (forward->state == BT_FORWARD_QUEUED)
     bt_cancel_admission (gateway->admission, forward->id);
   if (forward->runs > 0 || forward->exchange != NULL)
     bt_refuse_forward (forward, BT_REASON_DEADLINE_PASSED, 0);
@@ -180,11 +180,11 @@
 }
 
 static bool
-is_any_waiting (const bt_gateway_t *gateway)
+is_any_queued (const bt_gateway_t *gateway)
 {
   for (const bt_forward_t *forward = gateway->first_forward; forward != NULL;
        forward = forward->next)
-    if (forward->state == BT_FORWARD_WAITING)
+    if (forward->state == BT_FORWARD_QUEUED)
       return true;
   return false;
 }
@@ -207,7 +207,7 @@
         bt_refuse_forward (forward, decision.reason, decision.retry_after_ms);
     }
   gateway->queue_timer.on_time = handle_queue_timer;
-  if (is_any_waiting (gateway))
+  if (is_any_queued (gateway))
     bt_set_timer (gateway->loop, &gateway->queue_timer, now_ms + QUEUE_CHECK_MS);
 }
 
@@ -333,8 +333,8 @@
   bt_set_timer (forward->gateway->loop, &forward->timer, forward->deadline_ms);
 }
 
-/* Returns when a request that was refused before admission may be sent again, ms; 0: sending it
- * again is no use. */
+/* Returns after how long a request that was refused before admission may be sent again, ms; 0:
+ * sending it again is no use. */
 static int64_t
 get_unadmitted_retry_ms (bt_reason_t reason)
 {
@@ -386,7 +386,7 @@
   if (forward == NULL)
     return;
   bt_set_frontend_call_data (call, NULL);
-  if (forward->state == BT_FORWARD_WAITING)
+  if (forward->state == BT_FORWARD_QUEUED)
     bt_cancel_admission (gateway->admission, forward->id);
   bt_finish_forward (forward, BT_OUTCOME_UNKNOWN, BT_REASON_CANCELLED, 0);
   bt_pump_forwards (gateway);
@@ -397,7 +397,7 @@
 static void
 abort_forward (bt_forward_t *forward)
 {
-  if (forward->state == BT_FORWARD_WAITING)
+  if (forward->state == BT_FORWARD_QUEUED)
     {
       bt_cancel_admission (forward->gateway->admission, forward->id);
       bt_refuse_forward (forward, BT_REASON_STOPPING, STOPPING_RETRY_MS);
--- a/source/gateway/forward.h
+++ b/source/gateway/forward.h
@@ -21,17 +21,16 @@
 /** State of a request. */
 typedef enum bt_forward_state
 {
-  BT_FORWARD_WAITING = 0, /**< In the admission queue. */
-  BT_FORWARD_SENT,        /**< An attempt is under way; the caller has received nothing yet. */
-  BT_FORWARD_STREAMING,   /**< The caller has received the head of a stream. */
+  BT_FORWARD_QUEUED = 0, /**< In the admission queue. */
+  BT_FORWARD_SENT,       /**< An attempt is under way; the caller has received nothing yet. */
+  BT_FORWARD_STREAMING,  /**< The caller has received the head of a stream. */
   BT_FORWARD_ENDED,
 } bt_forward_state_t;
 
 /** A request under way. */
 typedef struct bt_forward
 {
-  bt_exchange_handler_t
-      handler; /**< Must be the first member: the callbacks cast it to bt_forward_t. */
+  bt_exchange_handler_t handler; /**< Must be first: the callbacks cast it to bt_forward_t. */
   bt_gateway_t *gateway;
   struct bt_forward *next; /**< In the list of all requests under way. */
   struct bt_forward *previous;
@@ -40,8 +39,7 @@
   bt_frontend_call_t *call; /**< NULL once it was released. */
   bt_timer_t timer;         /**< Expires at deadline_ms. */
 
-  bt_declarations_t
-      *declarations; /**< Held from the match to the last retry, so that one revision decides. */
+  bt_declarations_t *declarations; /**< One revision, from the match to the last retry. */
   const bt_rule_t *rule;
   const char *app;
   char account[BT_NAME_BYTES]; /**< "" for callers that need none. */
@@ -99,8 +97,8 @@
 void
 bt_finish_forward (bt_forward_t *forward, bt_outcome_t outcome, bt_reason_t reason, int32_t status);
 
-/** Returns when callers that found no free endpoint may retry, ms. The times are spread at random,
- * so that callers that were refused together do not return together. */
+/** Returns after how long callers that found no free endpoint may retry, ms. The times are spread
+ * at random, so that callers that were refused together do not return together. */
 int64_t bt_draw_retry_after_ms (bt_gateway_t *gateway);
 
 #endif
--- a/source/gateway/forward_crashes.c
+++ b/source/gateway/forward_crashes.c
@@ -95,7 +95,7 @@
   for (bt_forward_t *forward = gateway->first_forward; forward != NULL; forward = next)
     {
       next = forward->next;
-      if (forward->state != BT_FORWARD_WAITING
+      if (forward->state != BT_FORWARD_QUEUED
           || !bt_check_forward_crashing (forward, &retry_after_ms))
         continue;
       bt_cancel_admission (gateway->admission, forward->id);
--- a/source/gateway/forward_send.c
+++ b/source/gateway/forward_send.c
@@ -14,8 +14,8 @@
   MAX_EXTRA_SENDS = 2,
 };
 
-/* Returns true for headers that concern one connection only, and those that the HTTP library
- * sets. */
+/* Returns true for headers that concern one connection only, and those that the HTTP libraries set.
+ */
 static bool
 is_hop_header (const char *name)
 {
@@ -358,7 +358,7 @@
   forward->exchange =
       bt_new_exchange (gateway->ctx, gateway->exchanges, &exchange, &forward->handler);
   add_headers (forward);
-  if (forward->state == BT_FORWARD_WAITING)
+  if (forward->state == BT_FORWARD_QUEUED)
     forward->state = BT_FORWARD_SENT;
   if (forward->first_sent_ms == 0)
     {
--- a/source/gateway/gateway.c
+++ b/source/gateway/gateway.c
@@ -9,7 +9,7 @@
 {
   MS_PER_S = 1000,
   /* An instance that is among the first to return after all were lost sees few others to share the
-   * reserve with. */
+     reserve with, and would start with a large part of it. */
   MAX_INITIAL_RETRIES = 8,
   /* Buffer of libmicrohttpd for one connection: the longest request head that declarations usually
    * allow, and as much again for the head of an answer. */
@@ -22,7 +22,7 @@
    * last moment still finds it open. */
   IDLE_MARGIN_MS = 1000,
   CONNECT_MS = 500,
-  PEER_UNACKNOWLEDGED_MS = 3000,
+  PEER_TIMEOUT_MS = 3000,
   /* Estimate of a run's time before any was measured. Endpoints are probed by requests only; a run
    * takes about a second at first. */
   DEFAULT_SERVICE_MS = 300,
@@ -160,9 +160,9 @@
 }
 
 static void
-run_agent_hook (bt_turn_t *turn)
+run_agent_hook (bt_turn_t *hook)
 {
-  bt_gateway_t *gateway = (bt_gateway_t *)((char *)turn - offsetof (bt_gateway_t, agent_hook));
+  bt_gateway_t *gateway = (bt_gateway_t *)((char *)hook - offsetof (bt_gateway_t, agent_hook));
 
   bt_take_agents_news (gateway);
   bt_run_group_control (gateway->groups);
@@ -352,7 +352,7 @@
                 bt_error_t *error)
 {
   bt_gateway_t *gateway = bt_calloc (ctx, 1, sizeof *gateway);
-  bt_exchange_limits_t limits = { CONNECT_MS, PEER_UNACKNOWLEDGED_MS };
+  bt_exchange_limits_t limits = { CONNECT_MS, PEER_TIMEOUT_MS };
   uint64_t seed;
 
   gateway->ctx = ctx;
--- a/source/gateway/gateway_private.h
+++ b/source/gateway/gateway_private.h
@@ -76,8 +76,7 @@
   int32_t forwards;
   uint64_t last_forward_id;
   bt_timer_t queue_timer;
-  bt_timer_t
-      relist_timer; /**< Expires when endpoints whose entries have lapsed are to be removed. */
+  bt_timer_t relist_timer; /**< Expires when endpoints with lapsed entries are to be removed. */
 
   bool leaving;
   bt_stop_plan_t stop; /**< Valid while leaving. */
--- a/source/gateway/http_front.c
+++ b/source/gateway/http_front.c
@@ -20,7 +20,7 @@
   /* A peer that acknowledges no data for this long is considered gone: a device on the path has
    * lost the connection. Three round trips of a slow path, with their retransmissions, take
    * less. */
-  PEER_UNACKNOWLEDGED_MS = 8000,
+  PEER_TIMEOUT_MS = 8000,
   /* Calls of MHD_run that the library needs to take an answer and to write it. */
   FINAL_RUNS = 3,
 };
@@ -95,7 +95,7 @@
 }
 
 /* The library does not watch a suspended connection, so a caller's disconnect would be noticed only
- * when the answer is written, and the endpoint would meanwhile work for nobody. */
+ * when the answer is written, and until then the endpoint would work for no caller. */
 static void
 handle_disconnect (bt_watch_t *watch, uint32_t events)
 {
@@ -152,12 +152,11 @@
 /* The send window of a dead peer's connection stays full without any error, unless the kernel is
  * given a time limit. */
 static void
-limit_unacknowledged_time (int fd)
+set_tcp_user_timeout (int fd)
 {
-  unsigned int max_unacknowledged_ms = PEER_UNACKNOWLEDGED_MS;
+  unsigned int user_timeout_ms = PEER_TIMEOUT_MS;
 
-  setsockopt (fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &max_unacknowledged_ms,
-              sizeof max_unacknowledged_ms);
+  setsockopt (fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &user_timeout_ms, sizeof user_timeout_ms);
 }
 
 static void
@@ -169,7 +168,7 @@
   MHD_get_connection_values (call->connection, MHD_HEADER_KIND, append_header, call);
   MHD_set_connection_option (call->connection, MHD_CONNECTION_OPTION_TIMEOUT,
                              (unsigned int)((frontend->limits.idle_ms + MS_PER_S - 1) / MS_PER_S));
-  limit_unacknowledged_time (call->watch.fd);
+  set_tcp_user_timeout (call->watch.fd);
 }
 
 static void
@@ -286,9 +285,9 @@
 }
 
 static void
-run_frontend (bt_turn_t *turn)
+run_frontend (bt_turn_t *hook)
 {
-  bt_frontend_t *frontend = (bt_frontend_t *)((char *)turn - offsetof (bt_frontend_t, turn));
+  bt_frontend_t *frontend = (bt_frontend_t *)((char *)hook - offsetof (bt_frontend_t, hook));
   MHD_UNSIGNED_LONG_LONG wait_ms;
 
   if (!frontend->run_requested)
@@ -363,9 +362,9 @@
   frontend->watch.fd = MHD_get_daemon_info (frontend->daemon, MHD_DAEMON_INFO_EPOLL_FD)->epoll_fd;
   frontend->watch.on_ready = request_run;
   frontend->timer.on_time = handle_timeout;
-  frontend->turn.on_turn = run_frontend;
+  frontend->hook.on_turn = run_frontend;
   bt_set_watch (loop, &frontend->watch, EPOLLIN);
-  bt_add_turn (loop, &frontend->turn);
+  bt_add_turn (loop, &frontend->hook);
   return frontend;
 }
 
--- a/source/gateway/http_front.h
+++ b/source/gateway/http_front.h
@@ -57,16 +57,14 @@
   int32_t connections;
   size_t head_bytes; /**< Memory limit of a connection, which bounds the head that is read. */
   size_t body_bytes; /**< Maximum size of a request body. */
-  int64_t idle_ms;   /**< A connection without traffic is closed after this; rounded up to whole
-                        seconds. */
+  int64_t idle_ms;   /**< An idle connection is closed after this; rounded up to seconds. */
 } bt_frontend_limits_t;
 
 /** How a stream ended. */
 typedef enum bt_stream_end
 {
   BT_STREAM_COMPLETE = 0, /**< The caller sees a complete answer. */
-  BT_STREAM_CUT_OFF, /**< The connection is broken without the end mark, so the caller sees that the
-                        answer is incomplete. */
+  BT_STREAM_CUT_OFF,      /**< The connection is broken, visibly before the end. */
 } bt_stream_end_t;
 
 /** Starts to serve at "IP:PORT"; port 0 lets the system choose. @return NULL, with @p error set, on
--- a/source/gateway/http_front_private.h
+++ b/source/gateway/http_front_private.h
@@ -57,7 +57,7 @@
   bt_frontend_limits_t limits;
   struct MHD_Daemon *daemon;
   bt_watch_t watch; /* the library's epoll descriptor */
-  bt_turn_t turn;
+  bt_turn_t hook;
   bt_timer_t timer;   /* the library's next timeout */
   bool run_requested; /* MHD_run is to be called in this iteration */
   bool leaving;
--- a/source/gateway/stop_plan.c
+++ b/source/gateway/stop_plan.c
@@ -9,10 +9,10 @@
   /* The request of a caller whose connection was accepted just before accepting stopped arrives
    * within a round trip of a few ms; the rest is a margin for a busy instance. */
   LINGER_MS = 120,
-  /* In this first part of a stop every request is accepted: the time left is more than nearly all
-   * streams take, on slow groups too. Accepting only what was shorter of late would refuse many
-   * requests that end in time. After it, a stream could be cut off whose caller another instance
-   * would serve at once. */
+  /* For this part of the time until requests are cut off, every new request is accepted: the time
+     left is more than nearly all streams take, on slow groups too. Accepting only requests that
+     recently took less than the time left would refuse many that end in time. Afterwards, accepting
+     all could cut off a stream whose caller another instance would serve at once. */
   ACCEPT_ALL_PERCENT = 38,
   PERCENT = 100,
 };
--- a/source/gateway/stop_plan.h
+++ b/source/gateway/stop_plan.h
@@ -24,10 +24,15 @@
 /** The phase of a stop.
  *
  * LEAVING: not in the address answers and not ready. Callers that hold an old address answer are
- * served, unless their request could not end in time. CLOSING: no caller can still hold an old
- * address answer. New requests are refused, those under way continue. LINGERING: no new connections
- * are accepted, and what was under way has been ended. Requests on existing connections are
- * refused. DONE: the loop may end. */
+ * served, unless their request could not end in time.
+ *
+ * CLOSING: no caller can still hold an old address answer. New requests are refused, those under
+ * way continue.
+ *
+ * LINGERING: no new connections are accepted, and what was under way has been ended. Requests on
+ * existing connections are refused.
+ *
+ * DONE: the loop may end. */
 typedef enum bt_stop_phase
 {
 #define BT_STOP_PHASE_ENUM(id, name) BT_STOP_##id,
--- a/source/gateway/timings.h
+++ b/source/gateway/timings.h
@@ -3,7 +3,7 @@
 
 /** @file
  * Histograms of how long the steps of requests took, and how old the data was that decided them. A
- * request that failed has its own log line; these histograms cover the others as well.
+ * failed request is logged as a warning; these histograms show the others as well.
  */
 
 #include "bilberrytray/base/histogram.h"
@@ -14,7 +14,7 @@
   bt_histogram_t *first_part;  /**< From the arrival to the first part of the answer. */
   bt_histogram_t *event_pause; /**< Between two parts of a stream that were passed on. */
   bt_histogram_t *total;    /**< From the arrival to the end of the request, successful or not. */
-  bt_histogram_t *view_age; /**< Age of the store's view by which a request was sent. */
+  bt_histogram_t *view_age; /**< Age of the store's view by which a request was routed. */
   bt_histogram_t *load_age; /**< Age of an engine's load when it was recorded. */
 } bt_timings_t;
 
--- a/test/gateway/test_endpoint_table.c
+++ b/test/gateway/test_endpoint_table.c
@@ -52,9 +52,9 @@
   bt_drop_context (ctx);
 }
 
-/* An entry that alone was cut off from the store has reached it again, and just then an endpoint
- * leaves. Its entry could have lapsed with the store and be listed again, but requests must not be
- * sent to the endpoint for that long. */
+/* An entry instance that alone was cut off from the store has reached it again, and just then an
+ * endpoint leaves. Its entry could have lapsed with the store and be listed again, but requests
+ * must not be sent to the endpoint for that long. */
 static void
 test_endpoint_that_leaves_after_an_outage_is_removed_in_time (void)
 {
