--- a/source/gateway/forward_crashes.c
+++ b/source/gateway/forward_crashes.c
@@ -1,11 +1,11 @@
 #include "bilberrytray/base/event_log.h"
 #include "forward.h"
 
-/* The hash is over the whole body, so it is made only for requests that need it. */
+/* The hash covers the whole body, so it is computed only for requests that need it. */
 static const bt_fingerprint_t *
 get_fingerprint (bt_forward_t *forward)
 {
-  const bt_front_request_t *request = bt_get_front_request (forward->call);
+  const bt_frontend_request_t *request = bt_get_frontend_request (forward->call);
   bt_request_content_t content = {
     .account = forward->account,
     .method = request->method,
@@ -27,7 +27,7 @@
 }
 
 void
-bt_note_forward_broken (bt_forward_t *forward)
+bt_record_broken_attempt (bt_forward_t *forward)
 {
   bt_gateway_t *gateway = forward->gateway;
   bt_crash_t attempt = describe_attempt (forward);
@@ -40,14 +40,14 @@
                 "request", forward->facts.request_id, "fingerprint", text, "endpoint",
                 attempt.endpoint.instance, "started_ms", (json_int_t)attempt.endpoint.incarnation,
                 "status", bt_get_exchange_status (forward->exchange), "fault",
-                bt_get_exchange_fault (forward->exchange));
-  /* One that leaves by plan may break off what it has not ended in time. */
+                bt_get_exchange_error (forward->exchange));
+  /* An endpoint that leaves as planned may break off what it has not finished in time. */
   if (listed == NULL || !listed->leaving)
     bt_add_crash_suspect (gateway->crashes, &attempt, listed == NULL ? "" : listed->address);
 }
 
 void
-bt_note_forward_answered (bt_forward_t *forward)
+bt_record_answered_attempt (bt_forward_t *forward)
 {
   bt_crash_t attempt;
 
@@ -83,7 +83,7 @@
   return true;
 }
 
-/* What waits would else be refused only once there is room for it. */
+/* Without this call, queued requests would be refused only once there is capacity for them. */
 void
 bt_refuse_crashing_forwards (bt_gateway_t *gateway)
 {
@@ -95,7 +95,7 @@
   for (bt_forward_t *forward = gateway->first_forward; forward != NULL; forward = next)
     {
       next = forward->next;
-      if (forward->state != BT_FORWARD_WAITING
+      if (forward->state != BT_FORWARD_QUEUED
           || !bt_check_forward_crashing (forward, &retry_after_ms))
         continue;
       bt_cancel_admission (gateway->admission, forward->id);
