--- a/include/bilberrytray/gateway/platform.h
+++ b/include/bilberrytray/gateway/platform.h
@@ -2,10 +2,11 @@
 #define BILBERRYTRAY_GATEWAY_PLATFORM_H
 
 /** @file
- * What the gateway asks of the platform it runs on: names, formats and calls.
+ * The interface that a platform implements for the gateway: the names and formats that the platform
+ * uses, and the functions that decode and encode them.
  *
- * An implementation only translates. It decodes each name of the wire once, into the types below,
- * and decides nothing.
+ * An implementation only translates: it decodes each name on the wire once, into the types below,
+ * and makes no decisions.
  */
 
 #include "bilberrytray/base/error.h"
@@ -16,111 +17,118 @@
 
 enum
 {
-  /** Longest id of a request, with its zero, in bytes. */
+  /** Size of a request id, including the terminating zero, in bytes. */
   BT_REQUEST_ID_BYTES = 80,
-  /** Most addresses that one answer to a caller may hold. */
+  /** Maximum number of addresses in one answer to a caller. */
   BT_MAX_TOLD_ADDRESSES = 64,
 };
 
-/** An endpoint as it registered itself in the platform's store. */
+/** An endpoint as registered in the platform's store. */
 typedef struct bt_listed_endpoint
 {
-  char id[BT_NAME_BYTES]; /**< Kept through a restart: with started_ms it names one start. */
+  char id[BT_NAME_BYTES]; /**< Survives a restart: the id and started_ms together identify one
+                             start. */
   char app[BT_NAME_BYTES];
   char address[BT_ADDRESS_BYTES];
   char failure_domain[BT_NAME_BYTES];
-  int32_t slots;            /**< Requests that it runs at a time. */
-  bool leaving;             /**< It takes no new work and ends soon. */
-  int64_t created_revision; /**< The store's when the entry was made. */
-  int64_t started_ms;       /**< When it started, in Unix time; 0: it does not say. */
+  int32_t slots;            /**< Maximum number of concurrent requests. */
+  bool leaving;             /**< It accepts no new requests and stops soon. */
+  int64_t created_revision; /**< The store's revision at which the registration was created. */
+  int64_t started_ms;       /**< Start time, Unix time in ms; 0: unknown. */
 } bt_listed_endpoint_t;
 
-/** What a caller's headers say of a request. */
+/** Information about a request, decoded from the caller's headers. */
 typedef struct bt_call_facts
 {
-  char request_id[BT_REQUEST_ID_BYTES]; /**< The caller's; "" when it sent none. */
-  int64_t deadline_ms;          /**< How long the caller waits, from arrival; 0: not told. */
-  int32_t prompt_tokens;        /**< 0: not told. */
-  int32_t answer_tokens;        /**< At most; 0: not told. */
-  int32_t likely_answer_tokens; /**< The caller's guess, often far off; 0: not told. */
+  char request_id[BT_REQUEST_ID_BYTES]; /**< Sent by the caller; "" if none was sent. */
+  int64_t deadline_ms;                  /**< How long the caller waits, from arrival; 0: unknown. */
+  int32_t prompt_tokens;                /**< 0: unknown. */
+  int32_t answer_tokens;                /**< Upper bound; 0: unknown. */
+  int32_t likely_answer_tokens;         /**< The caller's estimate, often far off; 0: unknown. */
 } bt_call_facts_t;
 
-/** What an endpoint is told of an attempt beside the caller's own headers. */
+/** Information about an attempt that the gateway sends to the endpoint in addition to the caller's
+ * own headers. */
 typedef struct bt_send_facts
 {
-  const char *endpoint; /**< The id that must answer; another one refuses without running it. */
-  const char *account;  /**< The client account; "" for callers that need none. */
+  const char *endpoint; /**< The intended endpoint's id; any other endpoint refuses the request
+                             without running it. */
+  const char *account;  /**< The client account; "" if the caller needs none. */
   int64_t deadline_left_ms;
-  const char *last_event; /**< Where a stream goes on; NULL: as the caller says. */
+  const char *last_event; /**< Id of the event after which to resume a stream; NULL: the caller's
+                             own header applies. */
 } bt_send_facts_t;
 
-/** What an endpoint's headers say of its answer. */
+/** Information about an answer, decoded from the endpoint's headers. */
 typedef struct bt_answer_facts
 {
-  char request_id[BT_REQUEST_ID_BYTES]; /**< Which request it answers; "" when it does not say. */
-  bool marked;                          /**< It bears the endpoint's mark of origin. */
-  bool not_run;                         /**< The endpoint says that it did not run the request. */
-  bool encoded;                         /**< The body was re-encoded on the way. */
+  char request_id[BT_REQUEST_ID_BYTES]; /**< The request that it answers; "" if unknown. */
+  bool marked;                          /**< A header shows that the endpoint itself sent it. */
+  bool not_run;                         /**< The endpoint states that it did not run the request. */
+  bool encoded;                         /**< The body was re-encoded in transit. */
   bool has_load;
   bt_load_t load;
 } bt_answer_facts_t;
 
-/** Takes one header that is to be sent. */
+/** Adds one header to a request that is to be sent. */
 typedef void (*bt_put_header_t) (void *data, const char *name, const char *value);
 
 typedef struct bt_platform bt_platform_t;
 
-/** What a platform can do. */
+/** Functions of a platform. */
 typedef struct bt_platform_vtable
 {
-  /** Makes a client of the platform's store at "IP:PORT". */
+  /** Creates a client of the platform's store at "IP:PORT". */
   bt_kv_t *(*new_store) (bt_context_t *ctx, const char *address, uint64_t seed);
 
-  /** Translates the operators' configuration. NULL with findings when it can't be. */
+  /** Decodes the operators' configuration. Returns NULL and adds findings if it is invalid. */
   bt_declarations_t *(*read_declarations) (bt_context_t *ctx,
                                            const char *text,
                                            size_t bytes,
                                            bt_findings_t *findings);
 
-  /** Decodes an item that lies under endpoint_prefix. */
+  /** Decodes a store item whose key begins with endpoint_prefix. */
   bool (*read_endpoint) (const char *key,
                          const char *text,
                          size_t bytes,
                          bt_listed_endpoint_t *endpoint,
                          bt_error_t *error);
 
-  /** Decodes a caller's header. True when it is passed on to the endpoint as it is. */
+  /** Decodes a header of a caller's request. Returns true if the header is forwarded unchanged to
+   * the endpoint. */
   bool (*read_call_header) (const char *name, const char *value, bt_call_facts_t *facts);
 
-  /** Gives the headers that the gateway itself sets on an attempt. */
+  /** Passes the headers that the gateway itself sets on an attempt to @p put. */
   void (*write_send_headers) (const bt_send_facts_t *facts, bt_put_header_t put, void *data);
 
-  /** Decodes an endpoint's header. True when it is passed on to the caller as it is. */
+  /** Decodes a header of an endpoint's answer. Returns true if the header is forwarded unchanged to
+   * the caller. */
   bool (*read_answer_header) (const char *name, const char *value, bt_answer_facts_t *facts);
 
-  /** Where the caller is that asks which addresses to use, by the request's target; "" when it does
-   * not say. */
+  /** Reads the failure domain of a caller from the target of its request for addresses; "" if the
+   * target does not name one. */
   void (*read_asker_domain) (const char *target, char domain[BT_NAME_BYTES]);
 
-  /** The body that tells callers where to connect; freed with bt_free. */
+  /** Encodes the addresses to which callers may connect, valid for @p life_ms, as the body of an
+   * answer; the caller frees it with bt_free. */
   char *(*write_addresses) (bt_context_t *ctx,
                             const char *const *addresses,
                             int32_t count,
                             int64_t life_ms);
 } bt_platform_vtable_t;
 
-/** A platform: the vtable is its first member. */
+/** A platform. The vtable must be the first member. */
 struct bt_platform
 {
   const bt_platform_vtable_t *vtable;
   const char *name;
-  const char *configuration_key; /**< Where the operators' newest configuration lies. */
-  const char *endpoint_prefix;   /**< What the keys of endpoints begin with. */
-  const char *address_path;      /**< Where callers ask which addresses to use. */
-  const char *ready_path; /**< Where the platform asks whether this instance takes requests. */
+  const char *configuration_key; /**< Store key of the operators' current configuration. */
+  const char *endpoint_prefix;   /**< Common prefix of the endpoints' store keys. */
+  const char *address_path;      /**< HTTP path at which callers request addresses. */
+  const char *ready_path;        /**< HTTP path of the readiness check. */
 };
 
-/** The users' platform. */
+/** Returns the platform that the gateway is built for. */
 const bt_platform_t *bt_get_platform (void);
 
 #endif
--- a/source/gateway/agent_links.c
+++ b/source/gateway/agent_links.c
@@ -18,22 +18,22 @@
   MAX_FRAME_BYTES = 1 << 20,
   MAX_UNSENT_BYTES = 1 << 20,
   MAX_LINKS = 1024,
-  /* Ranks whose picks a leader takes in at a time, that is between two reports of a rank. */
+  /* Number of ranks whose picks a leader processes during one report interval of a rank. */
   PICKING_RANKS = 48,
 };
 
-/** One agent. */
+/** An agent and what it has reported since the event loop last collected updates. */
 typedef struct agent_row
 {
   char endpoint[BT_ADDRESS_BYTES];
   char agent[BT_ADDRESS_BYTES];
-  bool wanted; /* still listed */
+  bool listed; /* its endpoint is in the current view */
   bt_link_t *link;
   bool up;
-  bool fresh; /* there is news */
+  bool updated; /* reported since updates were last collected */
   bt_engine_report_t report;
   int64_t heard_ms;
-  uint32_t *picks; /* summed up until they are handed over */
+  uint32_t *picks; /* summed until they are collected */
   int32_t pick_count;
   uint32_t *places;
   int32_t place_count;
@@ -47,19 +47,19 @@
 
 struct bt_agent_links
 {
-  bt_link_handler_t handler; /* first */
+  bt_link_handler_t handler; /* must be first: callbacks cast it to bt_agent_links_t */
   bt_context_t *ctx;
   bt_event_loop_t *loop;
   int32_t port;
   bt_link_loop_t *link_loop;
   bt_timer_t redial_timer;
   uint64_t fence;
-  /* Lock order: taken before any call into a link. */
+  /* Lock order: acquired before any call into a link. */
   pthread_mutex_t lock; /* guards the rows */
   agent_row_t *rows;
 };
 
-/** Wakes the loop: news is looked for in every turn. */
+/** A task that only wakes the event loop, which collects updates in every iteration. */
 typedef struct wake_task
 {
   bt_task_t task;
@@ -79,7 +79,7 @@
 
   wake->task.run = run_wake;
   wake->ctx = links->ctx;
-  /* With so many tasks waiting the loop turns anyway. */
+  /* The task queue is full, so the loop is about to run anyway. */
   if (!bt_post_task (links->loop, &wake->task))
     bt_free (links->ctx, wake);
 }
@@ -158,7 +158,7 @@
                 bt_get_link_instance (link));
 }
 
-/* Sums picks up: several reports may come between two looks of the loop. */
+/* Adds up picks, because several reports may arrive before the loop collects them. */
 static void
 note_picks (bt_agent_links_t *links, agent_row_t *row, const Bilberry__EngineReport *message)
 {
@@ -238,7 +238,7 @@
 static const bt_link_handler_vtable_t handler_vtable = { take_link_up, take_frame, take_link_down,
                                                          send_beat };
 
-/* Dials agents that are not linked. */
+/* Connects to the agents that have no open link. */
 static void
 dial_missing (bt_agent_links_t *links)
 {
@@ -389,7 +389,7 @@
   pthread_mutex_unlock (&links->lock);
 }
 
-/* Copies the news of a row and forgets it there. */
+/* Moves the pending update out of a row. Returns false if there is none. */
 static bool
 take_row_news (agent_row_t *row, bt_agent_news_t *news)
 {
@@ -422,7 +422,7 @@
   agent_row_t *row;
   bool any = false;
 
-  /* Rows are made and dropped by this thread only; the lock guards what stands in them. */
+  /* Only this thread creates and frees rows; the lock guards their contents. */
   for (row = links->rows; row != NULL; row = row->next)
     {
       bt_agent_news_t news;
--- a/source/gateway/agent_links.h
+++ b/source/gateway/agent_links.h
@@ -2,11 +2,12 @@
 #define BILBERRYTRAY_SOURCE_GATEWAY_AGENT_LINKS_H
 
 /** @file
- * Links to the agents beside model engines: what the engines say of themselves, and the orders of a
- * group's leader.
+ * Links to the agents that run beside model engines. They carry the engines' reports, and the
+ * orders of a group's leader.
  *
- * Frames come on the links' own thread, which only notes them on a table. The event loop looks at
- * the table when it turns; it is woken for what can't wait, the results of orders.
+ * Frames arrive on the links' own thread, which only stores them in a table. The event loop
+ * collects them from the table in each iteration. While this instance leads, every frame wakes the
+ * loop, so that the results of orders are processed without delay.
  */
 
 #include "bilberrytray/maps/expert_map.h"
@@ -16,24 +17,26 @@
 
 typedef struct bt_agent_links bt_agent_links_t;
 
-/** One agent's news. */
+/** What one agent reported since the last update. */
 typedef struct bt_agent_news
 {
   const char *endpoint; /**< The engine's "IP:PORT". */
   bt_engine_report_t report;
   int64_t heard_ms;
-  const uint32_t *picks; /**< By set and expert, since the news before; NULL: none came. */
+  const uint32_t *picks; /**< How often each expert was picked since the last update, by
+                            set and expert; NULL: not reported. */
   int32_t pick_count;
-  const uint32_t *places; /**< set << 16 | expert; NULL: none came. */
+  const uint32_t *places; /**< Experts that the rank holds, each set << 16 | expert; NULL: not
+                             reported. */
   int32_t place_count;
-  int64_t places_epoch; /**< The epoch and the map that they are of. */
+  int64_t places_epoch; /**< Epoch and version of the map that the places belong to. */
   int64_t places_version;
-  bool answered;        /**< An order was answered: */
-  uint64_t answered_id; /**< this one, */
+  bool answered;        /**< The result of an order arrived. */
+  uint64_t answered_id; /**< The id of that order. */
   bt_order_result_t result;
 } bt_agent_news_t;
 
-/** Takes what is new; called on the event loop by bt_collect_agent_news. */
+/** Handles one update; called on the event loop by bt_collect_agent_news. */
 typedef void (*bt_take_agent_news_t) (void *data, const bt_agent_news_t *news);
 
 typedef struct bt_agent_links_options
@@ -42,7 +45,7 @@
   uint64_t incarnation;
   const char *failure_domain;
   const char *secret;
-  int32_t port; /**< Where agents accept links, on the address of their engine. */
+  int32_t port; /**< Port on which agents accept links, at their engine's IP address. */
 } bt_agent_links_options_t;
 
 bt_agent_links_t *bt_new_agent_links (bt_context_t *ctx,
@@ -53,34 +56,36 @@
 /** NULL is accepted. */
 void bt_drop_agent_links (bt_context_t *ctx, bt_agent_links_t *links);
 
-/** Links to the agents of these endpoints, and to no others. Endpoints of plain services have no
- * agent; @p declarations tell which apps are models. */
+/** Opens links to the agents of the view's endpoints, and closes all others. Endpoints of plain
+ * services have no agent; @p declarations define which apps are models. */
 void bt_set_agent_endpoints (bt_agent_links_t *links,
                              const bt_view_t *view,
                              const bt_declarations_t *declarations);
 
-/** Hands over all that came since the last call; false when nothing did. */
+/** Passes each update that arrived since the last call to @p take. Returns false if there is none.
+ */
 bool bt_collect_agent_news (bt_agent_links_t *links, bt_take_agent_news_t take, void *data);
 
-/** Has all agents send picks, and their places once, for the leader with this fencing number; 0: no
- * longer. Agents that are linked later are told too. */
+/** Asks all agents to send their picks regularly, and their places once, to the leader with the
+ * fencing number @p fence. 0 ends the subscription. Agents that connect later are asked too. */
 void bt_follow_agents (bt_agent_links_t *links, uint64_t fence);
 
-/** Asks one agent for a report now. */
+/** Asks one agent to send a report at once. */
 void bt_ask_agent_report (bt_agent_links_t *links, const char *endpoint);
 
 /** Asks one agent for its places. */
 void bt_ask_agent_places (bt_agent_links_t *links, const char *endpoint);
 
-/** Sends an order to the agent beside the engine @p via, for the engine @p endpoint; false when
- * that agent is not linked. @p map goes with PREPARE, else NULL. */
+/** Sends an order for the engine @p endpoint through the agent beside the engine @p via. Returns
+ * false if that agent is not linked. @p map is set for PREPARE orders only, else NULL. */
 bool bt_send_agent_order (bt_agent_links_t *links,
                           const char *via,
                           const char *endpoint,
                           const bt_group_order_t *order,
                           const bt_map_bytes_t *map);
 
-/** Of how many reports of a rank one carries its picks, in a group of so many ranks. */
+/** Returns n such that every nth report of a rank carries its picks, in a group of @p ranks ranks.
+ */
 int32_t bt_get_picks_every (int32_t ranks);
 
 #endif
--- a/source/gateway/agent_news.c
+++ b/source/gateway/agent_news.c
@@ -2,11 +2,12 @@
 
 #include "gateway_private.h"
 
-/* Of the longest pause that callers expect, what one pass may take: passes differ by the prompts
- * that are read in them, and an event has its way to the caller. */
+/* The share of the longest pause that callers accept which one pass may take. The rest covers
+ * passes that are longer because they read prompts, and the transmission of the event to the
+ * caller. */
 static const double pass_part = 0.70;
 
-/* Longest pause where no rule states one. */
+/* Longest accepted pause if no rule sets one, in ms. */
 static const int64_t default_pause_ms = 120;
 
 static int64_t
@@ -59,7 +60,8 @@
   bt_free (gateway->ctx, gateway->paces);
 }
 
-/* Requests that each engine of a group may run now; 0 where the engine is in no group. */
+/* Records a report in the group's pass pace. Returns the number of concurrent requests that each
+ * engine of the group may run now; 0 if the engine is in no group. */
 static int32_t
 take_pass (bt_gateway_t *gateway,
            const bt_agent_news_t *news,
@@ -77,8 +79,9 @@
   return bt_get_pass_limit (pace);
 }
 
-/* Requests that the engine itself may run now. Every pass waits for the slowest rank: a slow one
- * gets fewer, so that its own part of a pass is no longer than that of the others. */
+/* Returns the number of concurrent requests that this engine may run now. Every pass waits for the
+ * slowest rank, so a slow rank gets fewer requests: its part of a pass then takes no longer than
+ * that of the others. */
 static int32_t
 get_slots (const bt_engine_report_t *report, int32_t listed_slots, int32_t pass_limit)
 {
@@ -107,9 +110,10 @@
   bt_record_load (gateway->router, identity, &load, now_ms);
 }
 
-/* What an engine says goes to the router, and to the control of its group. The agent may know of a
- * start before the store lists it: its load is not that of the listed one, but that it is shut
- * holds for whatever is sent to the address. News of a start before the listed one is late. */
+/* Passes an engine's report to the router and to the group control. The agent may report a start of
+ * the engine that the store does not list yet. Its load does not belong to the listed start and is
+ * ignored, but its shut state applies to everything that is sent to the address. A report of a
+ * start before the listed one is outdated and is ignored. */
 static void
 take_news (void *data, const bt_agent_news_t *news)
 {
--- a/source/gateway/crash_control.c
+++ b/source/gateway/crash_control.c
@@ -15,7 +15,7 @@
 
 struct bt_crash_control
 {
-  bt_endpoint_end_handler_t end_handler; /* first */
+  bt_endpoint_end_handler_t end_handler; /* must be first: take_end casts it */
   bt_port_probes_handler_t probe_handler;
   bt_context_t *ctx;
   bt_event_loop_t *loop;
@@ -26,10 +26,10 @@
   bt_port_probes_t *probes;
   bt_timer_t expire_timer;
   bt_counter_t *known;
-  int64_t seen_revision; /* of the newest listed crash */
+  int64_t seen_revision; /* revision of the newest listed crash */
 };
 
-/* Tells the others, and this instance's log, what is new. */
+/* Logs each change of the crash table and reports it to the other instances. */
 static void
 hand_over (bt_crash_control_t *control)
 {
@@ -144,8 +144,9 @@
   hand_over (control);
 }
 
-/* What is sent to an endpoint whose end this instance has not noticed would run at its next start,
- * if anywhere, and a crash there would be taken for the one that is known. */
+/* Suspends the endpoints whose crash other instances report. If this instance has not noticed the
+ * end of such an endpoint, a request sent to it could only run at the endpoint's next start, and a
+ * crash there would be mistaken for the crash that is already known. */
 static void
 suspend_ended_endpoints (bt_crash_control_t *control,
                          const bt_listed_crash_t *listed,
--- a/source/gateway/crash_items.c
+++ b/source/gateway/crash_items.c
@@ -12,7 +12,8 @@
 
 const char *const bt_crash_prefix = "bilberrytray/crashes/";
 
-/* "FINGERPRINT/STARTED/INSTANCE": an instance's name may hold any character but a space. */
+/* Writes "FINGERPRINT/STARTED/INSTANCE" after the prefix. The instance comes last because its name
+ * may contain any character but a space. */
 void
 bt_write_crash_key (const bt_crash_t *crash, char key[BT_CRASH_KEY_BYTES])
 {
--- a/source/gateway/crash_reporter.c
+++ b/source/gateway/crash_reporter.c
@@ -13,16 +13,17 @@
 
 enum
 {
-  /* Writes that the store takes in one transaction. */
-  MOST_WRITES = 32,
-  MOST_WAITING = 1024,
-  /* Between two tries while the store fails; the client's own back-off comes on top. */
+  /* Maximum number of writes that the store accepts in one transaction. */
+  MAX_WRITES = 32,
+  MAX_QUEUED = 1024,
+  /* Pause between two attempts while the store fails, in addition to the client's own back-off. */
   FAILED_PAUSE_MS = 150,
-  /* An order that the store will never take must not hold up the rest for good. */
+  /* A batch that fails this long after its first order was queued is dropped, so that an order
+     which the store never accepts does not block the others for ever. */
   GIVE_UP_MS = 600000,
 };
 
-/** An order and the key that it is about. */
+/** A queued order and the store key that it writes or deletes. */
 typedef struct report
 {
   bt_crash_order_kind_t kind;
@@ -39,11 +40,11 @@
   bt_counter_t *failed;
   bool running; /* the thread was started */
   pthread_t thread;
-  /* Lock order: taken alone. */
-  pthread_mutex_t lock; /* guards what stands below */
+  /* Lock order: no other lock is held with it. */
+  pthread_mutex_t lock; /* guards the members below */
   pthread_cond_t changed;
   bool stopping;
-  report_t *waiting; /* oldest first */
+  report_t *queue; /* oldest first */
   int32_t count;
 };
 
@@ -95,8 +96,8 @@
     }
 }
 
-/* Reports of one kind that wait first, at most as many as one transaction takes. No key stands
- * twice among them. */
+/* Counts the reports at the head of the queue that are of one kind, up to the limit of one
+ * transaction. A key occurs only once among them. */
 static int32_t
 count_batch (const bt_crash_reporter_t *reporter)
 {
@@ -120,7 +121,8 @@
   return bt_commit_kv (reporter->ctx, reporter->kv, &txn, &result, error);
 }
 
-/* Tries the first batch, which stays where it is meanwhile: reports come behind it only. */
+/* Writes the first batch without the lock. The batch stays at the head of the queue meanwhile: new
+ * reports are only added behind it. */
 static void
 try_batch (bt_crash_reporter_t *reporter)
 {
@@ -160,7 +162,7 @@
   return NULL;
 }
 
-/* True when the last report of the same key says the same. */
+/* Returns true if the latest queued report for the same key is of the same kind. */
 static bool
 is_waiting (const bt_crash_reporter_t *reporter, const report_t *report)
 {
@@ -179,7 +181,7 @@
 
   bt_write_crash_key (&order->crash, report.key);
   pthread_mutex_lock (&reporter->lock);
-  /* Crashes are rare: an instance that never sees one has neither the thread nor the memory. */
+  /* Crashes are rare, so the thread and the queue are only created for the first one. */
   if (reporter->waiting == NULL)
     reporter->waiting = bt_calloc (reporter->ctx, MOST_WAITING, sizeof *reporter->waiting);
   if (!reporter->running)
@@ -193,7 +195,7 @@
   pthread_mutex_unlock (&reporter->lock);
   if (full)
     bt_note_limit (reporter->ctx, "crash-reports", MOST_WAITING, report.key,
-                   "The other instances are not told of it.");
+                   "The other instances are not notified of it.");
 }
 
 void
--- a/source/gateway/crash_reporter.h
+++ b/source/gateway/crash_reporter.h
@@ -2,8 +2,8 @@
 #define BILBERRYTRAY_SOURCE_GATEWAY_CRASH_REPORTER_H
 
 /** @file
- * Tells all instances of crashes by items of the platform's store, on a thread of its own. What the
- * store does not take is tried again.
+ * Reports crashes to all instances by items in the platform's store, on a thread of its own. Writes
+ * that fail are retried.
  */
 
 #include "bilberrytray/gateway/platform.h"
@@ -11,16 +11,17 @@
 
 typedef struct bt_crash_reporter bt_crash_reporter_t;
 
-/** @p store is the store's "IP:PORT", @p instance this instance; both must outlive the reporter. */
+/** @p store is the store's "IP:PORT", @p instance the name of this instance; both must outlive the
+ * reporter. */
 bt_crash_reporter_t *bt_new_crash_reporter (bt_context_t *ctx,
                                             const bt_platform_t *platform,
                                             const char *store,
                                             const char *instance);
 
-/** Ends the thread; what was not told by then is lost. NULL is accepted. */
+/** Stops the thread. Reports that are not written by then are lost. NULL is accepted. */
 void bt_drop_crash_reporter (bt_context_t *ctx, bt_crash_reporter_t *reporter);
 
-/** Has the others told. From any thread. */
+/** Queues an order for the store. May be called from any thread. */
 void bt_report_crash (bt_crash_reporter_t *reporter, const bt_crash_order_t *order);
 
 #endif
--- a/source/gateway/feed_choice.c
+++ b/source/gateway/feed_choice.c
@@ -14,7 +14,8 @@
   return true;
 }
 
-/* Each failure domain has a reader, so that what an entry learns need not cross between two. */
+/* Returns the number of readers. There is at least one for each failure domain, so that updates
+ * need not cross between failure domains. */
 static int32_t
 count_readers (const bt_listed_entry_t *entries, int32_t count)
 {
@@ -34,7 +35,8 @@
     snprintf (choice->candidates[choice->count++], BT_ADDRESS_BYTES, "%s", links);
 }
 
-/* Adds the readers of the same failure domain, or those of others, from a place of its own on. */
+/* Adds the readers in the same failure domain (@p same), or those in the others. The first one
+ * depends on the hash of @p links, so that followers are spread over the readers. */
 static void
 add_readers (bt_feed_choice_t *choice,
              const bt_listed_entry_t *entries,
@@ -56,7 +58,7 @@
     }
 }
 
-/* Lists the entries that stand by, in the order that all know. */
+/* Adds the standbys in an order that is the same for all entries. */
 static void
 add_standbys (bt_feed_choice_t *choice,
               const bt_listed_entry_t *entries,
--- a/source/gateway/feed_choice.h
+++ b/source/gateway/feed_choice.h
@@ -2,11 +2,12 @@
 #define BILBERRYTRAY_SOURCE_GATEWAY_FEED_CHOICE_H
 
 /** @file
- * Who reads the platform's store itself, and from whom the other entries learn what it holds.
+ * Chooses the entry instances that read the platform's store themselves (readers), and the peers
+ * from which the others receive its contents (followers).
  *
- * Every entry that reads the store costs it a waiting call and an answer for each change, so few
- * do: the calls of all would grow with the fleet until they are more than a store answers. Whoever
- * knows the same entries chooses the same readers, without asking anyone.
+ * Every reader costs the store a pending watch call and an answer for each change. If all entries
+ * were readers, the calls would grow with the fleet beyond what a store can answer, so only a few
+ * are. Entries that know the same list choose the same readers without communicating.
  */
 
 #include "bilberrytray/base/context.h"
@@ -14,31 +15,33 @@
 
 enum
 {
-  /** Entries for each that reads the store: what one reader is lost costs that many full reads at
-   * once, and what it sends for a change is that many times the change. */
+  /** Number of entries per reader. The loss of a reader causes up to this many full reads at once,
+   * and a reader sends each change this many times. */
   BT_ENTRIES_A_READER = 12,
-  /** Entries that come next after the readers: a reader that the store turns away, and the
-   * followers it had, learn from one of them. */
+  /** Number of standbys, the entries that come next after the readers. A reader whose calls to the
+   * store fail, and its followers, follow one of them. */
   BT_STANDBY_READERS = 3,
-  /** Most addresses that a choice holds. */
+  /** Maximum number of addresses in a choice. */
   BT_MAX_FEED_CANDIDATES = 12,
 };
 
 typedef struct bt_feed_choice
 {
   bool reader; /**< This entry reads the store. */
-  /** Where others accept links, best first: readers of its own failure domain, those of others,
-   * then entries that stand by. */
+  /** Link addresses of the peers to follow, best first: readers in the own failure domain, readers
+   * in others, then standbys. */
   char candidates[BT_MAX_FEED_CANDIDATES][BT_ADDRESS_BYTES];
   int32_t count;
-  /** How many of them, from the first, to follow while the store answers this entry. They are those
-   * that come before it in an order that all know, so that no two ever follow each other: both
-   * would stop to read, notice it of each other, and begin again, for ever. */
+  /** Number of candidates, from the first, that may be followed while the store answers this entry.
+   * They all come before it in an order that is the same for all entries, so that no two entries
+   * ever follow each other: both would stop reading the store, each would notice that the other
+   * stopped, and both would start again, for ever. */
   int32_t usual;
 } bt_feed_choice_t;
 
 /** Chooses for the entry that accepts links at @p links. Entries of one failure domain are spread
- * over its readers. An entry that is not listed reads the store only for want of another. */
+ * over its readers. An entry that is not in the list is not chosen as a reader: it reads the store
+ * only if there is no peer that it can follow. */
 void bt_choose_feed (bt_context_t *ctx,
                      const bt_listed_entry_t *entries,
                      int32_t count,
@@ -46,8 +49,8 @@
                      const char *failure_domain,
                      bt_feed_choice_t *choice);
 
-/** Chooses for a process that knows no entry yet: @p seeds are addresses, with commas between,
- * where some instances accept links; its own is left out. */
+/** Chooses for a process that knows no entries yet. @p seeds is a comma-separated list of link
+ * addresses of other instances; the process's own address is skipped. */
 void bt_choose_seed_feed (const char *seeds, const char *links, bt_feed_choice_t *choice);
 
 #endif
--- a/source/gateway/feed_messages.c
+++ b/source/gateway/feed_messages.c
@@ -81,7 +81,7 @@
 read_item (bt_context_t *ctx, const Bilberry__StoreItem *item, bt_kv_pair_t *pair)
 {
   pair->key = bt_strdup (ctx, item->key);
-  /* Values are followed by a zero byte, as those that come from the store are. */
+  /* bt_memdup adds a zero byte, as values that are read from the store have one too. */
   pair->value = bt_memdup (ctx, item->value.data, item->value.len);
   pair->value_bytes = item->value.len;
   pair->mod_revision = item->revision;
--- a/source/gateway/feed_messages.h
+++ b/source/gateway/feed_messages.h
@@ -2,30 +2,31 @@
 #define BILBERRYTRAY_SOURCE_GATEWAY_FEED_MESSAGES_H
 
 /** @file
- * The messages by which an entry tells another what the platform's store holds.
+ * Encodes and decodes the messages in which an entry instance sends the contents of the platform's
+ * store to another.
  */
 
 #include "bilberrytray/wire/frame.h"
 #include "store_copy.h"
 
-/** Writes changes that follow on @p from_revision. The message points into @p changes; free it with
+/** Encodes the changes after @p from_revision. The message points into @p changes; free it with
  * bt_clear_items_message. */
 void bt_write_changes_message (bt_context_t *ctx,
                                int64_t from_revision,
                                const bt_kv_changes_t *changes,
                                Bilberry__StoreItems *message);
 
-/** Writes the items that changed behind @p from_revision, and the keys of all. The message points
- * into @p items; free it with bt_clear_items_message. */
+/** Encodes the items that changed after @p from_revision, and the keys of all items. The message
+ * points into @p items; free it with bt_clear_items_message. */
 void bt_write_items_message (bt_context_t *ctx,
                              int64_t from_revision,
                              const bt_kv_range_t *items,
                              Bilberry__StoreItems *message);
 
-/** Frees the lists of a message that was written, not what they point to. */
+/** Frees the lists of an encoded message, not what they point to. */
 void bt_clear_items_message (bt_context_t *ctx, Bilberry__StoreItems *message);
 
-/** Copies what a message holds; freed with bt_drop_store_news. */
+/** Decodes a message into a copy; free it with bt_drop_store_news. */
 bt_store_news_t *bt_read_items_message (bt_context_t *ctx, const Bilberry__StoreItems *message);
 
 #endif
--- a/source/gateway/group_control.c
+++ b/source/gateway/group_control.c
@@ -10,28 +10,30 @@
 enum
 {
   MS_PER_S = 1000,
-  /* Orders stop so long before the lease could lapse: a way to an agent and back, and as long again
-   * for a loop that was held up. */
+  /* Orders stop this long before the lease can expire. It covers a round trip to an agent, and as
+   * much again for an event loop that was delayed. */
   LEASE_MARGIN_MS = 500,
-  /* With less left of its lease a leader holds no group: it would stand until the next leader is in
-   * office, for seconds where the store goes away meanwhile. A round lets its group go well within
-   * this, and a lease that is renewed in time has more left. */
+  /* A leader holds no group when less than this is left of its lease. A group that is still held
+   * when the lease expires stands still until the next leader takes over, which takes seconds if
+   * the store fails meanwhile. A round releases its group well within this time, and a lease that
+   * is renewed in time has more left. */
   LEAST_LEASE_MS = 700,
-  /* While a round is under way the group is looked at this often. */
+  /* Interval between two runs of the control while a round is in progress. */
   ROUND_LOOK_MS = 20,
-  /* Each later instance waits longer for its turn to lead, so that they do not race. */
+  /* Each instance delays its attempt to get the lease by its position in the order of candidates,
+     so that the instances do not race for it. */
   TURN_MS = 250,
   FIRST_TURN_MS = 100,
 };
 
-/* A leader hands over to an instance with so many times its processor share. Planning takes many
- * milliseconds at once, and in them its own callers wait. */
+/* A leader hands over to an instance with more than this many times its processor share. Planning
+ * blocks the event loop for many milliseconds at a time, and the leader's own callers wait then. */
 static const double much_room = 1.5;
 
 static const char *const lease_prefix = "bilberrytray/maps/";
 static const char *const lease_name = "groups";
 
-/** A group in the list of all. */
+/** A list element for one group. */
 typedef struct group_row
 {
   bt_led_group_t *group;
@@ -47,12 +49,12 @@
   bt_lease_listener_t listener;
   bt_lease_keeper_t *keeper;
   uint64_t fence;       /* 0: not leading */
-  uint64_t lease_fence; /* of the lease that was granted last */
+  uint64_t lease_fence; /* fencing number of the lease that was granted last */
   int64_t lease_end_ms;
   bool leaving;
-  bool handed_over;   /* the lease that was granted last is on its way back */
-  bool unrelieved;    /* it was handed over, and nobody else took it */
-  int64_t outdone_ms; /* since when an instance with more room is listed; 0: none is */
+  bool handed_over;   /* the lease that was granted last is being released */
+  bool unrelieved;    /* the lease was released, but no other instance took it */
+  int64_t outdone_ms; /* since when an instance with more processor share is listed; 0: none is */
   group_row_t *groups;
   bt_timer_t timer;
 };
@@ -95,7 +97,8 @@
     }
   if ((control->leaving || control->handed_over) && control->fence == 0)
     bt_want_lease (control->keeper, false, 0);
-  /* A renewal that came late ended the leading, not the lease: nobody else has led meanwhile. */
+  /* After a late renewal this instance stopped leading, but the lease did not expire and no other
+     instance has led meanwhile. */
   else if (fence != 0 || control->fence == 0)
     start_leading (control, control->lease_fence);
 }
@@ -103,7 +106,7 @@
 static void
 tick (bt_timer_t *timer)
 {
-  /* The loop turns, which is all that is wanted. */
+  /* The timer only wakes the event loop, which then calls bt_run_group_control. */
   (void)timer;
 }
 
@@ -152,8 +155,8 @@
   bt_free (ctx, control);
 }
 
-/* True when an instance takes its turn before this one: it has more processor time, or as much and
- * the lower name. */
+/* Returns true if another instance comes before this one in the order of candidates: it has more
+ * processor share, or the same share and a lower name. */
 static bool
 is_turn_before (const bt_group_control_t *control, const bt_listed_entry_t *entry)
 {
@@ -230,7 +233,7 @@
     bt_take_led_group_news (group, news, pass_limit, bt_get_loop_ms (control->loop));
   else
     bt_note_limit (control->ctx, "group", BT_MAX_RANKS, report->group,
-                   "Its ranks or experts are more than a map can have; its map stays as it is.");
+                   "Its ranks or experts exceed the limits of a map; its map is not changed.");
 }
 
 static bool
@@ -248,8 +251,9 @@
   return control->fence != 0 && is_any_round (control);
 }
 
-/* True when an instance with more room has been there long enough to lead in this one's place. One
- * that did not take the lease when it could is listed, but not there. */
+/* Returns true if an instance with more processor share has been listed long enough to take over.
+ * If no instance took the lease when it was released, such an instance is listed but not running.
+ */
 static bool
 is_outdone (const bt_group_control_t *control, int64_t now_ms)
 {
@@ -257,9 +261,10 @@
          && now_ms - control->outdone_ms > control->options.steady_ms;
 }
 
-/* True when no round is in the way of handing over. One that leaves waits for a group that is just
- * being looked at, as long as it stays anyway. Another must not: a group that has gone for good is
- * looked at for ever, and no other group would get a round meanwhile. */
+/* Returns true if no round prevents a handover. A leaving leader also waits for groups whose state
+ * is not known yet, no longer than it stays anyway. A leader that does not leave must not wait for
+ * them: the state of a group that is gone for good never becomes known, and no other group would
+ * get a round meanwhile. */
 static bool
 may_hand_over (const bt_group_control_t *control)
 {
@@ -271,13 +276,13 @@
   return true;
 }
 
-/* A leader that leaves, or that others have more room than, ends the rounds it has begun and hands
- * over at once. If its lease lapsed instead, a group that it holds would stand until the next
- * leader is in office. */
+/* Stops leading and releases the lease at once, after the rounds in progress have ended. If the
+ * lease expired instead, a group that this leader holds would stand still until the next leader
+ * takes over. */
 static void
 hand_over (bt_group_control_t *control)
 {
-  stop_leading (control, control->leaving ? "This instance leaves."
+  stop_leading (control, control->leaving ? "This instance is shutting down."
                                           : "Another instance has more processor time.");
   control->outdone_ms = 0;
   control->handed_over = true;
@@ -297,15 +302,15 @@
 
   if (control->fence == 0)
     return;
-  /* A process that stood still goes on with what it believed before. */
+  /* A process that was suspended resumes with outdated state, so the current time is read here. */
   if (bt_now_ms (control->ctx) >= control->lease_end_ms)
     {
-      stop_leading (control, "The lease was not renewed in time.");
+      stop_leading (control, "The lease was not renewed before it could expire.");
       return;
     }
   for (group_row_t *row = control->groups; row != NULL && control->fence != 0; row = row->next)
     if (!bt_run_led_group (row->group, &turn))
-      stop_leading (control, "An engine has seen a newer leader.");
+      stop_leading (control, "An engine reported a newer leader.");
   if (hands_over && control->fence != 0 && may_hand_over (control))
     hand_over (control);
   bt_set_timer (control->loop, &control->timer,
--- a/source/gateway/group_control.h
+++ b/source/gateway/group_control.h
@@ -2,8 +2,8 @@
 #define BILBERRYTRAY_SOURCE_GATEWAY_GROUP_CONTROL_H
 
 /** @file
- * Keeps the expert maps of rank groups in step with what requests ask for, on the one entry
- * instance that holds the lease.
+ * Adapts the expert maps of rank groups to the demand of requests. Only the entry instance that
+ * holds the lease, the leader, does so.
  */
 
 #include "agent_links.h"
@@ -16,13 +16,13 @@
   const bt_platform_t *platform;
   const char *store;
   const char *instance;
-  double cores;      /**< Processor share of this instance. */
-  int64_t lease_s;   /**< Life of the lease. */
-  int64_t renew_ms;  /**< Between two renewals. */
-  int64_t plan_ms;   /**< Between two plans for one group. */
-  int64_t steady_ms; /**< An instance with more room is listed for so long before the leader hands
-                          over to it: one that comes and goes would leave the groups without a
-                          leader at each turn. */
+  double cores;      /**< Processor share of this instance, in cores. */
+  int64_t lease_s;   /**< Lifetime of the lease. */
+  int64_t renew_ms;  /**< Interval between two renewals. */
+  int64_t plan_ms;   /**< Interval between two plans for one group. */
+  int64_t steady_ms; /**< An instance with more processor share must be listed this long before the
+                          leader hands over to it. Otherwise an instance that comes and goes would
+                          leave the groups without a leader each time. */
 } bt_group_control_options_t;
 
 bt_group_control_t *bt_new_group_control (bt_context_t *ctx,
@@ -33,20 +33,23 @@
 /** NULL is accepted. */
 void bt_drop_group_control (bt_context_t *ctx, bt_group_control_t *control);
 
-/** Takes in a view: whether another instance leads, and how long this one waits for its turn. */
+/** Applies a view of the store: whether another instance leads, and how long this instance waits
+ * before it tries to get the lease. @p leaving is true while this instance shuts down. */
 void bt_set_group_view (bt_group_control_t *control, const bt_view_t *view, bool leaving);
 
-/** Takes in what an agent says of its engine, which serves an app with these sizes, and how many
- * requests that engine may run now. */
+/** Applies an agent's update. @p engine describes the engines of the app, @p pass_limit is the
+ * number of concurrent requests that the engine may run now. */
 void bt_take_group_news (bt_group_control_t *control,
                          const bt_engine_t *engine,
                          const bt_agent_news_t *news,
                          int32_t pass_limit);
 
-/** True while a round that this instance leads is under way. */
+/** Returns true while this instance leads and a round is in progress or a group's state is not
+ * known.
+ */
 bool bt_is_group_round_open (const bt_group_control_t *control);
 
-/** Plans, and sends what orders are due. Called in each turn of the loop. */
+/** Plans, and sends the orders that are due. Called in each iteration of the event loop. */
 void bt_run_group_control (bt_group_control_t *control);
 
 #endif
--- a/source/gateway/group_maps.c
+++ b/source/gateway/group_maps.c
@@ -11,18 +11,18 @@
   SET_SHIFT = 16,
   EXPERT_MASK = 0xffff,
   BYTES_PER_MB = 1000000,
-  /* Of what was counted since demand jumped last: a longer mean has less noise. */
+  /* Half-life of the picks counted since demand last jumped; a longer mean has less noise. */
   DEFAULT_HALF_LIFE_MS = 1000,
   DEFAULT_HORIZON_MS = 3000,
-  /* Of a round beside the copying: until all copies are seen, and to hold and to arm. */
+  /* Duration of a round without the copying: until all copies are reported, and to hold and arm. */
   ROUND_MS = 100,
 };
 
-/* Passes take so much longer while a rank copies; the ranks copy side by side. */
+/* Relative slowdown of passes while a rank copies; the ranks copy in parallel. */
 static const double copy_slowdown = 0.15;
 
-/* Part of the skew that a round must take off: one for less would be in the way when demand jumps.
- */
+/* Minimum part of the skew that a round must remove: a round for less would delay the next one when
+ * demand jumps. */
 static const double default_least_gain = 0.07;
 
 static const double us_per_s = 1e6;
@@ -35,16 +35,16 @@
   bt_engine_t engine;
   bt_map_shape_t shape;
   bt_moving_load_t *load;
-  double picks;  /* taken in since the last plan */
+  double picks;  /* number of picks recorded since the last plan */
   double *paces; /* by rank */
   bt_copy_price_t *price;
-  bt_expert_map_t *current; /* NULL while it is not known */
+  bt_expert_map_t *current; /* the map in use; NULL while unknown */
   int64_t epoch;
   int64_t version;
-  bt_expert_map_t *found; /* being put together */
+  bt_expert_map_t *found; /* the map in use, being assembled from the ranks' places */
   int64_t found_epoch;
   int64_t found_version;
-  bool *found_ranks;
+  bool *found_ranks; /* by rank: its places are included */
   bt_expert_map_t *next;
 };
 
--- a/source/gateway/lease_keeper.c
+++ b/source/gateway/lease_keeper.c
@@ -16,12 +16,12 @@
   bt_kv_t *kv;
   bt_fenced_lease_t *lease;
   pthread_t thread;
-  /* Lock order: taken alone. */
-  pthread_mutex_t lock; /* guards what stands below */
+  /* Lock order: no other lock is held with it. */
+  pthread_mutex_t lock; /* guards the members below */
   pthread_cond_t changed;
   bool stopping;
   bool wanted;
-  int64_t next_ms;
+  int64_t next_ms; /* time of the next attempt */
 };
 
 typedef struct lease_news
@@ -55,7 +55,8 @@
     bt_free (keeper->ctx, news);
 }
 
-/* What is no longer wanted goes to the next at once instead of when it lapses. */
+/* Releases a lease that is no longer wanted, so that another instance can get it at once instead of
+ * when it expires. */
 static void
 give_back (bt_lease_keeper_t *keeper)
 {
@@ -64,7 +65,7 @@
   pthread_mutex_lock (&keeper->lock);
 }
 
-/* One try to get or renew the lease. */
+/* Makes one attempt to get or renew the lease. */
 static void
 hold (bt_lease_keeper_t *keeper)
 {
@@ -135,7 +136,7 @@
   bt_init_condition (&keeper->changed);
   if (pthread_create (&keeper->thread, NULL, run_keeper, keeper) != 0)
     bt_log_event (ctx, BT_LOG_ERROR, "thread-failed", "{s:s}", "message",
-                  "The thread for the lease could not be started.");
+                  "The thread that holds the lease could not be started.");
   return keeper;
 }
 
--- a/source/gateway/lease_keeper.h
+++ b/source/gateway/lease_keeper.h
@@ -2,7 +2,8 @@
 #define BILBERRYTRAY_SOURCE_GATEWAY_LEASE_KEEPER_H
 
 /** @file
- * The thread that holds a fenced lease in the platform's store, so that one entry instance leads.
+ * A thread that holds a fenced lease in the platform's store, so that only one entry instance leads
+ * at a time.
  */
 
 #include "bilberrytray/gateway/platform.h"
@@ -10,11 +11,11 @@
 
 typedef struct bt_lease_keeper bt_lease_keeper_t;
 
-/** Takes what becomes of the lease; called on the event loop. */
+/** Receives the events of the lease on the event loop. */
 typedef struct bt_lease_listener
 {
-  /** Granted with a new fencing number, or renewed (@p fence 0). Its life counts from @p sent_ms,
-   * before the call. */
+  /** The lease was granted with a new fencing number, or renewed (@p fence is 0). Its lifetime
+   * starts at @p sent_ms, the time before the call to the store. */
   void (*on_lease) (struct bt_lease_listener *listener, uint64_t fence, int64_t sent_ms);
 } bt_lease_listener_t;
 
@@ -22,7 +23,7 @@
 {
   const bt_platform_t *platform;
   const char *store;  /**< The store's "IP:PORT". */
-  const char *prefix; /**< What the lease's keys begin with. */
+  const char *prefix; /**< Prefix of the lease's keys. */
   const char *name;
   const char *instance;
   int64_t life_s;
@@ -34,7 +35,8 @@
                                         const bt_lease_keeper_options_t *options,
                                         bt_lease_listener_t *listener);
 
-/** Has the thread try to get the lease in @p wait_ms, and then keep it; or give it back. */
+/** Makes the thread try to get the lease after @p wait_ms and keep it, or release it if @p wanted
+ * is false. */
 void bt_want_lease (bt_lease_keeper_t *keeper, bool wanted, int64_t wait_ms);
 
 /** NULL is accepted. */
--- a/source/gateway/leaving_notice.c
+++ b/source/gateway/leaving_notice.c
@@ -6,8 +6,8 @@
 
 enum
 {
-  /* Peers on one machine's way, or in another failure domain, answer within a few ms; one that is
-   * frozen may wake up meanwhile. */
+  /* Peers on the same machine or in another failure domain answer within a few ms. The rest gives a
+   * suspended peer time to resume. */
   OPENING_MS = 3000,
   BEAT_MS = 250,
   IDLE_MS = 3000,
@@ -17,7 +17,7 @@
 
 struct bt_leaving_notice
 {
-  bt_link_handler_t handler; /* first */
+  bt_link_handler_t handler; /* must be first: callbacks cast it to bt_leaving_notice_t */
   bt_context_t *ctx;
   bt_link_loop_t *loop;
   int32_t count;
@@ -57,7 +57,7 @@
 static const bt_link_handler_vtable_t handler_vtable = { tell, pass_over_frame, pass_over_end,
                                                          tell };
 
-/* A peer is named by its address on links. */
+/* On links, the name of a peer is its address. */
 static void
 dial (bt_leaving_notice_t *notice, const char *address)
 {
--- a/source/gateway/leaving_notice.h
+++ b/source/gateway/leaving_notice.h
@@ -2,11 +2,12 @@
 #define BILBERRYTRAY_SOURCE_GATEWAY_LEAVING_NOTICE_H
 
 /** @file
- * An entry that is to stop tells its peers so itself.
+ * Notifies peers that this entry instance shuts down.
  *
- * Its listing in the platform's store says that callers may be sent to it, and while the store is
- * away the listing can't be taken back: all others would go on telling its address until the lease
- * has lapsed behind the store's return, and callers would be refused there one after the other.
+ * While an entry is listed in the platform's store, its peers direct callers to it. The listing
+ * can't be removed while the store is unavailable. Without the notice, all peers would advertise
+ * the entry's address until the store is back and the listing's lease has expired, and the entry
+ * would refuse every caller.
  */
 
 #include "peer_links.h"
@@ -14,8 +15,8 @@
 
 typedef struct bt_leaving_notice bt_leaving_notice_t;
 
-/** Dials the entries of a list, and tells each that answers that @p self leaves. NULL, with a log
- * line, when that can't be begun. */
+/** Connects to the entries of a list, and notifies each that answers that @p self shuts down.
+ * Returns NULL and logs the reason if the links can't be opened. */
 bt_leaving_notice_t *bt_new_leaving_notice (bt_context_t *ctx,
                                             const bt_peer_name_t *self,
                                             const bt_listed_entry_t *entries,
--- a/source/gateway/led_group.c
+++ b/source/gateway/led_group.c
@@ -9,15 +9,17 @@
 
 enum
 {
-  /* Steps from the orders of a leader's first round to its change. Is the held step reached before
-   * the group is let go, the pause makes every stream under way late; the more ranks, the longer
-   * the orders take. */
+  /* Number of steps from the orders of a leader's first round to the change of the map. If the
+   * group reaches the held step before it is released, the pause delays every running stream. The
+   * orders take longer with more ranks, so there is one more step for each RANKS_A_HOLD_STEP ranks.
+   */
   LEAST_HOLD_STEPS = 3,
   MOST_HOLD_STEPS = 5,
   RANKS_A_HOLD_STEP = 32,
   RESEND_MS = 120,
   STALE_MS = 1200,
-  /* Agents report to the leader at once when asked; two of their usual reports and a way. */
+  /* Agents report to the leader at once when asked. This is the time of two regular reports and one
+     transmission. */
   SILENCE_MS = 250,
   PREPARE_LIMIT_MS = 3000,
   ARM_LIMIT_MS = 1500,
@@ -33,12 +35,12 @@
   bt_group_rounds_t *rounds;
   bt_group_maps_t *maps;
   char (*endpoints)[BT_ADDRESS_BYTES]; /* by rank */
-  bt_map_bytes_t map;                  /* the one that was ordered last, encoded once for all */
-  int64_t map_version;                 /* 0: none was */
+  bt_map_bytes_t map;  /* the map of the last PREPARE order, encoded once for all ranks */
+  int64_t map_version; /* version of that map; 0: none */
   int64_t next_plan_ms;
   int64_t next_ask_ms;
-  int64_t target;         /* the version that the next map was given; 0: none */
-  bt_group_phase_t phase; /* as last logged */
+  int64_t target;         /* version of the round in progress; 0: none */
+  bt_group_phase_t phase; /* the phase that was logged last */
 };
 
 static int64_t
@@ -151,7 +153,7 @@
   group->phase = phase;
 }
 
-/* A round that has ended leaves its map in use; one that was given up leaves the one before. */
+/* After a round, makes its map the map in use, unless the round was given up. */
 static void
 settle (bt_led_group_t *group)
 {
@@ -181,7 +183,8 @@
       bt_ask_agent_places (group->links, group->endpoints[rank]);
 }
 
-/* A plan that waits for its turn after a jump leaves the busiest rank as it is for so long. */
+/* Schedules a plan at once after demand has jumped: until then the busiest rank stays overloaded.
+ */
 static void
 notice_jump (bt_led_group_t *group, int64_t now_ms)
 {
@@ -192,8 +195,8 @@
                 "fullness", bt_get_group_maps_fullness (group->maps));
 }
 
-/* Plans when the group is calm and its map is known: each few hundred milliseconds, and at once
- * after demand has jumped. */
+/* Plans if no round is in progress and the map in use is known: at the configured interval, and at
+ * once after demand has jumped. */
 static void
 plan (bt_led_group_t *group, const bt_led_turn_t *turn)
 {
@@ -221,8 +224,8 @@
                   "skew_after", skew[1], "fullness", bt_get_group_maps_fullness (group->maps));
 }
 
-/* The map that a PREPARE order is about: the round's, or the one in use for a version that only
- * raises the engines' counts. */
+/* Returns the map of a PREPARE order: the map of the round, or the map in use for a version that
+ * only raises the engines' counts of accepted orders. */
 static const bt_expert_map_t *
 find_order_map (bt_led_group_t *group, const bt_group_order_t *order)
 {
@@ -232,8 +235,8 @@
                            bt_get_group_version (group->rounds));
 }
 
-/* Encodes the map of a PREPARE order, unless that was done for another rank: a version is that of
- * one map for ever. False while the map is not known. */
+/* Encodes the map of a PREPARE order, unless it is already encoded for another rank: a version
+ * always denotes the same map. Returns false if the map is not known. */
 static bool
 encode_order_map (bt_led_group_t *group, const bt_group_order_t *order)
 {
--- a/source/gateway/left_peers.h
+++ b/source/gateway/left_peers.h
@@ -2,25 +2,25 @@
 #define BILBERRYTRAY_SOURCE_GATEWAY_LEFT_PEERS_H
 
 /** @file
- * Peers that said that they leave. Zero-initialise it; its owner guards it.
+ * The peers that announced their shutdown. Initialised by zeroing; the owner must lock it.
  */
 
 #include "bilberrytray/wire/link.h"
 
 enum
 {
-  /** Each is of use until its listing is gone; more at a time leave only where most of a large
-   * fleet is stopped at once. */
+  /** A peer is needed here until its listing in the store is gone. More peers leave at a time only
+   * if most of a large fleet is stopped at once. */
   BT_MOST_LEFT_PEERS = 256,
 };
 
 typedef struct bt_left_peers
 {
-  uint64_t incarnations[BT_MOST_LEFT_PEERS]; /**< The newest in place of the oldest. */
-  int32_t count;                             /**< Of all that ever came. */
+  uint64_t incarnations[BT_MOST_LEFT_PEERS]; /**< A ring: the newest replaces the oldest. */
+  int32_t count;                             /**< Number of peers ever added. */
 } bt_left_peers_t;
 
-/** Takes in, with a log line, that the peer of a link leaves. */
+/** Records and logs that the peer of a link shuts down. */
 void bt_note_left_peer (bt_context_t *ctx, bt_left_peers_t *left, const bt_link_t *link);
 
 bool bt_is_left_peer (const bt_left_peers_t *left, uint64_t incarnation);
--- a/source/gateway/listing.c
+++ b/source/gateway/listing.c
@@ -11,7 +11,7 @@
 
 enum
 {
-  /* Between two tries while the store fails; the client's own back-off comes on top. */
+  /* Pause between two attempts while the store fails, in addition to the client's own back-off. */
   FAILED_PAUSE_MS = 150,
 };
 
@@ -22,7 +22,7 @@
   bool running;
   pthread_t lister;
   int32_t stopping;
-  /* Lock order: taken alone. */
+  /* Lock order: no other lock is held with it. */
   pthread_mutex_t lock; /* guards wanted */
   pthread_cond_t changed;
   bool wanted;
@@ -34,7 +34,7 @@
   return ck_pr_load_int (&listing->stopping) != 0;
 }
 
-/* Makes a lease and lists this instance under it. */
+/* Requests a lease and writes the listing of this instance under it. */
 static bool
 list_entry (bt_listing_t *listing, int64_t *lease, bt_error_t *error)
 {
@@ -57,8 +57,8 @@
   return done;
 }
 
-/* Takes this instance off the list. A store that does not answer is asked again: until the lease
- * has lapsed, the others would send callers to an instance that refuses them. */
+/* Removes the listing of this instance. The caller repeats this if the store does not answer: until
+ * the lease expires, the other instances would direct callers to an instance that refuses them. */
 static void
 unlist_entry (bt_listing_t *listing, int64_t *lease)
 {
@@ -77,7 +77,8 @@
     bt_sleep_ms (FAILED_PAUSE_MS);
 }
 
-/* Sleeps until the next renewal, or until what is wanted changes. */
+/* Waits until the next renewal is due, or until @p listed differs from the wanted state. Returns
+ * the wanted state. */
 static bool
 wait_for_renewal (bt_listing_t *listing, bool listed)
 {
@@ -119,7 +120,8 @@
           list_entry (listing, &lease, &error);
         }
     }
-  /* The process need not wait for another failure. */
+  /* If the last call to the store already was an attempt to remove the listing, the process need
+   * not wait for another one that may fail. */
   if (!tried)
     unlist_entry (listing, &lease);
   return NULL;
--- a/source/gateway/peer_feed.c
+++ b/source/gateway/peer_feed.c
@@ -12,21 +12,22 @@
 
 enum
 {
-  /* A reader that stands still or is cut off shows by its silence only, and what it knew last may
-   * be old by then: a follower turns to the store after 800 ms, and is behind by no more than that
-   * and one read, well within the two seconds in which a change has to be in force. */
+  /* A follower detects a suspended or disconnected reader only by its silence, and the reader's
+   * last update may be outdated by then. The follower reads the store itself after 800 ms, so its
+   * delay is at most that plus one read, well within the two seconds in which a change must take
+   * effect. */
   BEAT_MS = 250,
   IDLE_MS = 800,
   OPENING_MS = 500,
-  /* Between the dialling of two candidates. */
+  /* Interval between connection attempts to two candidates. */
   REDIAL_MS = 600,
-  /* Items are as large as a megabyte each, and a large configuration is one. */
+  /* An item may have up to a megabyte, such as a large configuration. */
   MAX_FRAME_BYTES = 16 << 20,
   MAX_UNSENT_BYTES = 16 << 20,
   MAX_LINKS = 256,
 };
 
-/** A link to an entry that follows this one. */
+/** A list element for the link to an entry that follows this one. */
 typedef struct follower_row
 {
   bt_link_t *link;
@@ -35,25 +36,25 @@
 
 struct bt_peer_feed
 {
-  bt_link_handler_t handler; /* first */
+  bt_link_handler_t handler; /* must be first: callbacks cast it to bt_peer_feed_t */
   bt_context_t *ctx;
   bt_peer_feed_options_t options;
   bt_store_copy_t *copy;
   bt_link_loop_t *loop;
-  /* Of the thread that makes the calls. */
+  /* Used by the calling thread only. */
   int32_t next_candidate;
   int64_t dialled_ms;
-  /* Lock order: taken before the copy's, and before any call into a link. */
-  pthread_mutex_t lock; /* guards what stands below */
+  /* Lock order: acquired before the copy's lock, and before any call into a link. */
+  pthread_mutex_t lock; /* guards the members below */
   pthread_cond_t changed;
   follower_row_t *followers;
-  bool attached; /* the store answers this entry */
-  int64_t contact_ms;
+  bool attached;      /* the store answers this entry */
+  int64_t contact_ms; /* time of the store's last answer */
   bool retired;
-  char address[BT_ADDRESS_BYTES]; /* of the peer that is followed */
-  bt_link_t *link;                /* to it */
+  char address[BT_ADDRESS_BYTES]; /* address of the followed peer */
+  bt_link_t *link;                /* link to the followed peer */
   bool up;
-  bool told; /* it has sent its items */
+  bool synced; /* the followed peer has sent its items */
   bool peer_attached;
   int64_t peer_revision;
   bt_store_news_t *first_news;
@@ -105,11 +106,11 @@
   send_message (feed, feed->link, BILBERRY__FRAME__BODY_STORE_FOLLOW, &follow);
 }
 
-/** Items for one link, or for all followers. */
+/** Arguments of send_items. */
 typedef struct items_order
 {
   bt_peer_feed_t *feed;
-  bt_link_t *link; /* NULL: all followers */
+  bt_link_t *link; /* the receiver; NULL: all followers */
   int64_t from_revision;
 } items_order_t;
 
@@ -185,8 +186,9 @@
   return false;
 }
 
-/* A new follower, or one that has missed something. It gets all that changed behind what it has:
- * keys that went meanwhile are not known any more, so the keys that are there go with it. */
+/* Handles the request of a new follower, or of one that missed an update. Sends all items that
+ * changed after the follower's revision. Removed keys are not recorded, so the message also holds
+ * all present keys. */
 static void
 take_follow (bt_peer_feed_t *feed, bt_link_t *link, int64_t revision)
 {
@@ -284,7 +286,7 @@
   return feed;
 }
 
-/* Forgets the peer that is followed, and what it sent. */
+/* Closes the link to the followed peer and drops its pending updates. */
 static void
 leave_peer (bt_peer_feed_t *feed)
 {
@@ -337,8 +339,8 @@
   return false;
 }
 
-/* Dials the next candidate. A peer is named by its address, as an agent is: a seed's name is not
- * known. */
+/* Connects to the next candidate. On links, the name of a peer is its address, as for agents,
+ * because the instance name of a seed is not known. */
 static void
 dial_next (bt_peer_feed_t *feed, const bt_feed_choice_t *choice, int32_t count)
 {
--- a/source/gateway/peer_links.h
+++ b/source/gateway/peer_links.h
@@ -2,22 +2,22 @@
 #define BILBERRYTRAY_SOURCE_GATEWAY_PEER_LINKS_H
 
 /** @file
- * How an entry names itself on links to other entries.
+ * The identity of an entry instance on links to other entries.
  */
 
 #include "bilberrytray/wire/link.h"
 
-/** One entry; strings must outlive its links. */
+/** The identity of one entry. Strings must outlive its links. */
 typedef struct bt_peer_name
 {
-  const char *links; /**< Where it accepts links, which is also its name on them. */
+  const char *links; /**< Address at which it accepts links, and its name on them. */
   uint64_t incarnation;
   const char *failure_domain;
   const char *secret;
 } bt_peer_name_t;
 
-/** Fills in the options of links that @p self makes or accepts; times and bounds are left to the
- * caller. */
+/** Sets the identity and handler in the options of links that @p self opens or accepts. The caller
+ * sets times and limits. */
 void bt_name_peer_links (const bt_peer_name_t *self,
                          bt_link_handler_t *handler,
                          bt_link_options_t *options);
--- a/source/gateway/store_copy.c
+++ b/source/gateway/store_copy.c
@@ -5,7 +5,7 @@
 
 struct bt_store_copy
 {
-  /* Lock order: taken last. */
+  /* Lock order: acquired last. */
   pthread_mutex_t lock; /* guards items */
   bt_kv_range_t items;
 };
@@ -74,7 +74,8 @@
   return false;
 }
 
-/* Whole news name the keys that are there, not those that went. */
+/* Adds a removal for each key of @p items that a whole update does not list: such an update lists
+ * the present keys, not the removed ones. */
 static void
 note_absent_keys (bt_context_t *ctx, const bt_kv_range_t *items, bt_store_news_t *news)
 {
--- a/source/gateway/store_follower.c
+++ b/source/gateway/store_follower.c
@@ -13,17 +13,18 @@
 
 enum
 {
-  /* Between two tries while the store fails; the client's own back-off comes on top. */
+  /* Pause between two attempts while the store fails, in addition to the client's own back-off. */
   FAILED_PAUSE_MS = 150,
+  /* Pause after a change, so that the changes that follow arrive in one answer. */
   GATHER_MS = 200,
   FULL_READ_MS = 20000,
-  /* A watch is answered this long behind its wait at the latest, and changes are gathered after it.
-   */
+  /* Maximum delay of a watch's answer beyond the wait time of the watch, including the pause
+   * GATHER_MS. */
   CONTACT_MARGIN_MS = 800,
-  /* Longest sleep of one that is told by a peer; what comes wakes it. */
+  /* Longest wait while a peer is followed; an update ends the wait. */
   PEER_WAIT_MS = 300,
-  /* One that reads the store, but has lost it, is told by a peer meanwhile and tries the store with
-   * this pause, by a watch that waits so long: what the peer tells waits for the watch. */
+  /* A reader whose calls to the store fail follows a peer and tries the store at this interval. The
+   * wait of that watch is short, because it delays the peer's updates. */
   STORE_RETRY_MS = 1500,
   RETRY_WATCH_MS = 20,
 };
@@ -38,26 +39,26 @@
   bt_listing_t *listing;
   bool running; /* the watching thread was started */
   pthread_t watcher;
-  int32_t watch_ended; /* it is to end */
-  /* Of the watching thread. */
-  int64_t read_ms;  /* when all items were last read in full */
-  bt_view_t *last;  /* what was handed over last: a copy that shares its declarations */
-  bool told;        /* by a peer, and not by the store */
-  bool lost;        /* neither the store nor a peer tells anything */
-  bool turned_away; /* the store itself does not answer */
-  int64_t tried_ms; /* when the store was last tried */
+  int32_t watch_ended; /* atomic: the watching thread must stop */
+  /* Used by the watching thread only. */
+  int64_t read_ms;    /* time of the last full read */
+  bt_view_t *last;    /* summary of the last posted view, which shares its declarations */
+  bool follows_peer;  /* updates come from a peer, not from the store */
+  bool lost;          /* neither the store nor a peer answers */
+  bool store_failing; /* the last call to the store failed */
+  int64_t tried_ms;   /* time of the last call to the store */
   bt_feed_choice_t choice;
-  bt_store_copy_t *copy; /* all that the store holds, as far as it is known */
+  bt_store_copy_t *copy;
   bt_peer_feed_t *feed;
 };
 
-/** A view, or news of the store, on its way to the loop. */
+/** A task that passes a view, or the state of the connection to the store, to the event loop. */
 typedef struct news
 {
   bt_task_t task;
   bt_store_follower_t *follower;
-  bt_view_t *view; /* NULL for news of the store */
-  bool there;
+  bt_view_t *view; /* NULL: the connection to the store changed */
+  bool there;      /* the store, or a peer in its place, answers */
 } news_t;
 
 static void
@@ -101,7 +102,7 @@
   post_news (follower, NULL, there);
 }
 
-/* The watching thread keeps what it needs to recognise what is unchanged. */
+/* Keeps a summary of a view. The next view is compared with it to detect what has not changed. */
 static void
 remember (bt_store_follower_t *follower, const bt_view_t *view)
 {
@@ -109,7 +110,7 @@
   follower->last = bt_copy_view_memory (follower->ctx, view);
 }
 
-/** What becomes of the items. */
+/** Arguments and result of make_view. */
 typedef struct view_order
 {
   bt_store_follower_t *follower;
@@ -127,7 +128,7 @@
                              follower->last);
 }
 
-/* Hands over how things stand now. */
+/* Posts a view of the copy's current items, and chooses the feed from it. */
 static void
 tell_items (bt_store_follower_t *follower, int64_t read_ms)
 {
@@ -141,7 +142,7 @@
   post_news (follower, order.view, true);
 }
 
-/* Reads all that the store holds. */
+/* Reads all items of the store. */
 static bool
 read_all (bt_store_follower_t *follower, bt_error_t *error)
 {
@@ -166,7 +167,8 @@
   return true;
 }
 
-/* Takes what a watch saw, or reads in full where it says that it missed something. */
+/* Applies the changes that a watch reported, or reads all items if the watch may have missed some.
+ */
 static bool
 take_changes (bt_store_follower_t *follower, bt_kv_changes_t *changes, bt_error_t *error)
 {
@@ -179,14 +181,14 @@
   bt_send_peer_changes (follower->feed, before, changes);
   bt_change_copy (follower->ctx, follower->copy, changes);
   tell_items (follower, bt_now_ms (follower->ctx));
-  /* Changes come in series, and each watch counts as a call: those of the next moment come with the
-   * next answer. */
+  /* Changes often come in quick succession, and each watch is a call to the store. Waiting lets the
+   * next answer report several of them. */
   bt_sleep_ms (GATHER_MS);
   return true;
 }
 
-/* One watch, and what it saw. A watch that fails is followed by a read: whatever happened during it
- * was not heard. So is a long time without one, whatever the watches said. */
+/* Makes one watch call and applies its changes. Reads all items if the watch fails, as changes may
+ * have been missed, and if the last full read is older than FULL_READ_MS. */
 static bool
 follow_store (bt_store_follower_t *follower, int64_t wait_ms, bt_error_t *error)
 {
@@ -208,7 +210,7 @@
   return done;
 }
 
-/* One turn with the store itself. */
+/* Makes one call to the store itself, and records whether it answers. */
 static void
 ask_store (bt_store_follower_t *follower, int64_t wait_ms)
 {
@@ -226,7 +228,7 @@
     bt_sleep_ms (FAILED_PAUSE_MS);
 }
 
-/* Takes what a peer has sent. */
+/* Applies the updates that the followed peer has sent. */
 static void
 take_peer_news (bt_store_follower_t *follower)
 {
@@ -246,8 +248,8 @@
     tell_items (follower, bt_now_ms (follower->ctx));
 }
 
-/* Whether a peer tells this entry how things stand. The store is asked by readers, by those that no
- * peer tells, and by nobody else. */
+/* Decides whether this entry follows a peer or reads the store. Only readers, and entries without a
+ * usable peer, read the store. */
 static void
 choose_source (bt_store_follower_t *follower)
 {
@@ -265,7 +267,7 @@
                 (json_int_t)bt_get_copy_revision (follower->copy));
   if (!told)
     return;
-  /* Peers that follow this one are to follow one that reads the store. */
+  /* Peers that follow this one must follow one that reads the store instead. */
   bt_note_store_contact (follower->feed, false);
   note_store (follower, true, NULL);
 }
--- a/source/gateway/store_thread.h
+++ b/source/gateway/store_thread.h
@@ -2,7 +2,7 @@
 #define BILBERRYTRAY_SOURCE_GATEWAY_STORE_THREAD_H
 
 /** @file
- * Threads that make calls of the platform's store, which may wait, so that the event loop need not.
+ * Threads for blocking calls to the platform's store, so that the event loop does not block.
  */
 
 #include <pthread.h>
@@ -10,7 +10,7 @@
 
 #include "bilberrytray/base/context.h"
 
-/** Starts a thread with a small stack; false, with a log line, when that fails. */
+/** Starts a thread with a small stack. Returns false and logs an error if that fails. */
 bool bt_start_store_thread (bt_context_t *ctx,
                             pthread_t *thread,
                             void *(*run) (void *argument),
--- a/source/gateway/told_entries.c
+++ b/source/gateway/told_entries.c
@@ -5,11 +5,11 @@
 
 #include "bilberrytray/base/random.h"
 
-/** An entry and its place for one caller. */
+/** An entry and its sort key for one caller. */
 typedef struct place
 {
   const bt_listed_entry_t *entry;
-  bool before; /* its domain's name stands before the caller's: it comes behind the others */
+  bool wraps; /* its domain's name sorts before the caller's, so it comes after the others */
   uint64_t draw;
 } place_t;
 
@@ -28,8 +28,8 @@
   return (a->draw > b->draw) - (a->draw < b->draw);
 }
 
-/* The order within a domain is drawn by the caller's domain: of one that does not fit whole, each
- * domain of callers is told another part. */
+/* The order within a domain is pseudo-random, seeded by the caller's domain: if a domain does not
+ * fit completely, callers of different domains get different parts of it. */
 static place_t
 place_entry (const bt_listed_entry_t *entry, const char *domain)
 {
--- a/source/gateway/told_entries.h
+++ b/source/gateway/told_entries.h
@@ -2,17 +2,17 @@
 #define BILBERRYTRAY_SOURCE_GATEWAY_TOLD_ENTRIES_H
 
 /** @file
- * Which entry instances a caller is told of where there are more than one answer can hold: those of
- * its own failure domain first, then those of the domains that follow it in the order of their
- * names. So callers of one domain are always told the same, and over all domains each instance is
- * told as often as the others. The first in the list would else serve nearly all callers, and the
- * last none. No sockets, threads or clocks.
+ * Selects the entry instances that are advertised to a caller if one answer can't hold all of them:
+ * those of the caller's failure domain first, then those of the domains that follow it in the order
+ * of their names. Callers of one domain always get the same selection, and over all domains each
+ * instance is advertised about equally often. Otherwise the first instances in the list would serve
+ * nearly all callers, and the last ones none. Uses no sockets, threads or clocks.
  */
 
 #include "view.h"
 
-/** Puts the entries that a caller in @p domain is told of in front, and returns how many they are:
- * all, or @p most. A domain that no entry is in has none of its own. */
+/** Moves the entries to advertise to a caller in @p domain to the front of @p entries, and returns
+ * their number: @p count, but at most @p max. @p domain may be one that contains no entry. */
 int32_t bt_choose_told_entries (bt_context_t *ctx,
                                 const bt_listed_entry_t **entries,
                                 int32_t count,
--- a/source/gateway/view.c
+++ b/source/gateway/view.c
@@ -50,7 +50,7 @@
   return strncmp (text, prefix, strlen (prefix)) == 0;
 }
 
-/* Copies a text that fits; false when there is none. */
+/* Copies a string member of an object. Returns false if it is missing or does not fit. */
 static bool
 copy_field (char *target, size_t room, const json_t *object, const char *field)
 {
@@ -74,7 +74,8 @@
   return end != text && *end == '\0';
 }
 
-/* An address that callers are told, or that is dialled, must be one. That of links may be empty. */
+/* Addresses are advertised to callers or connected to, so they must be valid. The address of links
+ * may be empty. */
 static bool
 read_entry_object (const json_t *object, bt_listed_entry_t *entry)
 {
@@ -103,8 +104,8 @@
   return good;
 }
 
-/* True when the view before left the same item out at the same revision. Items come in the same
- * order each time, so the search goes on where it ended last. */
+/* Returns true if the previous view skipped the same item at the same revision. Items come in the
+ * same order each time, so the search starts at *@p at, behind the last match. */
 static bool
 is_told (const bt_view_t *before, const bt_kv_pair_t *pair, int32_t *at)
 {
@@ -121,7 +122,7 @@
   return false;
 }
 
-/** A view while it is made. */
+/** The state while a view is created. */
 typedef struct view_draft
 {
   bt_context_t *ctx;
@@ -130,8 +131,9 @@
   int32_t told_at;
 } view_draft_t;
 
-/* Another writer may write anything at any rate, and a view is made with each change: were each
- * item told of each time, the log would hold nothing else. */
+/* Skips an invalid item. Logs it unless the previous view skipped it at the same revision: other
+ * programs may write anything to the store at any rate, and each change creates a view, so the log
+ * would be flooded. */
 static void
 leave_out (view_draft_t *draft, const bt_kv_pair_t *pair, const char *event, const char *message)
 {
@@ -161,7 +163,8 @@
     }
 }
 
-/* Takes the configuration of an item, or that of the view before. */
+/* Decodes the configuration of an item, or reuses that of the previous view if it is unchanged or
+ * the new one is invalid. */
 static void
 read_configuration (bt_context_t *ctx,
                     const bt_platform_t *platform,
@@ -190,8 +193,9 @@
   bt_drop_findings (ctx, findings);
 }
 
-/* An app that is not declared has no callers. Its entry must not hold the address of an endpoint
- * that has some. While nothing is declared there is nothing to tell them apart by. */
+/* Returns true if the declarations contain the app. An app that is not declared has no callers, so
+ * its endpoint must not take the address of an endpoint that has callers. Without declarations,
+ * every app is accepted. */
 static bool
 is_app_declared (const bt_view_t *view, const char *app)
 {
@@ -209,7 +213,8 @@
                                         &error))
     leave_out (draft, pair, "endpoint-unreadable", error.message);
   else if (!is_app_declared (view, endpoint->app))
-    leave_out (draft, pair, "endpoint-unreadable", "The configuration does not name its service.");
+    leave_out (draft, pair, "endpoint-unreadable",
+               "The configuration does not declare its service.");
   else
     {
       endpoint->created_revision = pair->create_revision;
@@ -225,7 +230,7 @@
 
   if (!bt_read_crash_key (pair->key, &listed.crash))
     {
-      leave_out (draft, pair, "crash-unreadable", "Its key names no crash.");
+      leave_out (draft, pair, "crash-unreadable", "Its key does not denote a crash.");
       return;
     }
   view->crashes =
@@ -233,7 +238,8 @@
   view->crashes[view->crash_count++] = listed;
 }
 
-/* Reads what lies beside the configuration, which says which endpoints there may be. */
+/* Reads an item other than the configuration, which must be read first, because it determines which
+ * apps may have endpoints. */
 static void
 read_item (view_draft_t *draft, const bt_platform_t *platform, const bt_kv_pair_t *pair)
 {
@@ -246,7 +252,7 @@
       if (read_entry (pair, &view->entries[view->entry_count]))
         view->entry_count++;
       else
-        leave_out (draft, pair, "entry-unreadable", "It names no entry instance.");
+        leave_out (draft, pair, "entry-unreadable", "It does not describe an entry instance.");
     }
   else if (starts_with (pair->key, bt_crash_prefix))
     read_listed_crash (draft, pair);
@@ -254,9 +260,10 @@
     memcpy (view->leader, pair->value, pair->value_bytes);
 }
 
-/* One process listens at an address, so of two starts there the earlier one has ended. An entry
- * that is written again by a later start of its id keeps its place in the store: where both say
- * when they started, that decides, and else which entry was made first. */
+/* Returns true if one start is earlier than another at the same address. Only one process can
+ * listen at an address, so the earlier one has ended. An endpoint that restarts under the same id
+ * overwrites its item, which keeps its creation revision. So the start times decide if both are
+ * known, and the creation revisions otherwise. */
 static bool
 is_earlier_start (const bt_listed_endpoint_t *one, const bt_listed_endpoint_t *other)
 {
@@ -265,8 +272,9 @@
   return one->created_revision < other->created_revision;
 }
 
-/* The entry of a process that lost power stays until it lapses, seconds after the next start at its
- * address was listed. */
+/* Returns true if a later start is listed at the same address. After a power loss, the item of the
+ * old process stays until its lease expires, seconds after the next start at its address is listed.
+ */
 static bool
 is_replaced (const bt_view_t *view, const bt_listed_endpoint_t *endpoint)
 {
--- a/source/gateway/view.h
+++ b/source/gateway/view.h
@@ -2,38 +2,38 @@
 #define BILBERRYTRAY_SOURCE_GATEWAY_VIEW_H
 
 /** @file
- * What the platform's store held at one revision: the configuration, the endpoints and the entry
- * instances. Never changed once made.
+ * A decoded snapshot of the platform's store at one revision: the configuration, the endpoints, the
+ * entry instances and the crashes. Immutable after creation.
  */
 
 #include "bilberrytray/gateway/platform.h"
 #include "bilberrytray/requests/crash_table.h"
 
-/** What an entry instance wrote of itself. */
+/** The listing of an entry instance, a process that accepts callers' requests. */
 typedef struct bt_listed_entry
 {
   bt_identity_t identity;
-  char callers[BT_ADDRESS_BYTES]; /**< Where it serves callers. */
-  char links[BT_ADDRESS_BYTES];   /**< Where it accepts links of its peers. */
+  char callers[BT_ADDRESS_BYTES]; /**< Address at which it serves callers. */
+  char links[BT_ADDRESS_BYTES];   /**< Address at which it accepts links of peers; may be "". */
   char failure_domain[BT_NAME_BYTES];
-  double cores; /**< Its share of processor time; 0: it does not say. */
+  double cores; /**< Its processor share, in cores; 0: unknown. */
 } bt_listed_entry_t;
 
-/** An item under the keys of endpoints or entry instances that names none, as another writer left
- * it. */
+/** An item under the keys of endpoints, entry instances or crashes that is invalid or was skipped,
+ * such as one that another program wrote. */
 typedef struct bt_foreign_item
 {
   char *key;
-  int64_t revision; /**< Of its last change. */
+  int64_t revision; /**< Revision of its last change. */
 } bt_foreign_item_t;
 
 typedef struct bt_view
 {
-  int64_t revision;                /**< The store's, at the read. */
-  int64_t read_ms;                 /**< When the read was begun, in this process's clock. */
-  int64_t configuration_revision;  /**< When the configuration was last written; 0: never. */
-  bt_declarations_t *declarations; /**< NULL when there is none that can be used. */
-  char *configuration;             /**< Its text as it lies in the store. */
+  int64_t revision;               /**< The store's revision at the read. */
+  int64_t read_ms;                /**< Start of the read, on this process's clock. */
+  int64_t configuration_revision; /**< Revision of the last change of the configuration; 0: none. */
+  bt_declarations_t *declarations; /**< NULL if there is no valid configuration. */
+  char *configuration;             /**< The text of the configuration in the store. */
   size_t configuration_bytes;
   bt_listed_endpoint_t *endpoints;
   int32_t endpoint_count;
@@ -41,32 +41,33 @@
   int32_t entry_count;
   bt_listed_crash_t *crashes;
   int32_t crash_count;
-  bt_foreign_item_t *foreign; /**< In the order of the items; they are told of once a revision. */
+  bt_foreign_item_t *foreign; /**< Skipped items, in the order of the store's items. Each is
+                                 logged once per revision. */
   int32_t foreign_count;
-  char leader[BT_NAME_BYTES]; /**< The instance that leads the rank groups; "" for none. */
+  char leader[BT_NAME_BYTES]; /**< The instance that leads the rank groups; "": none. */
 } bt_view_t;
 
-/** Makes a view of all items of the store. An item that is not what its key promises is left out,
- * with a line in the log unless @p before has left out the same; so is an endpoint whose app the
- * declarations do not name. The declarations of @p before are taken over when the
- * configuration is unchanged, and also when the new one can't be translated: the last good one
- * stays in force. @p before may be NULL. */
+/** Creates a view of all items of the store. Invalid items, and endpoints whose app is not
+ * declared, are skipped and logged, unless the previous view @p before skipped the same item at the
+ * same revision. The view shares the declarations of @p before if the configuration is unchanged,
+ * and also if the new one is invalid: the last valid one stays in force. @p before may be NULL. */
 bt_view_t *bt_new_view (bt_context_t *ctx,
                         const bt_platform_t *platform,
                         const bt_kv_range_t *range,
                         int64_t read_ms,
                         const bt_view_t *before);
 
-/** Copies what a later view needs to know of this one: its configuration and what was left out. */
+/** Copies what bt_new_view needs of the previous view: its declarations, their revision and the
+ * skipped items. */
 bt_view_t *bt_copy_view_memory (bt_context_t *ctx, const bt_view_t *view);
 
 /** NULL is accepted. */
 void bt_drop_view (bt_context_t *ctx, bt_view_t *view);
 
-/** The key under which an entry instance is listed; its names lie under "bilberrytray/entries/". */
+/** Writes the store key of an entry instance's listing, "bilberrytray/entries/" and its name. */
 void bt_write_entry_key (char key[2 * BT_NAME_BYTES], const char *instance);
 
-/** What is written there; freed with bt_free. */
+/** Encodes the listing of an entry instance; the caller frees it with bt_free. */
 char *bt_write_listed_entry (bt_context_t *ctx, const bt_listed_entry_t *entry);
 
 #endif
--- a/test/gateway/test_crash_items.c
+++ b/test/gateway/test_crash_items.c
@@ -42,7 +42,7 @@
     }
 }
 
-/* Guards against items of other writers. */
+/* Other programs may write items under the prefix. Invalid keys must be rejected. */
 static void
 test_other_keys_name_no_crash (void)
 {
@@ -65,7 +65,7 @@
     }
 }
 
-/* Guards against reading behind a key that was cut or changed anywhere. */
+/* A key with one changed byte, which may end it early, must not be read beyond its end. */
 static void
 test_changed_keys_are_read_safely (void)
 {
--- a/test/gateway/test_feed_choice.c
+++ b/test/gateway/test_feed_choice.c
@@ -56,7 +56,8 @@
   return "";
 }
 
-/* Few read the store, however many there are, and each failure domain has one that does. */
+/* Too many readers would overload the store: only few entries read it, however large the fleet, but
+ * at least one in each failure domain. */
 static void
 test_few_read_the_store (void)
 {
@@ -70,7 +71,8 @@
     }
 }
 
-/* What an entry learns comes from its own failure domain if it can, and never from itself. */
+/* Updates would cross between failure domains without need: an entry must prefer a reader in its
+ * own domain, and must never follow itself. */
 static void
 test_near_readers_come_first (void)
 {
@@ -87,7 +89,7 @@
     }
 }
 
-/* Followers of one failure domain are spread over its readers: none carries all. */
+/* One reader must not serve all followers of a failure domain: they are spread over its readers. */
 static void
 test_followers_are_spread (void)
 {
@@ -106,7 +108,9 @@
   CU_ASSERT (most <= 3 * BT_ENTRIES_A_READER);
 }
 
-/* An instance that starts is in no list yet: it follows, and does not take itself for a reader. */
+/* An instance that starts is not listed yet: it must follow a peer and not choose itself as a
+ * reader.
+ */
 static void
 test_unlisted_entry_follows (void)
 {
@@ -121,7 +125,7 @@
   CU_ASSERT_EQUAL (choice.count, 0);
 }
 
-/* True when the first may follow the second while the store answers both. */
+/* Returns true if the first entry may follow the second while the store answers both. */
 static bool
 may_follow (int32_t count, int32_t first, int32_t second)
 {
@@ -133,8 +137,8 @@
   return false;
 }
 
-/* A reader has lost the store, and the entries that stand by read it in its place. If two of these
- * followed each other, both would stop to read, leave each other, and begin again. */
+/* Standbys read the store in place of a reader that lost it. If two of them followed each other,
+ * both would stop reading, leave each other, and start again. */
 static void
 test_no_two_follow_each_other (void)
 {
@@ -144,7 +148,7 @@
       CU_ASSERT_FALSE (may_follow (9, i, k) && may_follow (9, k, i));
 }
 
-/* The only reader of a deployment is turned away by the store: it has somebody to learn from. */
+/* A reader whose calls to the store fail, even if it is the only one, must have peers to follow. */
 static void
 test_reader_has_somebody_to_turn_to (void)
 {
--- a/test/gateway/test_group_control.c
+++ b/test/gateway/test_group_control.c
@@ -103,7 +103,7 @@
   bt_free (unused, kv);
 }
 
-/* A store that knows the one lease, and leaves it to nobody else. */
+/* A store with a single lease, which it grants to this client only. */
 static const bt_kv_vtable_t store_vtable = {
   .read_range = read_nothing,
   .commit_txn = commit,
@@ -128,7 +128,7 @@
 static const bt_platform_vtable_t platform_vtable = { .new_store = new_store };
 static const bt_platform_t platform = { &platform_vtable };
 
-/** What a loop does in each turn until its limit or its end. */
+/** A run of the group control on an event loop, until its condition or a time limit is reached. */
 typedef struct course
 {
   bt_turn_t turn;
@@ -139,10 +139,10 @@
   bt_view_t view;
   int64_t end_ms;
   bool leaving;
-  int32_t seen; /* times that the lease had been given back at the last look */
+  int32_t seen; /* number of lease releases at the last check */
 } course_t;
 
-/* Runs an instance's control of groups until a turn ends the loop. */
+/* Runs an instance's group control until a callback stops the loop. */
 static void
 run_course (course_t *course)
 {
@@ -196,8 +196,8 @@
     bt_stop_event_loop (course->loop);
 }
 
-/* The instance that leads is told to stop, with a long lease before it. No other can lead until
- * the lease is gone. It gives the lease back as soon as no group is in the middle of a round. */
+/* A leader with a long lease shuts down. No other instance could lead until the lease expires, so
+ * the leader must release it as soon as no group has a round in progress. */
 static void
 test_leaving_leader_gives_the_lease_back (void)
 {
@@ -208,7 +208,7 @@
   CU_ASSERT_EQUAL (atomic_load (&given_back), 1);
 }
 
-/* The store is read again and again, as it is in a fleet where something always changes. */
+/* Applies the view repeatedly, as in a fleet in which something always changes. */
 static void
 look_at_outdone (bt_timer_t *timer)
 {
@@ -232,9 +232,9 @@
     bt_stop_event_loop (course->loop);
 }
 
-/* Callers of a small instance wait while it plans for all groups, and one with twice its processor
- * time stands by. The small one hands over once it has seen the other for a while. Is the other
- * only listed, and does not lead, the small one leads on: it must not hand over again and again. */
+/* Callers of a small instance wait while it plans for all groups. It must hand over to an instance
+ * with twice its processor share that has been listed for a while. If the other instance does not
+ * take the lease, the small one must keep leading, and must not hand over again and again. */
 static void
 test_leader_hands_over_once_to_one_with_room (void)
 {
--- a/test/gateway/test_group_load.c
+++ b/test/gateway/test_group_load.c
@@ -1,5 +1,5 @@
 /** @file
- * Plays loads on the emulator of a rank group and checks what callers get.
+ * Runs loads on the emulator of a rank group and checks how many requests are served in time.
  */
 
 #include <CUnit/Basic.h>
@@ -12,7 +12,7 @@
   SEEDS = 3,
 };
 
-/* Eight ranks whose passes grow steeply with their requests, near the most that they can serve. */
+/* Eight ranks whose passes get much longer with each request, at a load close to their capacity. */
 static bt_group_load_t
 get_steep_load (void)
 {
@@ -67,9 +67,9 @@
   return (double)result->in_time / result->asked;
 }
 
-/* A foreman's sheet stutters for seconds, again and again. Demand for experts jumps every three
- * seconds; the map follows it with counts that still hold the demand before, and in rounds that
- * last as long as all copies that bring anything. */
+/* Streams paused for seconds, because the map followed jumps in the demand for experts too slowly:
+ * the counts still held the demand before the jump, and rounds lasted until every useful copy was
+ * made. The shipped settings must serve more requests in time, with a jump every three seconds. */
 static void
 test_jumps_are_followed_in_time (void)
 {
@@ -88,9 +88,9 @@
   CU_ASSERT_TRUE (get_in_time (&with) > get_in_time (&without) + 0.1);
 }
 
-/* All sheets stutter, all day. Demand jumps each 2.3 s, which is as long as a stream takes. The
- * group fills up between two jumps, and at the next one every stream under way pauses for too long.
- * With room kept for the next jump as many are served, and most of them in time. */
+/* Streams paused too long when demand jumped every 2.3 s, about the duration of a stream: the group
+ * filled up between two jumps, and the next jump delayed every running stream. With capacity
+ * reserved for the next jump, as many requests are served, and most of them in time. */
 static void
 test_frequent_jumps_make_few_late (void)
 {
@@ -118,7 +118,7 @@
   CU_ASSERT_TRUE (result.in_time > result.late);
 }
 
-/* In a calm the jumps' mechanisms must cost nothing: hardly anybody is late. */
+/* The handling of jumps must not delay requests under constant demand: hardly any is late. */
 static void
 test_calm_demand_is_served (void)
 {
@@ -131,8 +131,8 @@
   CU_ASSERT_TRUE (get_in_time (&result) > 0.9);
 }
 
-/* An operator pays for links that copy experts all day in a group that is half empty, where no
- * caller notices. */
+/* A group that is half empty must not copy experts all the time: the copies take link bandwidth and
+ * callers gain nothing. */
 static void
 test_a_group_with_room_copies_less (void)
 {
--- a/test/gateway/test_store_copy.c
+++ b/test/gateway/test_store_copy.c
@@ -45,7 +45,7 @@
   return copy;
 }
 
-/** What is looked for in a copy. */
+/** A key to look up in a copy, and the value found. */
 typedef struct look
 {
   const char *key;
@@ -71,7 +71,7 @@
   CU_ASSERT_STRING_EQUAL (look.value, value);
 }
 
-/* Sends changes the way a peer does, by a message, and adds them to a copy. */
+/* Passes changes through an encoded message, as a peer does, and applies them to a copy. */
 static bt_news_effect_t
 pass_changes (bt_store_copy_t *copy, int64_t from_revision, bt_kv_changes_t *changes)
 {
@@ -88,7 +88,7 @@
   return effect;
 }
 
-/* A watch of the store is answered by one that has not caught up: what is known stays. */
+/* A store replica that has not caught up must not replace newer items by older ones. */
 static void
 test_revision_never_goes_back (void)
 {
@@ -108,8 +108,8 @@
   bt_drop_store_copy (ctx, copy);
 }
 
-/* A peer's news were sent before this copy had caught up, and something between is missing. Taking
- * them would lose what was missed for good, since nobody sends it again. */
+/* A peer's update starts after the copy's revision, so changes between them are missing. Applying
+ * it would lose these changes for good, since they are not sent again. */
 static void
 test_gap_changes_nothing (void)
 {
@@ -142,7 +142,7 @@
   bt_drop_store_copy (ctx, copy);
 }
 
-/** Carries items from one copy to another. */
+/** Arguments and result of send_items. */
 typedef struct carrier
 {
   bt_store_copy_t *target;
@@ -164,8 +164,9 @@
   bt_drop_store_news (ctx, news);
 }
 
-/* A key was taken away while an entry was cut off. The peer that it asks afterwards sends what has
- * changed since, which a removal is not part of: the keys that are there tell. */
+/* A key was removed while an entry was disconnected. The peer that it asks afterwards sends the
+ * items that changed since, which do not include removals. The entry must detect the removal from
+ * the list of present keys. */
 static void
 test_removed_key_is_told_by_absence (void)
 {
--- a/test/gateway/test_told_entries.c
+++ b/test/gateway/test_told_entries.c
@@ -27,7 +27,7 @@
     }
 }
 
-/* Counts how often each entry is told to a caller in a domain. */
+/* Selects the entries for a caller in a domain, and counts each selected one in @p advertised. */
 static int32_t
 tell (bt_context_t *ctx, const char *domain, int32_t count, int32_t *told)
 {
@@ -42,8 +42,8 @@
   return chosen;
 }
 
-/* A third of the entry instances stood idle while the others turned callers away: each answer named
- * the first 64 of 98. Every instance has to be named about as often as the others. */
+/* A third of the entry instances were idle while the others refused callers, because each answer
+ * held the first 64 of 98 instances. All instances must be advertised about equally often. */
 static void
 test_each_entry_is_told_as_often (void)
 {
@@ -75,8 +75,8 @@
   bt_drop_context (ctx);
 }
 
-/* Callers close connections to instances that a later answer does not name: an answer must not
- * change while the instances stay. */
+/* Callers close connections to instances that a later answer does not contain, so the selection
+ * must not change while the instances are the same. */
 static void
 test_answers_stay_the_same (void)
 {
--- a/test/gateway/test_view.c
+++ b/test/gateway/test_view.c
@@ -41,7 +41,7 @@
   range.count++;
 }
 
-/* Lists an endpoint; @p born 0: it does not say when it started. */
+/* Adds the item of an endpoint. @p born is its start time; 0: it does not state one. */
 static void
 add_endpoint (const char *id, const char *address, long long born, int64_t created)
 {
@@ -74,8 +74,9 @@
   return false;
 }
 
-/* Two processes take turns at one address. The one that listed itself first is started again under
- * its id: its entry still bears the revision at which it was made. It is the one that answers. */
+/* Two processes use one address in turn. The process that was listed first restarts under its id,
+ * so its item keeps the older creation revision. It listens at the address and must be the one
+ * listed. */
 static void
 test_latest_start_holds_the_address (void)
 {
@@ -90,8 +91,8 @@
   bt_drop_view (ctx, view);
 }
 
-/* Endpoints of older software do not say when they started. The entry that was made last is the one
- * that holds the address, and never are all of them left out. */
+/* Endpoints of older software do not state their start time. Then the item that was created last
+ * must keep the address, and a mix of both must never remove all endpoints at an address. */
 static void
 test_without_starts_the_last_entry_holds_the_address (void)
 {
@@ -117,10 +118,10 @@
     "{\"version\":1,\"services\":[{\"name\":\"svc\"}],\"tenants\":[],\"routes\":[],"
     "\"limits\":{\"max_header_bytes\":16384,\"max_body_bytes\":65536,\"idle_timeout_ms\":15000}}";
 
-/* Another writer copies a good entry under another key and changes its service to one that nobody
- * declared. It was made later at the same address: were it believed, the good endpoint would be
- * taken for an earlier process there and get nothing. The key of the configuration may come last.
- */
+/* Another program copies a valid endpoint's item under another key, with a service that is not
+ * declared. The copy was created later at the same address. If it were accepted, the valid endpoint
+ * would be treated as an earlier process there and get no requests. The configuration may be the
+ * last item. */
 static void
 test_app_that_is_not_declared_holds_no_address (void)
 {
@@ -142,7 +143,7 @@
   bt_drop_view (ctx, view);
 }
 
-/* The lines of a log that tell of entries which name no endpoint. */
+/* Counts the log lines about items that are not valid endpoints. */
 static int32_t
 count_lines (FILE *log)
 {
@@ -155,7 +156,8 @@
   return lines;
 }
 
-/* Runs with what is written to standard output kept. */
+/* Creates views in sequence while standard output is captured, and counts the log lines about
+ * invalid endpoints. */
 static int32_t
 count_told (int32_t views, int64_t revision_step)
 {
@@ -183,8 +185,8 @@
   return lines;
 }
 
-/* Entries that name no endpoint stay in the store, and a view is made with each change there. On
- * call one finds one line for each writing of an entry, not one for each view. */
+/* Invalid items stay in the store, and each change there creates a view. The log must hold one line
+ * for each revision of an invalid item, not one for each view. */
 static void
 test_foreign_entry_is_told_of_once_a_revision (void)
 {
@@ -197,8 +199,8 @@
   CU_ASSERT_EQUAL (count_told (10, 1), 12);
 }
 
-/* Another writer scribbles over the keys of the entry instances. What it wrote would be told to
- * callers as an address, or dialled; an empty one or another's name would be too. */
+/* Another program writes invalid values under the keys of the entry instances and the leader.
+ * Without a check they would be advertised to callers as addresses, or connected to. */
 static void
 test_scribbled_entry_names_no_instance (void)
 {
@@ -242,7 +244,7 @@
   bt_free (ctx, text);
 }
 
-/* Guards against items of other writers under the keys of crashes. */
+/* Other programs may write items under the prefix of crashes. Invalid ones must be skipped. */
 static void
 test_crashes_are_read_and_others_left_out (void)
 {
