--- a/source/gateway/agent_links.c
+++ b/source/gateway/agent_links.c
@@ -19,7 +19,7 @@
   MAX_UNSENT_BYTES = 1 << 20,
   MAX_LINKS = 1024,
   /* Number of ranks whose picks a leader processes during one report interval of a rank. */
-  PICKING_RANKS = 48,
+  RANKS_PER_REPORT_INTERVAL = 48,
 };
 
 /** An agent and what it has reported since the event loop last collected updates. */
@@ -32,7 +32,7 @@
   bool up;
   bool updated; /* reported since updates were last collected */
   bt_engine_report_t report;
-  int64_t heard_ms;
+  int64_t received_ms;
   uint32_t *picks; /* summed until they are collected */
   int32_t pick_count;
   uint32_t *places;
@@ -105,7 +105,9 @@
 int32_t
 bt_get_picks_every (int32_t ranks)
 {
-  return ranks <= PICKING_RANKS ? 1 : (ranks + PICKING_RANKS - 1) / PICKING_RANKS;
+  return ranks <= RANKS_PER_REPORT_INTERVAL
+             ? 1
+             : (ranks + RANKS_PER_REPORT_INTERVAL - 1) / RANKS_PER_REPORT_INTERVAL;
 }
 
 static void
@@ -125,7 +127,7 @@
 }
 
 static void
-take_link_up (bt_link_handler_t *handler, bt_link_t *link)
+handle_link_up (bt_link_handler_t *handler, bt_link_t *link)
 {
   bt_agent_links_t *links = (bt_agent_links_t *)handler;
   agent_row_t *row;
@@ -144,7 +146,7 @@
 }
 
 static void
-take_link_down (bt_link_handler_t *handler, bt_link_t *link)
+handle_link_down (bt_link_handler_t *handler, bt_link_t *link)
 {
   bt_agent_links_t *links = (bt_agent_links_t *)handler;
   agent_row_t *row;
@@ -160,7 +162,7 @@
 
 /* Adds up picks, because several reports may arrive before the loop collects them. */
 static void
-note_picks (bt_agent_links_t *links, agent_row_t *row, const Bilberry__EngineReport *message)
+add_picks (bt_agent_links_t *links, agent_row_t *row, const Bilberry__EngineReport *message)
 {
   if (message->n_picks == 0)
     return;
@@ -175,7 +177,7 @@
 }
 
 static void
-note_places (bt_agent_links_t *links, agent_row_t *row, const Bilberry__EngineReport *message)
+store_places (bt_agent_links_t *links, agent_row_t *row, const Bilberry__EngineReport *message)
 {
   if (!message->has_places)
     return;
@@ -188,17 +190,17 @@
 }
 
 static void
-note_report (bt_agent_links_t *links, agent_row_t *row, const Bilberry__EngineReport *message)
+store_report (bt_agent_links_t *links, agent_row_t *row, const Bilberry__EngineReport *message)
 {
   bt_read_engine_report (message, &row->report);
-  row->heard_ms = bt_now_ms (links->ctx);
-  row->fresh = true;
-  note_picks (links, row, message);
-  note_places (links, row, message);
+  row->received_ms = bt_now_ms (links->ctx);
+  row->updated = true;
+  add_picks (links, row, message);
+  store_places (links, row, message);
 }
 
 static void
-take_frame (bt_link_handler_t *handler, bt_link_t *link, const bt_frame_t *frame)
+handle_frame (bt_link_handler_t *handler, bt_link_t *link, const bt_frame_t *frame)
 {
   bt_agent_links_t *links = (bt_agent_links_t *)handler;
   bool result = frame->body_case == BILBERRY__FRAME__BODY_ENGINE_RESULT;
@@ -208,10 +210,10 @@
   pthread_mutex_lock (&links->lock);
   row = find_row_of_link (links, link);
   if (row != NULL && frame->body_case == BILBERRY__FRAME__BODY_ENGINE_REPORT)
-    note_report (links, row, frame->engine_report);
+    store_report (links, row, frame->engine_report);
   if (row != NULL && result && frame->engine_result->report != NULL)
     {
-      note_report (links, row, frame->engine_result->report);
+      store_report (links, row, frame->engine_result->report);
       row->answered = true;
       row->answered_id = frame->engine_result->id;
       row->result = (bt_order_result_t)frame->engine_result->result;
@@ -223,24 +225,24 @@
 }
 
 static void
-send_beat (bt_link_handler_t *handler, bt_link_t *link)
+send_heartbeat (bt_link_handler_t *handler, bt_link_t *link)
 {
   bt_agent_links_t *links = (bt_agent_links_t *)handler;
-  Bilberry__Heartbeat beat = BILBERRY__HEARTBEAT__INIT;
+  Bilberry__Heartbeat heartbeat = BILBERRY__HEARTBEAT__INIT;
   bt_frame_t frame = BILBERRY__FRAME__INIT;
 
-  beat.now_ms = bt_now_ms (links->ctx);
+  heartbeat.now_ms = bt_now_ms (links->ctx);
   frame.body_case = BILBERRY__FRAME__BODY_HEARTBEAT;
-  frame.heartbeat = &beat;
+  frame.heartbeat = &heartbeat;
   bt_send_frame (links->ctx, link, &frame);
 }
 
-static const bt_link_handler_vtable_t handler_vtable = { take_link_up, take_frame, take_link_down,
-                                                         send_beat };
+static const bt_link_handler_vtable_t handler_vtable = { handle_link_up, handle_frame,
+                                                         handle_link_down, send_heartbeat };
 
 /* Connects to the agents that have no open link. */
 static void
-dial_missing (bt_agent_links_t *links)
+dial_unlinked_agents (bt_agent_links_t *links)
 {
   for (agent_row_t *row = links->rows; row != NULL; row = row->next)
     {
@@ -261,7 +263,7 @@
       (bt_agent_links_t *)((char *)timer - offsetof (bt_agent_links_t, redial_timer));
 
   pthread_mutex_lock (&links->lock);
-  dial_missing (links);
+  dial_unlinked_agents (links);
   pthread_mutex_unlock (&links->lock);
   bt_set_timer (links->loop, timer, bt_get_loop_ms (links->loop) + REDIAL_MS);
 }
@@ -343,7 +345,7 @@
 }
 
 static void
-want_row (bt_agent_links_t *links, const char *endpoint)
+ensure_row (bt_agent_links_t *links, const char *endpoint)
 {
   agent_row_t *row = find_row (links, endpoint);
   size_t host_bytes = strcspn (endpoint, ":");
@@ -356,7 +358,7 @@
       row->next = links->rows;
       links->rows = row;
     }
-  row->wanted = true;
+  row->listed = true;
 }
 
 void
@@ -368,16 +370,16 @@
 
   pthread_mutex_lock (&links->lock);
   for (agent_row_t *row = links->rows; row != NULL; row = row->next)
-    row->wanted = false;
+    row->listed = false;
   for (int32_t i = 0; i < view->endpoint_count; i++)
     if (is_model (declarations, view->endpoints[i].app))
-      want_row (links, view->endpoints[i].address);
+      ensure_row (links, view->endpoints[i].address);
   at = &links->rows;
   while (*at != NULL)
     {
       agent_row_t *row = *at;
 
-      if (row->wanted)
+      if (row->listed)
         {
           at = &row->next;
           continue;
@@ -385,30 +387,30 @@
       *at = row->next;
       drop_row (links, row);
     }
-  dial_missing (links);
+  dial_unlinked_agents (links);
   pthread_mutex_unlock (&links->lock);
 }
 
 /* Moves the pending update out of a row. Returns false if there is none. */
 static bool
-take_row_news (agent_row_t *row, bt_agent_news_t *news)
+take_row_update (agent_row_t *row, bt_agent_update_t *update)
 {
-  if (!row->fresh)
+  if (!row->updated)
     return false;
-  memset (news, 0, sizeof *news);
-  news->endpoint = row->endpoint;
-  news->report = row->report;
-  news->heard_ms = row->heard_ms;
-  news->picks = row->picks;
-  news->pick_count = row->pick_count;
-  news->places = row->places;
-  news->place_count = row->place_count;
-  news->places_epoch = row->places_epoch;
-  news->places_version = row->places_version;
-  news->answered = row->answered;
-  news->answered_id = row->answered_id;
-  news->result = row->result;
-  row->fresh = false;
+  memset (update, 0, sizeof *update);
+  update->endpoint = row->endpoint;
+  update->report = row->report;
+  update->received_ms = row->received_ms;
+  update->picks = row->picks;
+  update->pick_count = row->pick_count;
+  update->places = row->places;
+  update->place_count = row->place_count;
+  update->places_epoch = row->places_epoch;
+  update->places_version = row->places_version;
+  update->answered = row->answered;
+  update->answered_id = row->answered_id;
+  update->result = row->result;
+  row->updated = false;
   row->answered = false;
   row->picks = NULL;
   row->pick_count = 0;
@@ -417,7 +419,9 @@
 }
 
 bool
-bt_collect_agent_news (bt_agent_links_t *links, bt_take_agent_news_t take, void *data)
+bt_collect_agent_updates (bt_agent_links_t *links,
+                          bt_agent_update_handler_t handle_update,
+                          void *data)
 {
   agent_row_t *row;
   bool any = false;
@@ -425,24 +429,24 @@
   /* Only this thread creates and frees rows; the lock guards their contents. */
   for (row = links->rows; row != NULL; row = row->next)
     {
-      bt_agent_news_t news;
-      bool fresh;
+      bt_agent_update_t update;
+      bool updated;
 
       pthread_mutex_lock (&links->lock);
-      fresh = take_row_news (row, &news);
+      updated = take_row_update (row, &update);
       pthread_mutex_unlock (&links->lock);
-      if (!fresh)
+      if (!updated)
         continue;
       any = true;
-      take (data, &news);
-      bt_free (links->ctx, (void *)news.picks);
-      bt_free (links->ctx, (void *)news.places);
+      handle_update (data, &update);
+      bt_free (links->ctx, (void *)update.picks);
+      bt_free (links->ctx, (void *)update.places);
     }
   return any;
 }
 
 void
-bt_follow_agents (bt_agent_links_t *links, uint64_t fence)
+bt_subscribe_agents (bt_agent_links_t *links, uint64_t fence)
 {
   pthread_mutex_lock (&links->lock);
   links->fence = fence;
@@ -452,7 +456,7 @@
 }
 
 static void
-ask_agent (bt_agent_links_t *links, const char *endpoint, bool places)
+request_report (bt_agent_links_t *links, const char *endpoint, bool places)
 {
   agent_row_t *row;
 
@@ -464,15 +468,15 @@
 }
 
 void
-bt_ask_agent_report (bt_agent_links_t *links, const char *endpoint)
+bt_request_agent_report (bt_agent_links_t *links, const char *endpoint)
 {
-  ask_agent (links, endpoint, false);
+  request_report (links, endpoint, false);
 }
 
 void
-bt_ask_agent_places (bt_agent_links_t *links, const char *endpoint)
+bt_request_agent_places (bt_agent_links_t *links, const char *endpoint)
 {
-  ask_agent (links, endpoint, true);
+  request_report (links, endpoint, true);
 }
 
 bool
--- a/source/gateway/agent_links.h
+++ b/source/gateway/agent_links.h
@@ -18,11 +18,11 @@
 typedef struct bt_agent_links bt_agent_links_t;
 
 /** What one agent reported since the last update. */
-typedef struct bt_agent_news
+typedef struct bt_agent_update
 {
   const char *endpoint; /**< The engine's "IP:PORT". */
   bt_engine_report_t report;
-  int64_t heard_ms;
+  int64_t received_ms;
   const uint32_t *picks; /**< How often each expert was picked since the last update, by
                             set and expert; NULL: not reported. */
   int32_t pick_count;
@@ -34,10 +34,10 @@
   bool answered;        /**< The result of an order arrived. */
   uint64_t answered_id; /**< The id of that order. */
   bt_order_result_t result;
-} bt_agent_news_t;
+} bt_agent_update_t;
 
-/** Handles one update; called on the event loop by bt_collect_agent_news. */
-typedef void (*bt_take_agent_news_t) (void *data, const bt_agent_news_t *news);
+/** Handles one update; called on the event loop by bt_collect_agent_updates. */
+typedef void (*bt_agent_update_handler_t) (void *data, const bt_agent_update_t *update);
 
 typedef struct bt_agent_links_options
 {
@@ -62,19 +62,22 @@
                              const bt_view_t *view,
                              const bt_declarations_t *declarations);
 
-/** Passes each update that arrived since the last call to @p take. Returns false if there is none.
+/** Passes each update that arrived since the last call to @p handle_update. Returns false if there
+ * is none.
  */
-bool bt_collect_agent_news (bt_agent_links_t *links, bt_take_agent_news_t take, void *data);
+bool bt_collect_agent_updates (bt_agent_links_t *links,
+                               bt_agent_update_handler_t handle_update,
+                               void *data);
 
 /** Asks all agents to send their picks regularly, and their places once, to the leader with the
  * fencing number @p fence. 0 ends the subscription. Agents that connect later are asked too. */
-void bt_follow_agents (bt_agent_links_t *links, uint64_t fence);
+void bt_subscribe_agents (bt_agent_links_t *links, uint64_t fence);
 
 /** Asks one agent to send a report at once. */
-void bt_ask_agent_report (bt_agent_links_t *links, const char *endpoint);
+void bt_request_agent_report (bt_agent_links_t *links, const char *endpoint);
 
 /** Asks one agent for its places. */
-void bt_ask_agent_places (bt_agent_links_t *links, const char *endpoint);
+void bt_request_agent_places (bt_agent_links_t *links, const char *endpoint);
 
 /** Sends an order for the engine @p endpoint through the agent beside the engine @p via. Returns
  * false if that agent is not linked. @p map is set for PREPARE orders only, else NULL. */
--- a/source/gateway/agent_news.c
+++ b/source/gateway/agent_news.c
@@ -5,24 +5,24 @@
 /* The share of the longest pause that callers accept which one pass may take. The rest covers
  * passes that are longer because they read prompts, and the transmission of the event to the
  * caller. */
-static const double pass_part = 0.70;
+static const double pass_share = 0.70;
 
 /* Longest accepted pause if no rule sets one, in ms. */
 static const int64_t default_pause_ms = 120;
 
 static int64_t
-find_least_pause_ms (const bt_declarations_t *declarations, int32_t app)
+find_min_pause_ms (const bt_declarations_t *declarations, int32_t app)
 {
-  int64_t least_ms = 0;
+  int64_t min_ms = 0;
 
   for (int32_t i = 0; i < declarations->rule_count; i++)
     {
       const bt_rule_then_t *then = &declarations->rules[i].then;
 
-      if (then->app == app && then->pause_ms > 0 && (least_ms == 0 || then->pause_ms < least_ms))
-        least_ms = then->pause_ms;
+      if (then->app == app && then->pause_ms > 0 && (min_ms == 0 || then->pause_ms < min_ms))
+        min_ms = then->pause_ms;
     }
-  return least_ms > 0 ? least_ms : default_pause_ms;
+  return min_ms > 0 ? min_ms : default_pause_ms;
 }
 
 static bt_pass_pace_t *
@@ -35,8 +35,8 @@
   bt_pass_pace_settings_t settings = {
     .ranks = report->ranks,
     .least_pass_ms = engine->step_ms * engine->stride,
-    .aim_pass_ms = pass_part * (double)find_least_pause_ms (declarations, app),
-    .pause_ms = (double)find_least_pause_ms (declarations, app),
+    .aim_pass_ms = pass_share * (double)find_min_pause_ms (declarations, app),
+    .pause_ms = (double)find_min_pause_ms (declarations, app),
     .slots = engine->slots,
   };
   bt_group_pace_t *row;
@@ -63,19 +63,19 @@
 /* Records a report in the group's pass pace. Returns the number of concurrent requests that each
  * engine of the group may run now; 0 if the engine is in no group. */
 static int32_t
-take_pass (bt_gateway_t *gateway,
-           const bt_agent_news_t *news,
-           const bt_declarations_t *declarations,
-           int32_t app)
+record_pass (bt_gateway_t *gateway,
+             const bt_agent_update_t *update,
+             const bt_declarations_t *declarations,
+             int32_t app)
 {
-  const bt_engine_report_t *report = &news->report;
+  const bt_engine_report_t *report = &update->report;
   bt_pass_pace_t *pace;
 
   if (report->group[0] == '\0' || report->ranks < 1 || app < 0
       || declarations->apps[app].engine.slots == 0)
     return 0;
   pace = find_pace (gateway, report, declarations, app);
-  bt_record_pass (pace, report->rank, report->maps.step, report->running, news->heard_ms);
+  bt_record_pass (pace, report->rank, report->maps.step, report->running, update->received_ms);
   return bt_get_pass_limit (pace);
 }
 
@@ -83,7 +83,7 @@
  * slowest rank, so a slow rank gets fewer requests: its part of a pass then takes no longer than
  * that of the others. */
 static int32_t
-get_slots (const bt_engine_report_t *report, int32_t listed_slots, int32_t pass_limit)
+get_slot_limit (const bt_engine_report_t *report, int32_t listed_slots, int32_t pass_limit)
 {
   int32_t slots = pass_limit;
 
@@ -95,16 +95,16 @@
 }
 
 static void
-take_load (bt_gateway_t *gateway,
-           const bt_agent_news_t *news,
-           const bt_identity_t *identity,
-           int32_t slots)
+record_load (bt_gateway_t *gateway,
+             const bt_agent_update_t *update,
+             const bt_identity_t *identity,
+             int32_t slots)
 {
   int64_t now_ms = bt_get_loop_ms (gateway->loop);
-  bt_load_t load = { .running = news->report.running,
-                     .queued = news->report.queued,
+  bt_load_t load = { .running = update->report.running,
+                     .queued = update->report.queued,
                      .slots = slots,
-                     .age_ms = now_ms - news->heard_ms };
+                     .age_ms = now_ms - update->received_ms };
 
   bt_record_duration (gateway->timings.load_age, load.age_ms);
   bt_record_load (gateway->router, identity, &load, now_ms);
@@ -115,13 +115,13 @@
  * ignored, but its shut state applies to everything that is sent to the address. A report of a
  * start before the listed one is outdated and is ignored. */
 static void
-take_news (void *data, const bt_agent_news_t *news)
+handle_update (void *data, const bt_agent_update_t *update)
 {
   bt_gateway_t *gateway = data;
-  const bt_listed_endpoint_t *listed = bt_find_endpoint_at (gateway->endpoints, news->endpoint);
+  const bt_listed_endpoint_t *listed = bt_find_endpoint_at (gateway->endpoints, update->endpoint);
   const bt_declarations_t *declarations =
       gateway->view == NULL ? NULL : gateway->view->declarations;
-  int64_t started_ms = news->report.maps.started_ms;
+  int64_t started_ms = update->report.maps.started_ms;
   bt_identity_t identity;
   int32_t pass_limit = 0;
   int32_t app;
@@ -133,18 +133,19 @@
   bt_identify_endpoint (listed, &identity);
   if (bt_is_listed_start (listed, started_ms))
     {
-      pass_limit = take_pass (gateway, news, declarations, app);
-      take_load (gateway, news, &identity, get_slots (&news->report, listed->slots, pass_limit));
+      pass_limit = record_pass (gateway, update, declarations, app);
+      record_load (gateway, update, &identity,
+                   get_slot_limit (&update->report, listed->slots, pass_limit));
     }
   bt_set_endpoint_shut (gateway->router, &identity,
-                        news->report.group[0] != '\0' && !news->report.maps.open);
+                        update->report.group[0] != '\0' && !update->report.maps.open);
   if (app >= 0)
-    bt_take_group_news (gateway->groups, &declarations->apps[app].engine, news, pass_limit);
+    bt_handle_group_update (gateway->groups, &declarations->apps[app].engine, update, pass_limit);
 }
 
 void
 bt_take_agents_news (bt_gateway_t *gateway)
 {
-  if (bt_collect_agent_news (gateway->agents, take_news, gateway))
+  if (bt_collect_agent_updates (gateway->agents, handle_update, gateway))
     bt_pump_forwards (gateway);
 }
--- a/source/gateway/crash_control.c
+++ b/source/gateway/crash_control.c
@@ -10,7 +10,7 @@
 
 enum
 {
-  EXPIRE_MS = 5000,
+  EXPIRY_INTERVAL_MS = 5000,
 };
 
 struct bt_crash_control
@@ -25,13 +25,13 @@
   bt_crash_reporter_t *reporter;
   bt_port_probes_t *probes;
   bt_timer_t expire_timer;
-  bt_counter_t *known;
+  bt_counter_t *known_gauge;
   int64_t seen_revision; /* revision of the newest listed crash */
 };
 
 /* Logs each change of the crash table and reports it to the other instances. */
 static void
-hand_over (bt_crash_control_t *control)
+publish_changes (bt_crash_control_t *control)
 {
   bt_crash_order_t order;
 
@@ -48,30 +48,30 @@
                     bt_count_crashes (control->table, &order.crash.request));
       bt_report_crash (control->reporter, &order);
     }
-  bt_set_gauge (control->known, bt_count_known_crashes (control->table));
+  bt_set_gauge (control->known_gauge, bt_count_known_crashes (control->table));
 }
 
 static void
-note_end (bt_crash_control_t *control, const bt_identity_t *endpoint)
+record_end (bt_crash_control_t *control, const bt_identity_t *endpoint)
 {
   bt_note_endpoint_end (control->ctx, control->table, endpoint, bt_get_loop_ms (control->loop));
-  hand_over (control);
+  publish_changes (control);
 }
 
 static void
-take_end (bt_endpoint_end_handler_t *handler, const bt_identity_t *endpoint)
+handle_end (bt_endpoint_end_handler_t *handler, const bt_identity_t *endpoint)
 {
-  note_end ((bt_crash_control_t *)handler, endpoint);
+  record_end ((bt_crash_control_t *)handler, endpoint);
 }
 
 static void
-take_refused (bt_port_probes_handler_t *handler, const bt_identity_t *endpoint)
+handle_refused (bt_port_probes_handler_t *handler, const bt_identity_t *endpoint)
 {
   bt_crash_control_t *control =
       (bt_crash_control_t *)((char *)handler - offsetof (bt_crash_control_t, probe_handler));
 
   bt_suspend_ended_endpoint (control->endpoints, endpoint, bt_get_loop_ms (control->loop));
-  note_end (control, endpoint);
+  record_end (control, endpoint);
 }
 
 static void
@@ -82,8 +82,8 @@
   int64_t now_ms = bt_get_loop_ms (control->loop);
 
   bt_expire_crashes (control->ctx, control->table, now_ms);
-  hand_over (control);
-  bt_set_timer (control->loop, timer, now_ms + EXPIRE_MS);
+  publish_changes (control);
+  bt_set_timer (control->loop, timer, now_ms + EXPIRY_INTERVAL_MS);
 }
 
 bt_crash_control_t *
@@ -106,14 +106,15 @@
   control->table = bt_new_crash_table (ctx, &table);
   control->reporter =
       bt_new_crash_reporter (ctx, options->platform, options->store, options->instance);
-  control->probe_handler.on_refused = take_refused;
+  control->probe_handler.on_refused = handle_refused;
   control->probes = bt_new_port_probes (ctx, loop, &control->probe_handler);
-  control->known = bt_find_counter (ctx, BT_GAUGE, "bilberry_known_crashes",
-                                    "Ends of endpoints under requests that are known.", NULL, NULL);
-  control->end_handler.on_end = take_end;
+  control->known_gauge =
+      bt_find_counter (ctx, BT_GAUGE, "bilberry_known_crashes",
+                       "Ends of endpoints under requests that are known.", NULL, NULL);
+  control->end_handler.on_end = handle_end;
   bt_set_endpoint_end_handler (endpoints, &control->end_handler);
   control->expire_timer.on_time = expire;
-  bt_set_timer (loop, &control->expire_timer, bt_get_loop_ms (loop) + EXPIRE_MS);
+  bt_set_timer (loop, &control->expire_timer, bt_get_loop_ms (loop) + EXPIRY_INTERVAL_MS);
   return control;
 }
 
@@ -133,7 +134,7 @@
 bt_add_crash_suspect (bt_crash_control_t *control, const bt_crash_t *attempt, const char *address)
 {
   bt_note_broken_attempt (control->ctx, control->table, attempt, bt_get_loop_ms (control->loop));
-  hand_over (control);
+  publish_changes (control);
   bt_probe_port (control->probes, address, &attempt->endpoint);
 }
 
@@ -141,7 +142,7 @@
 bt_clear_crash_suspect (bt_crash_control_t *control, const bt_crash_t *attempt, int64_t sent_ms)
 {
   bt_note_whole_answer (control->ctx, control->table, attempt, sent_ms);
-  hand_over (control);
+  publish_changes (control);
 }
 
 /* Suspends the endpoints whose crash other instances report. If this instance has not noticed the
@@ -171,7 +172,7 @@
   bt_take_listed_crashes (control->ctx, control->table, listed, count,
                           bt_get_loop_ms (control->loop));
   suspend_ended_endpoints (control, listed, count);
-  bt_set_gauge (control->known, bt_count_known_crashes (control->table));
+  bt_set_gauge (control->known_gauge, bt_count_known_crashes (control->table));
 }
 
 bool
@@ -200,7 +201,7 @@
   if (!bt_is_crashing (control->table, request))
     return false;
   bt_renew_crashes (control->ctx, control->table, request, bt_get_loop_ms (control->loop));
-  hand_over (control);
+  publish_changes (control);
   *retry_after_ms = control->keep_ms;
   return true;
 }
--- a/source/gateway/crash_reporter.c
+++ b/source/gateway/crash_reporter.c
@@ -28,7 +28,7 @@
 {
   bt_crash_order_kind_t kind;
   char key[BT_CRASH_KEY_BYTES];
-  int64_t at_ms;
+  int64_t queued_ms;
 } report_t;
 
 struct bt_crash_reporter
@@ -79,8 +79,8 @@
 remove_reports (bt_crash_reporter_t *reporter, int32_t first, int32_t count)
 {
   reporter->count -= count;
-  memmove (&reporter->waiting[first], &reporter->waiting[first + count],
-           (size_t)(reporter->count - first) * sizeof *reporter->waiting);
+  memmove (&reporter->queue[first], &reporter->queue[first + count],
+           (size_t)(reporter->count - first) * sizeof *reporter->queue);
 }
 
 static void
@@ -103,8 +103,8 @@
 {
   int32_t count = 1;
 
-  while (count < reporter->count && count < MOST_WRITES
-         && reporter->waiting[count].kind == reporter->waiting[0].kind)
+  while (count < reporter->count && count < MAX_WRITES
+         && reporter->queue[count].kind == reporter->queue[0].kind)
     count++;
   return count;
 }
@@ -112,7 +112,7 @@
 static bool
 write_batch (bt_crash_reporter_t *reporter, const report_t *batch, int32_t count, bt_error_t *error)
 {
-  bt_kv_write_t writes[MOST_WRITES];
+  bt_kv_write_t writes[MAX_WRITES];
   bt_kv_txn_t txn = { .writes = writes, .write_count = count };
   bt_kv_txn_result_t result;
 
@@ -126,22 +126,22 @@
 static void
 try_batch (bt_crash_reporter_t *reporter)
 {
-  report_t batch[MOST_WRITES];
+  report_t batch[MAX_WRITES];
   int32_t count = count_batch (reporter);
   bt_error_t error = { 0 };
-  bool old;
+  bool expired;
   bool done;
 
-  memcpy (batch, reporter->waiting, (size_t)count * sizeof *batch);
-  old = bt_now_ms (reporter->ctx) - batch[0].at_ms > GIVE_UP_MS;
+  memcpy (batch, reporter->queue, (size_t)count * sizeof *batch);
+  expired = bt_now_ms (reporter->ctx) - batch[0].queued_ms > GIVE_UP_MS;
   pthread_mutex_unlock (&reporter->lock);
   done = write_batch (reporter, batch, count, &error);
   bt_add_counter (done ? reporter->written : reporter->failed, count);
   if (!done)
     bt_log_event (reporter->ctx, BT_LOG_WARNING, "crash-report-failed", "{s:i, s:b, s:s}",
-                  "crashes", count, "given_up", old, "message", error.message);
+                  "crashes", count, "given_up", expired, "message", error.message);
   pthread_mutex_lock (&reporter->lock);
-  if (done || old)
+  if (done || expired)
     remove_reports (reporter, 0, count);
   else if (!reporter->stopping)
     bt_wait_condition (&reporter->changed, &reporter->lock, FAILED_PAUSE_MS);
@@ -164,37 +164,37 @@
 
 /* Returns true if the latest queued report for the same key is of the same kind. */
 static bool
-is_waiting (const bt_crash_reporter_t *reporter, const report_t *report)
+is_queued (const bt_crash_reporter_t *reporter, const report_t *report)
 {
   for (int32_t i = reporter->count - 1; i >= 0; i--)
-    if (strcmp (reporter->waiting[i].key, report->key) == 0)
-      return reporter->waiting[i].kind == report->kind;
+    if (strcmp (reporter->queue[i].key, report->key) == 0)
+      return reporter->queue[i].kind == report->kind;
   return false;
 }
 
 void
 bt_report_crash (bt_crash_reporter_t *reporter, const bt_crash_order_t *order)
 {
-  report_t report = { .kind = order->kind, .at_ms = bt_now_ms (reporter->ctx) };
-  bool known;
+  report_t report = { .kind = order->kind, .queued_ms = bt_now_ms (reporter->ctx) };
+  bool queued;
   bool full;
 
   bt_write_crash_key (&order->crash, report.key);
   pthread_mutex_lock (&reporter->lock);
   /* Crashes are rare, so the thread and the queue are only created for the first one. */
-  if (reporter->waiting == NULL)
-    reporter->waiting = bt_calloc (reporter->ctx, MOST_WAITING, sizeof *reporter->waiting);
+  if (reporter->queue == NULL)
+    reporter->queue = bt_calloc (reporter->ctx, MAX_QUEUED, sizeof *reporter->queue);
   if (!reporter->running)
     reporter->running =
         bt_start_store_thread (reporter->ctx, &reporter->thread, run_reporter, reporter);
-  known = is_waiting (reporter, &report);
-  full = !known && reporter->count == MOST_WAITING;
-  if (!known && !full)
-    reporter->waiting[reporter->count++] = report;
+  queued = is_queued (reporter, &report);
+  full = !queued && reporter->count == MAX_QUEUED;
+  if (!queued && !full)
+    reporter->queue[reporter->count++] = report;
   pthread_cond_signal (&reporter->changed);
   pthread_mutex_unlock (&reporter->lock);
   if (full)
-    bt_note_limit (reporter->ctx, "crash-reports", MOST_WAITING, report.key,
+    bt_note_limit (reporter->ctx, "crash-reports", MAX_QUEUED, report.key,
                    "The other instances are not notified of it.");
 }
 
@@ -211,7 +211,7 @@
   if (reporter->running)
     pthread_join (reporter->thread, NULL);
   bt_drop_kv (ctx, reporter->kv);
-  bt_free (ctx, reporter->waiting);
+  bt_free (ctx, reporter->queue);
   pthread_cond_destroy (&reporter->changed);
   pthread_mutex_destroy (&reporter->lock);
   bt_free (ctx, reporter);
--- a/source/gateway/feed_choice.c
+++ b/source/gateway/feed_choice.c
@@ -19,7 +19,7 @@
 static int32_t
 count_readers (const bt_listed_entry_t *entries, int32_t count)
 {
-  int32_t readers = (count + BT_ENTRIES_A_READER - 1) / BT_ENTRIES_A_READER;
+  int32_t readers = (count + BT_ENTRIES_PER_READER - 1) / BT_ENTRIES_PER_READER;
   int32_t domains = 0;
 
   for (int32_t i = 0; i < count; i++)
@@ -51,9 +51,9 @@
   for (int32_t i = 0; i < count; i++)
     {
       const bt_listed_entry_t *entry = &entries[readers[(first + i) % count]];
-      bool near = strcmp (entry->failure_domain, failure_domain) == 0;
+      bool same_domain = strcmp (entry->failure_domain, failure_domain) == 0;
 
-      if (near == same && strcmp (entry->links, links) != 0)
+      if (same_domain == same && strcmp (entry->links, links) != 0)
         add_candidate (choice, entry->links);
     }
 }
@@ -66,18 +66,18 @@
               int32_t count,
               const char *links)
 {
-  bool before = true;
+  bool before_self = true;
 
   for (int32_t i = 0; i < count; i++)
     {
       const bt_listed_entry_t *entry = &entries[standbys[i]];
 
       if (strcmp (entry->links, links) == 0)
-        before = false;
+        before_self = false;
       else
         add_candidate (choice, entry->links);
-      if (before)
-        choice->usual = choice->count;
+      if (before_self)
+        choice->primary_count = choice->count;
     }
 }
 
@@ -98,30 +98,32 @@
                 const char *failure_domain,
                 bt_feed_choice_t *choice)
 {
-  bt_subset_candidate_t *known = bt_calloc (ctx, (size_t)count, sizeof *known);
+  bt_subset_candidate_t *subset_candidates =
+      bt_calloc (ctx, (size_t)count, sizeof *subset_candidates);
   int32_t readers = count_readers (entries, count);
-  int32_t wanted = readers + BT_STANDBY_READERS;
-  int32_t *chosen = bt_calloc (ctx, (size_t)wanted, sizeof *chosen);
+  int32_t chosen_count = readers + BT_STANDBY_READERS;
+  int32_t *chosen = bt_calloc (ctx, (size_t)chosen_count, sizeof *chosen);
 
   memset (choice, 0, sizeof *choice);
   for (int32_t i = 0; i < count; i++)
     {
-      bt_copy_name (known[i].instance, entries[i].identity.instance);
-      bt_copy_name (known[i].failure_domain, entries[i].failure_domain);
+      bt_copy_name (subset_candidates[i].instance, entries[i].identity.instance);
+      bt_copy_name (subset_candidates[i].failure_domain, entries[i].failure_domain);
     }
-  wanted = bt_choose_subset (ctx, "store readers", known, count, wanted, chosen);
-  readers = readers < wanted ? readers : wanted;
+  chosen_count =
+      bt_choose_subset (ctx, "store readers", subset_candidates, count, chosen_count, chosen);
+  readers = readers < chosen_count ? readers : chosen_count;
   choice->reader = is_among (entries, chosen, readers, links);
   if (readers > 0)
     {
       add_readers (choice, entries, chosen, readers, links, failure_domain, true);
       add_readers (choice, entries, chosen, readers, links, failure_domain, false);
     }
-  choice->usual = choice->count;
-  add_standbys (choice, entries, chosen + readers, wanted - readers, links);
+  choice->primary_count = choice->count;
+  add_standbys (choice, entries, chosen + readers, chosen_count - readers, links);
   if (choice->reader)
-    choice->usual = 0;
-  bt_free (ctx, known);
+    choice->primary_count = 0;
+  bt_free (ctx, subset_candidates);
   bt_free (ctx, chosen);
 }
 
@@ -139,5 +141,5 @@
         add_candidate (choice, address);
       seeds += bytes + (seeds[bytes] == ',' ? 1 : 0);
     }
-  choice->usual = choice->count;
+  choice->primary_count = choice->count;
 }
--- a/source/gateway/feed_choice.h
+++ b/source/gateway/feed_choice.h
@@ -17,7 +17,7 @@
 {
   /** Number of entries per reader. The loss of a reader causes up to this many full reads at once,
    * and a reader sends each change this many times. */
-  BT_ENTRIES_A_READER = 12,
+  BT_ENTRIES_PER_READER = 12,
   /** Number of standbys, the entries that come next after the readers. A reader whose calls to the
    * store fail, and its followers, follow one of them. */
   BT_STANDBY_READERS = 3,
@@ -36,7 +36,7 @@
    * They all come before it in an order that is the same for all entries, so that no two entries
    * ever follow each other: both would stop reading the store, each would notice that the other
    * stopped, and both would start again, for ever. */
-  int32_t usual;
+  int32_t primary_count;
 } bt_feed_choice_t;
 
 /** Chooses for the entry that accepts links at @p links. Entries of one failure domain are spread
--- a/source/gateway/feed_messages.c
+++ b/source/gateway/feed_messages.c
@@ -89,19 +89,19 @@
   pair->lease = item->lease;
 }
 
-bt_store_news_t *
+bt_store_update_t *
 bt_read_items_message (bt_context_t *ctx, const Bilberry__StoreItems *message)
 {
-  bt_store_news_t *news = bt_calloc (ctx, 1, sizeof *news);
-  bt_kv_changes_t *changes = &news->changes;
+  bt_store_update_t *update = bt_calloc (ctx, 1, sizeof *update);
+  bt_kv_changes_t *changes = &update->changes;
 
-  news->from_revision = message->from_revision;
-  news->whole = message->whole;
+  update->from_revision = message->from_revision;
+  update->whole = message->whole;
   changes->written.revision = message->revision;
   changes->written.pairs = bt_calloc (ctx, message->n_written, sizeof *changes->written.pairs);
   changes->removed = bt_calloc (ctx, message->n_removed, sizeof *changes->removed);
   changes->removed_at = bt_calloc (ctx, message->n_removed, sizeof *changes->removed_at);
-  news->keys = bt_calloc (ctx, message->n_keys, sizeof (char *));
+  update->keys = bt_calloc (ctx, message->n_keys, sizeof (char *));
   for (size_t i = 0; i < message->n_written; i++)
     read_item (ctx, message->written[i], &changes->written.pairs[changes->written.count++]);
   for (size_t i = 0; i < message->n_removed; i++)
@@ -110,6 +110,6 @@
       changes->removed[changes->removed_count++] = bt_strdup (ctx, message->removed[i]->key);
     }
   for (size_t i = 0; i < message->n_keys; i++)
-    news->keys[news->key_count++] = bt_strdup (ctx, message->keys[i]);
-  return news;
+    update->keys[update->key_count++] = bt_strdup (ctx, message->keys[i]);
+  return update;
 }
--- a/source/gateway/feed_messages.h
+++ b/source/gateway/feed_messages.h
@@ -26,7 +26,7 @@
 /** Frees the lists of an encoded message, not what they point to. */
 void bt_clear_items_message (bt_context_t *ctx, Bilberry__StoreItems *message);
 
-/** Decodes a message into a copy; free it with bt_drop_store_news. */
-bt_store_news_t *bt_read_items_message (bt_context_t *ctx, const Bilberry__StoreItems *message);
+/** Decodes a message into a copy; free it with bt_drop_store_update. */
+bt_store_update_t *bt_read_items_message (bt_context_t *ctx, const Bilberry__StoreItems *message);
 
 #endif
--- a/source/gateway/group_control.c
+++ b/source/gateway/group_control.c
@@ -17,18 +17,18 @@
    * when the lease expires stands still until the next leader takes over, which takes seconds if
    * the store fails meanwhile. A round releases its group well within this time, and a lease that
    * is renewed in time has more left. */
-  LEAST_LEASE_MS = 700,
+  MIN_HOLD_LEASE_MS = 700,
   /* Interval between two runs of the control while a round is in progress. */
-  ROUND_LOOK_MS = 20,
+  ROUND_INTERVAL_MS = 20,
   /* Each instance delays its attempt to get the lease by its position in the order of candidates,
      so that the instances do not race for it. */
-  TURN_MS = 250,
-  FIRST_TURN_MS = 100,
+  CANDIDATE_DELAY_MS = 250,
+  FIRST_CANDIDATE_DELAY_MS = 100,
 };
 
 /* A leader hands over to an instance with more than this many times its processor share. Planning
  * blocks the event loop for many milliseconds at a time, and the leader's own callers wait then. */
-static const double much_room = 1.5;
+static const double handover_cores_ratio = 1.5;
 
 static const char *const lease_prefix = "bilberrytray/maps/";
 static const char *const lease_name = "groups";
@@ -36,7 +36,7 @@
 /** A list element for one group. */
 typedef struct group_row
 {
-  bt_led_group_t *group;
+  bt_managed_group_t *group;
   struct group_row *next;
 } group_row_t;
 
@@ -52,9 +52,9 @@
   uint64_t lease_fence; /* fencing number of the lease that was granted last */
   int64_t lease_end_ms;
   bool leaving;
-  bool handed_over;   /* the lease that was granted last is being released */
-  bool unrelieved;    /* the lease was released, but no other instance took it */
-  int64_t outdone_ms; /* since when an instance with more processor share is listed; 0: none is */
+  bool handed_over;        /* the lease that was granted last is being released */
+  bool handover_failed;    /* the lease was released, but no other instance took it */
+  int64_t better_since_ms; /* an instance with more processor share is listed since; 0: none */
   group_row_t *groups;
   bt_timer_t timer;
 };
@@ -66,24 +66,24 @@
   bt_log_event (control->ctx, BT_LOG_INFO, "leading", "{s:I}", "fence", (json_int_t)fence);
   for (group_row_t *row = control->groups; row != NULL; row = row->next)
     bt_begin_leading_group (row->group, fence);
-  bt_follow_agents (control->links, fence);
+  bt_subscribe_agents (control->links, fence);
 }
 
 static void
-stop_leading (bt_group_control_t *control, const char *why)
+stop_leading (bt_group_control_t *control, const char *reason)
 {
   if (control->fence == 0)
     return;
   bt_log_event (control->ctx, BT_LOG_INFO, "not-leading", "{s:I, s:s}", "fence",
-                (json_int_t)control->fence, "message", why);
+                (json_int_t)control->fence, "message", reason);
   control->fence = 0;
   for (group_row_t *row = control->groups; row != NULL; row = row->next)
     bt_end_leading_group (row->group);
-  bt_follow_agents (control->links, 0);
+  bt_subscribe_agents (control->links, 0);
 }
 
 static void
-take_lease (bt_lease_listener_t *listener, uint64_t fence, int64_t sent_ms)
+handle_lease (bt_lease_listener_t *listener, uint64_t fence, int64_t sent_ms)
 {
   bt_group_control_t *control =
       (bt_group_control_t *)((char *)listener - offsetof (bt_group_control_t, listener));
@@ -92,11 +92,11 @@
   if (fence != 0)
     {
       control->lease_fence = fence;
-      control->unrelieved = control->unrelieved || control->handed_over;
+      control->handover_failed = control->handover_failed || control->handed_over;
       control->handed_over = false;
     }
   if ((control->leaving || control->handed_over) && control->fence == 0)
-    bt_want_lease (control->keeper, false, 0);
+    bt_set_lease_wanted (control->keeper, false, 0);
   /* After a late renewal this instance stopped leading, but the lease did not expire and no other
      instance has led meanwhile. */
   else if (fence != 0 || control->fence == 0)
@@ -104,7 +104,7 @@
 }
 
 static void
-tick (bt_timer_t *timer)
+wake_loop (bt_timer_t *timer)
 {
   /* The timer only wakes the event loop, which then calls bt_run_group_control. */
   (void)timer;
@@ -131,8 +131,8 @@
   control->loop = loop;
   control->links = links;
   control->options = *options;
-  control->listener.on_lease = take_lease;
-  control->timer.on_time = tick;
+  control->listener.on_lease = handle_lease;
+  control->timer.on_time = wake_loop;
   control->keeper = bt_new_lease_keeper (ctx, loop, &lease, &control->listener);
   return control;
 }
@@ -149,7 +149,7 @@
       group_row_t *row = control->groups;
 
       control->groups = row->next;
-      bt_drop_led_group (ctx, row->group);
+      bt_drop_managed_group (ctx, row->group);
       bt_free (ctx, row);
     }
   bt_free (ctx, control);
@@ -158,7 +158,7 @@
 /* Returns true if another instance comes before this one in the order of candidates: it has more
  * processor share, or the same share and a lower name. */
 static bool
-is_turn_before (const bt_group_control_t *control, const bt_listed_entry_t *entry)
+is_candidate_before (const bt_group_control_t *control, const bt_listed_entry_t *entry)
 {
   if (entry->cores != control->options.cores)
     return entry->cores > control->options.cores;
@@ -169,42 +169,43 @@
 bt_set_group_view (bt_group_control_t *control, const bt_view_t *view, bool leaving)
 {
   bool own = strcmp (view->leader, control->options.instance) == 0;
-  bool outdone = false;
-  int64_t turn = 0;
+  bool better_listed = false;
+  int64_t position = 0;
 
   for (int32_t i = 0; i < view->entry_count; i++)
     {
-      turn += is_turn_before (control, &view->entries[i]);
-      outdone = outdone || view->entries[i].cores > control->options.cores * much_room;
+      position += is_candidate_before (control, &view->entries[i]);
+      better_listed =
+          better_listed || view->entries[i].cores > control->options.cores * handover_cores_ratio;
     }
   control->leaving = leaving;
   if (view->leader[0] != '\0' && !own)
     {
       control->handed_over = false;
-      control->unrelieved = false;
+      control->handover_failed = false;
     }
-  if (!outdone)
-    control->outdone_ms = 0;
-  else if (control->outdone_ms == 0)
-    control->outdone_ms = bt_now_ms (control->ctx);
-  bt_want_lease (control->keeper,
-                 leaving ? control->fence != 0
-                         : view->leader[0] == '\0' || (own && !control->handed_over),
-                 FIRST_TURN_MS + turn * TURN_MS);
+  if (!better_listed)
+    control->better_since_ms = 0;
+  else if (control->better_since_ms == 0)
+    control->better_since_ms = bt_now_ms (control->ctx);
+  bt_set_lease_wanted (control->keeper,
+                       leaving ? control->fence != 0
+                               : view->leader[0] == '\0' || (own && !control->handed_over),
+                       FIRST_CANDIDATE_DELAY_MS + position * CANDIDATE_DELAY_MS);
 }
 
-static bt_led_group_t *
+static bt_managed_group_t *
 find_group (bt_group_control_t *control,
             const bt_engine_t *engine,
             const bt_engine_report_t *report)
 {
-  bt_led_group_t *group;
+  bt_managed_group_t *group;
   group_row_t *row;
 
   for (row = control->groups; row != NULL; row = row->next)
     if (bt_is_report_of_group (row->group, report))
       return row->group;
-  group = bt_new_led_group (control->ctx, control->links, engine, report);
+  group = bt_new_managed_group (control->ctx, control->links, engine, report);
   if (group == NULL)
     return NULL;
   if (control->fence != 0)
@@ -217,30 +218,30 @@
 }
 
 void
-bt_take_group_news (bt_group_control_t *control,
-                    const bt_engine_t *engine,
-                    const bt_agent_news_t *news,
-                    int32_t pass_limit)
+bt_handle_group_update (bt_group_control_t *control,
+                        const bt_engine_t *engine,
+                        const bt_agent_update_t *update,
+                        int32_t pass_limit)
 {
-  const bt_engine_report_t *report = &news->report;
-  bt_led_group_t *group;
+  const bt_engine_report_t *report = &update->report;
+  bt_managed_group_t *group;
 
   if (report->group[0] == '\0' || report->ranks < 1 || report->rank < 0
       || report->rank >= report->ranks || engine->expert_sets == 0)
     return;
   group = find_group (control, engine, report);
   if (group != NULL)
-    bt_take_led_group_news (group, news, pass_limit, bt_get_loop_ms (control->loop));
+    bt_handle_managed_group_update (group, update, pass_limit, bt_get_loop_ms (control->loop));
   else
     bt_note_limit (control->ctx, "group", BT_MAX_RANKS, report->group,
                    "Its ranks or experts exceed the limits of a map; its map is not changed.");
 }
 
 static bool
-is_any_round (const bt_group_control_t *control)
+has_open_round (const bt_group_control_t *control)
 {
   for (const group_row_t *row = control->groups; row != NULL; row = row->next)
-    if (bt_is_led_round_open (row->group))
+    if (bt_is_managed_round_open (row->group))
       return true;
   return false;
 }
@@ -248,17 +249,17 @@
 bool
 bt_is_group_round_open (const bt_group_control_t *control)
 {
-  return control->fence != 0 && is_any_round (control);
+  return control->fence != 0 && has_open_round (control);
 }
 
 /* Returns true if an instance with more processor share has been listed long enough to take over.
  * If no instance took the lease when it was released, such an instance is listed but not running.
  */
 static bool
-is_outdone (const bt_group_control_t *control, int64_t now_ms)
+is_better_instance_stable (const bt_group_control_t *control, int64_t now_ms)
 {
-  return control->outdone_ms != 0 && !control->unrelieved
-         && now_ms - control->outdone_ms > control->options.steady_ms;
+  return control->better_since_ms != 0 && !control->handover_failed
+         && now_ms - control->better_since_ms > control->options.steady_ms;
 }
 
 /* Returns true if no round prevents a handover. A leaving leader also waits for groups whose state
@@ -269,9 +270,9 @@
 may_hand_over (const bt_group_control_t *control)
 {
   if (control->leaving)
-    return !is_any_round (control);
+    return !has_open_round (control);
   for (const group_row_t *row = control->groups; row != NULL; row = row->next)
-    if (bt_has_led_group_orders (row->group))
+    if (bt_has_managed_group_orders (row->group))
       return false;
   return true;
 }
@@ -284,21 +285,21 @@
 {
   stop_leading (control, control->leaving ? "This instance is shutting down."
                                           : "Another instance has more processor time.");
-  control->outdone_ms = 0;
+  control->better_since_ms = 0;
   control->handed_over = true;
-  bt_want_lease (control->keeper, false, 0);
+  bt_set_lease_wanted (control->keeper, false, 0);
 }
 
 void
 bt_run_group_control (bt_group_control_t *control)
 {
   int64_t now_ms = bt_get_loop_ms (control->loop);
-  bool hands_over = control->leaving || is_outdone (control, now_ms);
-  bt_led_turn_t turn = { .now_ms = now_ms,
-                         .fence = control->fence,
-                         .hold_until_ms = control->lease_end_ms - LEAST_LEASE_MS,
-                         .plan_ms = control->options.plan_ms,
-                         .begins_rounds = !hands_over };
+  bool hands_over = control->leaving || is_better_instance_stable (control, now_ms);
+  bt_group_run_params_t params = { .now_ms = now_ms,
+                                   .fence = control->fence,
+                                   .hold_until_ms = control->lease_end_ms - MIN_HOLD_LEASE_MS,
+                                   .plan_ms = control->options.plan_ms,
+                                   .may_begin_rounds = !hands_over };
 
   if (control->fence == 0)
     return;
@@ -309,10 +310,10 @@
       return;
     }
   for (group_row_t *row = control->groups; row != NULL && control->fence != 0; row = row->next)
-    if (!bt_run_led_group (row->group, &turn))
+    if (!bt_run_managed_group (row->group, &params))
       stop_leading (control, "An engine reported a newer leader.");
   if (hands_over && control->fence != 0 && may_hand_over (control))
     hand_over (control);
   bt_set_timer (control->loop, &control->timer,
-                now_ms + (is_any_round (control) ? ROUND_LOOK_MS : control->options.plan_ms));
+                now_ms + (has_open_round (control) ? ROUND_INTERVAL_MS : control->options.plan_ms));
 }
--- a/source/gateway/group_control.h
+++ b/source/gateway/group_control.h
@@ -39,10 +39,10 @@
 
 /** Applies an agent's update. @p engine describes the engines of the app, @p pass_limit is the
  * number of concurrent requests that the engine may run now. */
-void bt_take_group_news (bt_group_control_t *control,
-                         const bt_engine_t *engine,
-                         const bt_agent_news_t *news,
-                         int32_t pass_limit);
+void bt_handle_group_update (bt_group_control_t *control,
+                             const bt_engine_t *engine,
+                             const bt_agent_update_t *update,
+                             int32_t pass_limit);
 
 /** Returns true while this instance leads and a round is in progress or a group's state is not
  * known.
--- a/source/gateway/group_maps.c
+++ b/source/gateway/group_maps.c
@@ -41,10 +41,10 @@
   bt_expert_map_t *current; /* the map in use; NULL while unknown */
   int64_t epoch;
   int64_t version;
-  bt_expert_map_t *found; /* the map in use, being assembled from the ranks' places */
-  int64_t found_epoch;
-  int64_t found_version;
-  bool *found_ranks; /* by rank: its places are included */
+  bt_expert_map_t *assembled; /* the map in use, being assembled from the ranks' places */
+  int64_t assembled_epoch;
+  int64_t assembled_version;
+  bool *assembled_ranks; /* by rank: its places are included */
   bt_expert_map_t *next;
 };
 
@@ -70,17 +70,17 @@
 {
   bt_map_shape_t shape = { engine->expert_sets, engine->experts, ranks };
   bt_error_t error = { 0 };
-  bt_expert_map_t *found = bt_new_expert_map (ctx, shape, &error);
+  bt_expert_map_t *assembled = bt_new_expert_map (ctx, shape, &error);
   bt_group_maps_t *maps;
 
-  if (found == NULL)
+  if (assembled == NULL)
     return NULL;
   maps = bt_calloc (ctx, 1, sizeof *maps);
   maps->settings = *settings;
   maps->engine = *engine;
   maps->shape = shape;
-  maps->found = found;
-  maps->found_ranks = bt_calloc (ctx, (size_t)ranks, sizeof *maps->found_ranks);
+  maps->assembled = assembled;
+  maps->assembled_ranks = bt_calloc (ctx, (size_t)ranks, sizeof *maps->assembled_ranks);
   maps->paces = bt_calloc (ctx, (size_t)ranks, sizeof *maps->paces);
   for (int32_t rank = 0; rank < ranks; rank++)
     maps->paces[rank] = 1;
@@ -98,23 +98,23 @@
   bt_drop_moving_load (ctx, maps->load);
   bt_drop_copy_price (ctx, maps->price);
   bt_drop_expert_map (ctx, maps->current);
-  bt_drop_expert_map (ctx, maps->found);
+  bt_drop_expert_map (ctx, maps->assembled);
   bt_drop_expert_map (ctx, maps->next);
-  bt_free (ctx, maps->found_ranks);
+  bt_free (ctx, maps->assembled_ranks);
   bt_free (ctx, maps->paces);
   bt_free (ctx, maps);
 }
 
 static void
-start_finding (bt_context_t *ctx, bt_group_maps_t *maps, int64_t epoch, int64_t version)
+start_assembling (bt_context_t *ctx, bt_group_maps_t *maps, int64_t epoch, int64_t version)
 {
   bt_error_t error = { 0 };
 
-  bt_drop_expert_map (ctx, maps->found);
-  maps->found = bt_new_expert_map (ctx, maps->shape, &error);
-  maps->found_epoch = epoch;
-  maps->found_version = version;
-  memset (maps->found_ranks, 0, (size_t)maps->shape.ranks * sizeof *maps->found_ranks);
+  bt_drop_expert_map (ctx, maps->assembled);
+  maps->assembled = bt_new_expert_map (ctx, maps->shape, &error);
+  maps->assembled_epoch = epoch;
+  maps->assembled_version = version;
+  memset (maps->assembled_ranks, 0, (size_t)maps->shape.ranks * sizeof *maps->assembled_ranks);
 }
 
 void
@@ -137,17 +137,17 @@
 {
   if (rank < 0 || rank >= maps->shape.ranks)
     return;
-  if (maps->found_epoch != epoch || maps->found_version != version)
-    start_finding (ctx, maps, epoch, version);
+  if (maps->assembled_epoch != epoch || maps->assembled_version != version)
+    start_assembling (ctx, maps, epoch, version);
   for (int32_t i = 0; i < count; i++)
     {
       int32_t set = (int32_t)(places[i] >> SET_SHIFT);
       int32_t expert = (int32_t)(places[i] & EXPERT_MASK);
 
       if (set < maps->shape.layers && expert < maps->shape.experts)
-        bt_add_map_holder (maps->found, set, expert, rank);
+        bt_add_map_holder (maps->assembled, set, expert, rank);
     }
-  maps->found_ranks[rank] = true;
+  maps->assembled_ranks[rank] = true;
 }
 
 void
@@ -187,12 +187,12 @@
 }
 
 static bool
-is_found_whole (const bt_group_maps_t *maps, int64_t epoch, int64_t version)
+is_assembly_complete (const bt_group_maps_t *maps, int64_t epoch, int64_t version)
 {
-  if (maps->found_epoch != epoch || maps->found_version != version)
+  if (maps->assembled_epoch != epoch || maps->assembled_version != version)
     return false;
   for (int32_t rank = 0; rank < maps->shape.ranks; rank++)
-    if (!maps->found_ranks[rank])
+    if (!maps->assembled_ranks[rank])
       return false;
   return true;
 }
@@ -202,10 +202,10 @@
 {
   if (maps->current != NULL && maps->epoch == epoch && maps->version == version)
     return maps->current;
-  if (!is_found_whole (maps, epoch, version))
+  if (!is_assembly_complete (maps, epoch, version))
     return NULL;
   bt_drop_expert_map (ctx, maps->current);
-  maps->current = bt_copy_expert_map (ctx, maps->found);
+  maps->current = bt_copy_expert_map (ctx, maps->assembled);
   maps->epoch = epoch;
   maps->version = version;
   return maps->current;
--- a/source/gateway/lease_keeper.c
+++ b/source/gateway/lease_keeper.c
@@ -24,41 +24,41 @@
   int64_t next_ms; /* time of the next attempt */
 };
 
-typedef struct lease_news
+typedef struct lease_event
 {
   bt_task_t task;
   bt_lease_keeper_t *keeper;
   uint64_t fence;
   int64_t sent_ms;
-} lease_news_t;
+} lease_event_t;
 
 static void
-run_news (bt_task_t *task)
+run_event (bt_task_t *task)
 {
-  lease_news_t *news = (lease_news_t *)task;
-  bt_lease_listener_t *listener = news->keeper->listener;
+  lease_event_t *event = (lease_event_t *)task;
+  bt_lease_listener_t *listener = event->keeper->listener;
 
-  listener->on_lease (listener, news->fence, news->sent_ms);
-  bt_free (news->keeper->ctx, news);
+  listener->on_lease (listener, event->fence, event->sent_ms);
+  bt_free (event->keeper->ctx, event);
 }
 
 static void
-post_news (bt_lease_keeper_t *keeper, uint64_t fence, int64_t sent_ms)
+post_event (bt_lease_keeper_t *keeper, uint64_t fence, int64_t sent_ms)
 {
-  lease_news_t *news = bt_calloc (keeper->ctx, 1, sizeof *news);
-
-  news->task.run = run_news;
-  news->keeper = keeper;
-  news->fence = fence;
-  news->sent_ms = sent_ms;
-  if (!bt_post_task (keeper->loop, &news->task))
-    bt_free (keeper->ctx, news);
+  lease_event_t *event = bt_calloc (keeper->ctx, 1, sizeof *event);
+
+  event->task.run = run_event;
+  event->keeper = keeper;
+  event->fence = fence;
+  event->sent_ms = sent_ms;
+  if (!bt_post_task (keeper->loop, &event->task))
+    bt_free (keeper->ctx, event);
 }
 
 /* Releases a lease that is no longer wanted, so that another instance can get it at once instead of
  * when it expires. */
 static void
-give_back (bt_lease_keeper_t *keeper)
+release_lease (bt_lease_keeper_t *keeper)
 {
   pthread_mutex_unlock (&keeper->lock);
   bt_give_back_fenced_lease (keeper->ctx, keeper->lease);
@@ -67,7 +67,7 @@
 
 /* Makes one attempt to get or renew the lease. */
 static void
-hold (bt_lease_keeper_t *keeper)
+try_lease (bt_lease_keeper_t *keeper)
 {
   int64_t sent_ms = bt_now_ms (keeper->ctx);
   uint64_t fence = 0;
@@ -77,10 +77,10 @@
     case BT_LEASE_GRANTED:
       bt_log_event (keeper->ctx, BT_LOG_INFO, "lease-granted", "{s:s, s:I}", "lease",
                     keeper->options.name, "fence", (json_int_t)fence);
-      post_news (keeper, fence, sent_ms);
+      post_event (keeper, fence, sent_ms);
       break;
     case BT_LEASE_RENEWED:
-      post_news (keeper, 0, sent_ms);
+      post_event (keeper, 0, sent_ms);
       break;
     case BT_LEASE_NONE:
       break;
@@ -98,7 +98,7 @@
       int64_t wait_ms = keeper->next_ms - bt_now_ms (keeper->ctx);
 
       if (!keeper->wanted && bt_holds_fenced_lease (keeper->lease))
-        give_back (keeper);
+        release_lease (keeper);
       else if (!keeper->wanted)
         pthread_cond_wait (&keeper->changed, &keeper->lock);
       else if (wait_ms > 0)
@@ -107,7 +107,7 @@
         {
           keeper->next_ms = bt_now_ms (keeper->ctx) + keeper->options.renew_ms;
           pthread_mutex_unlock (&keeper->lock);
-          hold (keeper);
+          try_lease (keeper);
           pthread_mutex_lock (&keeper->lock);
         }
     }
@@ -141,7 +141,7 @@
 }
 
 void
-bt_want_lease (bt_lease_keeper_t *keeper, bool wanted, int64_t wait_ms)
+bt_set_lease_wanted (bt_lease_keeper_t *keeper, bool wanted, int64_t wait_ms)
 {
   pthread_mutex_lock (&keeper->lock);
   if (wanted && !keeper->wanted)
--- a/source/gateway/leaving_notice.c
+++ b/source/gateway/leaving_notice.c
@@ -25,7 +25,7 @@
 };
 
 static void
-tell (bt_link_handler_t *handler, bt_link_t *link)
+send_notice (bt_link_handler_t *handler, bt_link_t *link)
 {
   bt_leaving_notice_t *notice = (bt_leaving_notice_t *)handler;
   Bilberry__StoreState state = BILBERRY__STORE_STATE__INIT;
@@ -40,7 +40,7 @@
 }
 
 static void
-pass_over_frame (bt_link_handler_t *handler, bt_link_t *link, const bt_frame_t *frame)
+ignore_frame (bt_link_handler_t *handler, bt_link_t *link, const bt_frame_t *frame)
 {
   (void)handler;
   (void)link;
@@ -48,14 +48,14 @@
 }
 
 static void
-pass_over_end (bt_link_handler_t *handler, bt_link_t *link)
+ignore_link_down (bt_link_handler_t *handler, bt_link_t *link)
 {
   (void)handler;
   (void)link;
 }
 
-static const bt_link_handler_vtable_t handler_vtable = { tell, pass_over_frame, pass_over_end,
-                                                         tell };
+static const bt_link_handler_vtable_t handler_vtable = { send_notice, ignore_frame,
+                                                         ignore_link_down, send_notice };
 
 /* On links, the name of a peer is its address. */
 static void
@@ -91,7 +91,7 @@
 
   notice->handler.vtable = &handler_vtable;
   notice->ctx = ctx;
-  bt_name_peer_links (self, &notice->handler, &links);
+  bt_fill_peer_link_options (self, &notice->handler, &links);
   notice->loop = bt_new_link_loop (ctx, &links, &error);
   if (notice->loop == NULL)
     {
--- a/source/gateway/led_group.c
+++ b/source/gateway/led_group.c
@@ -11,11 +11,12 @@
 {
   /* Number of steps from the orders of a leader's first round to the change of the map. If the
    * group reaches the held step before it is released, the pause delays every running stream. The
-   * orders take longer with more ranks, so there is one more step for each RANKS_A_HOLD_STEP ranks.
+   * orders take longer with more ranks, so there is one more step for each RANKS_PER_HOLD_STEP
+   * ranks.
    */
-  LEAST_HOLD_STEPS = 3,
-  MOST_HOLD_STEPS = 5,
-  RANKS_A_HOLD_STEP = 32,
+  MIN_HOLD_STEPS = 3,
+  MAX_HOLD_STEPS = 5,
+  RANKS_PER_HOLD_STEP = 32,
   RESEND_MS = 120,
   STALE_MS = 1200,
   /* Agents report to the leader at once when asked. This is the time of two regular reports and one
@@ -23,10 +24,10 @@
   SILENCE_MS = 250,
   PREPARE_LIMIT_MS = 3000,
   ARM_LIMIT_MS = 1500,
-  ASK_PLACES_MS = 300,
+  PLACES_REQUEST_MS = 300,
 };
 
-struct bt_led_group
+struct bt_managed_group
 {
   bt_context_t *ctx;
   bt_agent_links_t *links;
@@ -35,31 +36,31 @@
   bt_group_rounds_t *rounds;
   bt_group_maps_t *maps;
   char (*endpoints)[BT_ADDRESS_BYTES]; /* by rank */
-  bt_map_bytes_t map;  /* the map of the last PREPARE order, encoded once for all ranks */
-  int64_t map_version; /* version of that map; 0: none */
+  bt_map_bytes_t map;      /* the map of the last PREPARE order, encoded once for all ranks */
+  int64_t encoded_version; /* version of that map; 0: none */
   int64_t next_plan_ms;
-  int64_t next_ask_ms;
+  int64_t next_request_ms;
   int64_t target;         /* version of the round in progress; 0: none */
   bt_group_phase_t phase; /* the phase that was logged last */
 };
 
 static int64_t
-choose_first_steps (int32_t ranks)
+choose_hold_steps (int32_t ranks)
 {
-  int64_t steps = LEAST_HOLD_STEPS + ranks / RANKS_A_HOLD_STEP;
+  int64_t steps = MIN_HOLD_STEPS + ranks / RANKS_PER_HOLD_STEP;
 
-  return steps < MOST_HOLD_STEPS ? steps : MOST_HOLD_STEPS;
+  return steps < MAX_HOLD_STEPS ? steps : MAX_HOLD_STEPS;
 }
 
-bt_led_group_t *
-bt_new_led_group (bt_context_t *ctx,
-                  bt_agent_links_t *links,
-                  const bt_engine_t *engine,
-                  const bt_engine_report_t *report)
+bt_managed_group_t *
+bt_new_managed_group (bt_context_t *ctx,
+                      bt_agent_links_t *links,
+                      const bt_engine_t *engine,
+                      const bt_engine_report_t *report)
 {
   bt_group_rounds_settings_t rounds = {
     .ranks = report->ranks,
-    .hold_steps = choose_first_steps (report->ranks),
+    .hold_steps = choose_hold_steps (report->ranks),
     .resend_ms = RESEND_MS,
     .stale_ms = STALE_MS,
     .prepare_limit_ms = PREPARE_LIMIT_MS,
@@ -68,7 +69,7 @@
   };
   bt_group_maps_settings_t settings = bt_get_default_group_maps_settings ();
   bt_group_maps_t *maps = bt_new_group_maps (ctx, engine, report->ranks, &settings);
-  bt_led_group_t *group;
+  bt_managed_group_t *group;
 
   if (maps == NULL)
     return NULL;
@@ -84,7 +85,7 @@
 }
 
 void
-bt_drop_led_group (bt_context_t *ctx, bt_led_group_t *group)
+bt_drop_managed_group (bt_context_t *ctx, bt_managed_group_t *group)
 {
   if (group == NULL)
     return;
@@ -96,13 +97,13 @@
 }
 
 bool
-bt_is_report_of_group (const bt_led_group_t *group, const bt_engine_report_t *report)
+bt_is_report_of_group (const bt_managed_group_t *group, const bt_engine_report_t *report)
 {
   return strcmp (group->name, report->group) == 0 && group->ranks == report->ranks;
 }
 
 void
-bt_begin_leading_group (bt_led_group_t *group, uint64_t fence)
+bt_begin_leading_group (bt_managed_group_t *group, uint64_t fence)
 {
   group->target = 0;
   bt_lead_group (group->rounds, fence);
@@ -110,36 +111,36 @@
 }
 
 void
-bt_end_leading_group (bt_led_group_t *group)
+bt_end_leading_group (bt_managed_group_t *group)
 {
   bt_leave_group (group->rounds);
 }
 
 void
-bt_take_led_group_news (bt_led_group_t *group,
-                        const bt_agent_news_t *news,
-                        int32_t pass_limit,
-                        int64_t now_ms)
+bt_handle_managed_group_update (bt_managed_group_t *group,
+                                const bt_agent_update_t *update,
+                                int32_t pass_limit,
+                                int64_t now_ms)
 {
-  const bt_engine_report_t *report = &news->report;
+  const bt_engine_report_t *report = &update->report;
 
-  snprintf (group->endpoints[report->rank], BT_ADDRESS_BYTES, "%s", news->endpoint);
+  snprintf (group->endpoints[report->rank], BT_ADDRESS_BYTES, "%s", update->endpoint);
   bt_set_rank_pace (group->maps, report->rank, report->pace);
   bt_take_rank_running (group->maps, report->rank, report->running, pass_limit, now_ms);
-  if (news->places != NULL)
-    bt_take_rank_places (group->ctx, group->maps, report->rank, news->places_epoch,
-                         news->places_version, news->places, news->place_count);
-  if (news->picks != NULL)
-    bt_take_rank_picks (group->maps, news->picks, news->pick_count, now_ms);
-  if (news->answered)
-    bt_take_group_order_result (group->rounds, report->rank, news->answered_id, news->result,
-                                &report->maps, news->heard_ms);
+  if (update->places != NULL)
+    bt_take_rank_places (group->ctx, group->maps, report->rank, update->places_epoch,
+                         update->places_version, update->places, update->place_count);
+  if (update->picks != NULL)
+    bt_take_rank_picks (group->maps, update->picks, update->pick_count, now_ms);
+  if (update->answered)
+    bt_take_group_order_result (group->rounds, report->rank, update->answered_id, update->result,
+                                &report->maps, update->received_ms);
   else
-    bt_take_rank_report (group->rounds, report->rank, &report->maps, news->heard_ms);
+    bt_take_rank_report (group->rounds, report->rank, &report->maps, update->received_ms);
 }
 
 static void
-log_phase (bt_led_group_t *group, uint64_t fence)
+log_phase (bt_managed_group_t *group, uint64_t fence)
 {
   bt_group_phase_t phase = bt_get_group_phase (group->rounds);
 
@@ -155,7 +156,7 @@
 
 /* After a round, makes its map the map in use, unless the round was given up. */
 static void
-settle (bt_led_group_t *group)
+finish_round (bt_managed_group_t *group)
 {
   if (group->target == 0 || bt_get_group_phase (group->rounds) != BT_GROUP_CALM)
     return;
@@ -165,28 +166,28 @@
 }
 
 static void
-ask_reports (const bt_led_group_t *group)
+request_reports (const bt_managed_group_t *group)
 {
   for (int32_t rank = 0; rank < group->ranks; rank++)
     if (group->endpoints[rank][0] != '\0')
-      bt_ask_agent_report (group->links, group->endpoints[rank]);
+      bt_request_agent_report (group->links, group->endpoints[rank]);
 }
 
 static void
-ask_places (bt_led_group_t *group, int64_t now_ms)
+request_places (bt_managed_group_t *group, int64_t now_ms)
 {
-  if (now_ms < group->next_ask_ms)
+  if (now_ms < group->next_request_ms)
     return;
-  group->next_ask_ms = now_ms + ASK_PLACES_MS;
+  group->next_request_ms = now_ms + PLACES_REQUEST_MS;
   for (int32_t rank = 0; rank < group->ranks; rank++)
     if (group->endpoints[rank][0] != '\0')
-      bt_ask_agent_places (group->links, group->endpoints[rank]);
+      bt_request_agent_places (group->links, group->endpoints[rank]);
 }
 
 /* Schedules a plan at once after demand has jumped: until then the busiest rank stays overloaded.
  */
 static void
-notice_jump (bt_led_group_t *group, int64_t now_ms)
+schedule_plan_after_jump (bt_managed_group_t *group, int64_t now_ms)
 {
   if (!bt_take_group_jump (group->maps, now_ms))
     return;
@@ -198,23 +199,23 @@
 /* Plans if no round is in progress and the map in use is known: at the configured interval, and at
  * once after demand has jumped. */
 static void
-plan (bt_led_group_t *group, const bt_led_turn_t *turn)
+plan_round (bt_managed_group_t *group, const bt_group_run_params_t *params)
 {
-  int64_t now_ms = turn->now_ms;
+  int64_t now_ms = params->now_ms;
   int64_t version = bt_get_group_version (group->rounds);
   double skew[2] = { 0 };
 
-  notice_jump (group, now_ms);
-  if (!turn->begins_rounds || bt_get_group_phase (group->rounds) != BT_GROUP_CALM
+  schedule_plan_after_jump (group, now_ms);
+  if (!params->may_begin_rounds || bt_get_group_phase (group->rounds) != BT_GROUP_CALM
       || now_ms < group->next_plan_ms)
     return;
   if (bt_get_group_map (group->ctx, group->maps, bt_get_group_epoch (group->rounds), version)
       == NULL)
     {
-      ask_places (group, now_ms);
+      request_places (group, now_ms);
       return;
     }
-  group->next_plan_ms = now_ms + turn->plan_ms;
+  group->next_plan_ms = now_ms + params->plan_ms;
   if (bt_plan_next_group_map (group->ctx, group->maps, now_ms, skew) == NULL)
     return;
   group->target = bt_begin_group_round (group->rounds, now_ms);
@@ -227,7 +228,7 @@
 /* Returns the map of a PREPARE order: the map of the round, or the map in use for a version that
  * only raises the engines' counts of accepted orders. */
 static const bt_expert_map_t *
-find_order_map (bt_led_group_t *group, const bt_group_order_t *order)
+find_order_map (bt_managed_group_t *group, const bt_group_order_t *order)
 {
   if (order->version == group->target)
     return bt_get_next_group_map (group->maps);
@@ -238,31 +239,31 @@
 /* Encodes the map of a PREPARE order, unless it is already encoded for another rank: a version
  * always denotes the same map. Returns false if the map is not known. */
 static bool
-encode_order_map (bt_led_group_t *group, const bt_group_order_t *order)
+encode_order_map (bt_managed_group_t *group, const bt_group_order_t *order)
 {
   const bt_expert_map_t *map;
   bt_error_t error = { 0 };
 
-  if (group->map_version == order->version)
+  if (group->encoded_version == order->version)
     return true;
   bt_free (group->ctx, group->map.data);
   group->map = (bt_map_bytes_t){ NULL };
-  group->map_version = 0;
+  group->encoded_version = 0;
   map = find_order_map (group, order);
   if (map == NULL || !bt_encode_expert_map (group->ctx, map, &group->map, &error))
     return false;
-  group->map_version = order->version;
+  group->encoded_version = order->version;
   return true;
 }
 
 static void
-send_order (bt_led_group_t *group, const bt_group_order_t *order, int64_t now_ms)
+send_order (bt_managed_group_t *group, const bt_group_order_t *order, int64_t now_ms)
 {
   bool prepares = order->kind == BT_GROUP_PREPARE;
 
   if (prepares && !encode_order_map (group, order))
     {
-      ask_places (group, now_ms);
+      request_places (group, now_ms);
       return;
     }
   bt_send_agent_order (group->links, group->endpoints[order->via], group->endpoints[order->rank],
@@ -270,29 +271,29 @@
 }
 
 bool
-bt_is_led_round_open (const bt_led_group_t *group)
+bt_is_managed_round_open (const bt_managed_group_t *group)
 {
   return bt_get_group_phase (group->rounds) != BT_GROUP_CALM;
 }
 
 bool
-bt_has_led_group_orders (const bt_led_group_t *group)
+bt_has_managed_group_orders (const bt_managed_group_t *group)
 {
-  return bt_is_led_round_open (group) && bt_get_group_phase (group->rounds) != BT_GROUP_LOOKING;
+  return bt_is_managed_round_open (group) && bt_get_group_phase (group->rounds) != BT_GROUP_LOOKING;
 }
 
 bool
-bt_run_led_group (bt_led_group_t *group, const bt_led_turn_t *turn)
+bt_run_managed_group (bt_managed_group_t *group, const bt_group_run_params_t *params)
 {
   bt_group_order_t order;
 
-  bt_limit_group_holds (group->rounds, turn->hold_until_ms);
-  settle (group);
-  plan (group, turn);
-  while (bt_next_group_order (group->rounds, turn->now_ms, &order))
-    send_order (group, &order, turn->now_ms);
+  bt_limit_group_holds (group->rounds, params->hold_until_ms);
+  finish_round (group);
+  plan_round (group, params);
+  while (bt_next_group_order (group->rounds, params->now_ms, &order))
+    send_order (group, &order, params->now_ms);
   if (bt_take_group_ask (group->rounds))
-    ask_reports (group);
-  log_phase (group, turn->fence);
+    request_reports (group);
+  log_phase (group, params->fence);
   return !bt_is_group_fenced (group->rounds);
 }
--- a/source/gateway/left_peers.h
+++ b/source/gateway/left_peers.h
@@ -11,18 +11,18 @@
 {
   /** A peer is needed here until its listing in the store is gone. More peers leave at a time only
    * if most of a large fleet is stopped at once. */
-  BT_MOST_LEFT_PEERS = 256,
+  BT_MAX_DEPARTED_PEERS = 256,
 };
 
-typedef struct bt_left_peers
+typedef struct bt_departed_peers
 {
-  uint64_t incarnations[BT_MOST_LEFT_PEERS]; /**< A ring: the newest replaces the oldest. */
-  int32_t count;                             /**< Number of peers ever added. */
-} bt_left_peers_t;
+  uint64_t incarnations[BT_MAX_DEPARTED_PEERS]; /**< A ring: the newest replaces the oldest. */
+  int32_t count;                                /**< Number of peers ever added. */
+} bt_departed_peers_t;
 
 /** Records and logs that the peer of a link shuts down. */
-void bt_note_left_peer (bt_context_t *ctx, bt_left_peers_t *left, const bt_link_t *link);
+void bt_record_departed_peer (bt_context_t *ctx, bt_departed_peers_t *left, const bt_link_t *link);
 
-bool bt_is_left_peer (const bt_left_peers_t *left, uint64_t incarnation);
+bool bt_is_departed_peer (const bt_departed_peers_t *left, uint64_t incarnation);
 
 #endif
--- a/source/gateway/listing.c
+++ b/source/gateway/listing.c
@@ -20,7 +20,7 @@
   bt_context_t *ctx;
   bt_listing_options_t options;
   bool running;
-  pthread_t lister;
+  pthread_t thread;
   int32_t stopping;
   /* Lock order: no other lock is held with it. */
   pthread_mutex_t lock; /* guards wanted */
@@ -93,11 +93,11 @@
 }
 
 static void *
-run_lister (void *argument)
+run_listing (void *argument)
 {
   bt_listing_t *listing = argument;
   int64_t lease = 0;
-  bool tried = false;
+  bool unlist_tried = false;
 
   while (!is_stopping (listing))
     {
@@ -107,7 +107,7 @@
 
       if (is_stopping (listing))
         break;
-      tried = !wanted;
+      unlist_tried = !wanted;
       if (!wanted)
         unlist_entry (listing, &lease);
       else if (lease == 0)
@@ -122,7 +122,7 @@
     }
   /* If the last call to the store already was an attempt to remove the listing, the process need
    * not wait for another one that may fail. */
-  if (!tried)
+  if (!unlist_tried)
     unlist_entry (listing, &lease);
   return NULL;
 }
@@ -136,7 +136,7 @@
   listing->options = *options;
   pthread_mutex_init (&listing->lock, NULL);
   bt_init_condition (&listing->changed);
-  listing->running = bt_start_store_thread (ctx, &listing->lister, run_lister, listing);
+  listing->running = bt_start_store_thread (ctx, &listing->thread, run_listing, listing);
   return listing;
 }
 
@@ -159,7 +159,7 @@
   pthread_cond_signal (&listing->changed);
   pthread_mutex_unlock (&listing->lock);
   if (listing->running)
-    pthread_join (listing->lister, NULL);
+    pthread_join (listing->thread, NULL);
   pthread_cond_destroy (&listing->changed);
   pthread_mutex_destroy (&listing->lock);
   bt_free (ctx, listing);
--- a/source/gateway/peer_feed.c
+++ b/source/gateway/peer_feed.c
@@ -57,9 +57,9 @@
   bool synced; /* the followed peer has sent its items */
   bool peer_attached;
   int64_t peer_revision;
-  bt_store_news_t *first_news;
-  bt_store_news_t **last_news;
-  bt_left_peers_t left;
+  bt_store_update_t *first_update;
+  bt_store_update_t **update_tail;
+  bt_departed_peers_t left;
 };
 
 static void
@@ -107,12 +107,12 @@
 }
 
 /** Arguments of send_items. */
-typedef struct items_order
+typedef struct items_args
 {
   bt_peer_feed_t *feed;
   bt_link_t *link; /* the receiver; NULL: all followers */
   int64_t from_revision;
-} items_order_t;
+} items_args_t;
 
 static void
 send_to_followers (bt_peer_feed_t *feed, Bilberry__Frame__BodyCase kind, void *message)
@@ -124,19 +124,19 @@
 static void
 send_items (void *data, const bt_kv_range_t *items)
 {
-  items_order_t *order = data;
+  items_args_t *args = data;
   Bilberry__StoreItems message;
 
-  bt_write_items_message (order->feed->ctx, order->from_revision, items, &message);
-  if (order->link != NULL)
-    send_message (order->feed, order->link, BILBERRY__FRAME__BODY_STORE_ITEMS, &message);
+  bt_write_items_message (args->feed->ctx, args->from_revision, items, &message);
+  if (args->link != NULL)
+    send_message (args->feed, args->link, BILBERRY__FRAME__BODY_STORE_ITEMS, &message);
   else
-    send_to_followers (order->feed, BILBERRY__FRAME__BODY_STORE_ITEMS, &message);
-  bt_clear_items_message (order->feed->ctx, &message);
+    send_to_followers (args->feed, BILBERRY__FRAME__BODY_STORE_ITEMS, &message);
+  bt_clear_items_message (args->feed->ctx, &message);
 }
 
 static void
-take_link_up (bt_link_handler_t *handler, bt_link_t *link)
+handle_link_up (bt_link_handler_t *handler, bt_link_t *link)
 {
   bt_peer_feed_t *feed = (bt_peer_feed_t *)handler;
 
@@ -160,7 +160,7 @@
 }
 
 static void
-take_link_down (bt_link_handler_t *handler, bt_link_t *link)
+handle_link_down (bt_link_handler_t *handler, bt_link_t *link)
 {
   bt_peer_feed_t *feed = (bt_peer_feed_t *)handler;
 
@@ -190,9 +190,9 @@
  * changed after the follower's revision. Removed keys are not recorded, so the message also holds
  * all present keys. */
 static void
-take_follow (bt_peer_feed_t *feed, bt_link_t *link, int64_t revision)
+handle_follow (bt_peer_feed_t *feed, bt_link_t *link, int64_t revision)
 {
-  items_order_t order = { feed, link, revision };
+  items_args_t args = { feed, link, revision };
 
   if (!is_follower (feed, link))
     {
@@ -202,34 +202,34 @@
       row->next = feed->followers;
       feed->followers = row;
     }
-  bt_look_at_copy (feed->copy, send_items, &order);
+  bt_visit_copy_items (feed->copy, send_items, &args);
   send_state (feed, link);
 }
 
 static void
-take_items (bt_peer_feed_t *feed, const Bilberry__StoreItems *message)
+handle_items (bt_peer_feed_t *feed, const Bilberry__StoreItems *message)
 {
-  bt_store_news_t *news = bt_read_items_message (feed->ctx, message);
+  bt_store_update_t *update = bt_read_items_message (feed->ctx, message);
 
-  feed->told = true;
+  feed->synced = true;
   if (message->revision > feed->peer_revision)
     feed->peer_revision = message->revision;
-  *feed->last_news = news;
-  feed->last_news = &news->next;
+  *feed->update_tail = update;
+  feed->update_tail = &update->next;
 }
 
 static void
-take_frame (bt_link_handler_t *handler, bt_link_t *link, const bt_frame_t *frame)
+handle_frame (bt_link_handler_t *handler, bt_link_t *link, const bt_frame_t *frame)
 {
   bt_peer_feed_t *feed = (bt_peer_feed_t *)handler;
 
   pthread_mutex_lock (&feed->lock);
   if (frame->body_case == BILBERRY__FRAME__BODY_STORE_STATE && frame->store_state->leaving)
-    bt_note_left_peer (feed->ctx, &feed->left, link);
+    bt_record_departed_peer (feed->ctx, &feed->left, link);
   if (frame->body_case == BILBERRY__FRAME__BODY_STORE_FOLLOW)
-    take_follow (feed, link, frame->store_follow->revision);
+    handle_follow (feed, link, frame->store_follow->revision);
   else if (link == feed->link && frame->body_case == BILBERRY__FRAME__BODY_STORE_ITEMS)
-    take_items (feed, frame->store_items);
+    handle_items (feed, frame->store_items);
   else if (link == feed->link && frame->body_case == BILBERRY__FRAME__BODY_STORE_STATE)
     {
       feed->peer_attached = frame->store_state->attached;
@@ -241,7 +241,7 @@
 }
 
 static void
-send_beat (bt_link_handler_t *handler, bt_link_t *link)
+send_heartbeat (bt_link_handler_t *handler, bt_link_t *link)
 {
   bt_peer_feed_t *feed = (bt_peer_feed_t *)handler;
 
@@ -250,8 +250,8 @@
   pthread_mutex_unlock (&feed->lock);
 }
 
-static const bt_link_handler_vtable_t handler_vtable = { take_link_up, take_frame, take_link_down,
-                                                         send_beat };
+static const bt_link_handler_vtable_t handler_vtable = { handle_link_up, handle_frame,
+                                                         handle_link_down, send_heartbeat };
 
 bt_peer_feed_t *
 bt_new_peer_feed (bt_context_t *ctx,
@@ -273,10 +273,10 @@
   feed->ctx = ctx;
   feed->options = *options;
   feed->copy = copy;
-  feed->last_news = &feed->first_news;
+  feed->update_tail = &feed->first_update;
   pthread_mutex_init (&feed->lock, NULL);
   bt_init_condition (&feed->changed);
-  bt_name_peer_links (&options->self, &feed->handler, &link_options);
+  bt_fill_peer_link_options (&options->self, &feed->handler, &link_options);
   feed->loop = bt_new_link_loop (ctx, &link_options, error);
   if (feed->loop == NULL || bt_listen_links (ctx, feed->loop, options->self.links, error) < 0)
     {
@@ -288,7 +288,7 @@
 
 /* Closes the link to the followed peer and drops its pending updates. */
 static void
-leave_peer (bt_peer_feed_t *feed)
+disconnect_peer (bt_peer_feed_t *feed)
 {
   if (feed->link == NULL)
     return;
@@ -296,17 +296,17 @@
   bt_drop_link (feed->ctx, feed->link);
   feed->link = NULL;
   feed->up = false;
-  feed->told = false;
+  feed->synced = false;
   feed->peer_attached = false;
   feed->peer_revision = 0;
-  while (feed->first_news != NULL)
+  while (feed->first_update != NULL)
     {
-      bt_store_news_t *news = feed->first_news;
+      bt_store_update_t *update = feed->first_update;
 
-      feed->first_news = news->next;
-      bt_drop_store_news (feed->ctx, news);
+      feed->first_update = update->next;
+      bt_drop_store_update (feed->ctx, update);
     }
-  feed->last_news = &feed->first_news;
+  feed->update_tail = &feed->first_update;
 }
 
 void
@@ -315,7 +315,7 @@
   if (feed == NULL)
     return;
   bt_drop_link_loop (ctx, feed->loop);
-  leave_peer (feed);
+  disconnect_peer (feed);
   while (feed->followers != NULL)
     drop_follower (feed, &feed->followers);
   pthread_cond_destroy (&feed->changed);
@@ -324,9 +324,9 @@
 }
 
 static bool
-is_good (bt_peer_feed_t *feed)
+is_current (bt_peer_feed_t *feed)
 {
-  return feed->link != NULL && feed->up && feed->told && feed->peer_attached
+  return feed->link != NULL && feed->up && feed->synced && feed->peer_attached
          && feed->peer_revision >= bt_get_copy_revision (feed->copy);
 }
 
@@ -356,59 +356,59 @@
 }
 
 void
-bt_tend_peer_feed (bt_peer_feed_t *feed, const bt_feed_choice_t *choice, int32_t count)
+bt_maintain_peer_feed (bt_peer_feed_t *feed, const bt_feed_choice_t *choice, int32_t count)
 {
   int64_t now_ms = bt_now_ms (feed->ctx);
   bool due = feed->dialled_ms == 0 || now_ms - feed->dialled_ms > REDIAL_MS;
 
   pthread_mutex_lock (&feed->lock);
   if (feed->link != NULL
-      && (!is_candidate (choice, count, feed->address) || (due && !is_good (feed))))
-    leave_peer (feed);
+      && (!is_candidate (choice, count, feed->address) || (due && !is_current (feed))))
+    disconnect_peer (feed);
   if (feed->link == NULL && due && count > 0)
     dial_next (feed, choice, count);
   pthread_mutex_unlock (&feed->lock);
 }
 
 bool
-bt_is_peer_feed_good (bt_peer_feed_t *feed)
+bt_is_peer_feed_current (bt_peer_feed_t *feed)
 {
-  bool good;
+  bool current;
 
   pthread_mutex_lock (&feed->lock);
-  good = is_good (feed);
-  if (good)
+  current = is_current (feed);
+  if (current)
     feed->next_candidate = 0;
   pthread_mutex_unlock (&feed->lock);
-  return good;
+  return current;
 }
 
 void
-bt_wait_peer_feed (bt_peer_feed_t *feed, int64_t wait_ms)
+bt_wait_for_peer_update (bt_peer_feed_t *feed, int64_t wait_ms)
 {
   pthread_mutex_lock (&feed->lock);
-  if (feed->first_news == NULL && is_good (feed))
+  if (feed->first_update == NULL && is_current (feed))
     bt_wait_condition (&feed->changed, &feed->lock, wait_ms);
   pthread_mutex_unlock (&feed->lock);
 }
 
-bt_store_news_t *
-bt_take_peer_news (bt_peer_feed_t *feed)
+bt_store_update_t *
+bt_take_peer_update (bt_peer_feed_t *feed)
 {
-  bt_store_news_t *news;
+  bt_store_update_t *update;
 
   pthread_mutex_lock (&feed->lock);
-  news = feed->first_news;
-  if (news != NULL)
-    feed->first_news = news->next;
-  if (feed->first_news == NULL)
-    feed->last_news = &feed->first_news;
+  update = feed->first_update;
+  if (update != NULL)
+    feed->first_update = update->next;
+  if (feed->first_update == NULL)
+    feed->update_tail = &feed->first_update;
   pthread_mutex_unlock (&feed->lock);
-  return news;
+  return update;
 }
 
 void
-bt_ask_peer_again (bt_peer_feed_t *feed)
+bt_request_peer_resync (bt_peer_feed_t *feed)
 {
   pthread_mutex_lock (&feed->lock);
   if (feed->up)
@@ -417,24 +417,24 @@
 }
 
 static void
-tell_state (bt_peer_feed_t *feed)
+send_state_to_followers (bt_peer_feed_t *feed)
 {
   for (follower_row_t *row = feed->followers; row != NULL; row = row->next)
     send_state (feed, row->link);
 }
 
 void
-bt_note_store_contact (bt_peer_feed_t *feed, bool there)
+bt_set_store_reachable (bt_peer_feed_t *feed, bool reachable)
 {
   bool before;
 
   pthread_mutex_lock (&feed->lock);
   before = feed->attached;
-  feed->attached = there;
-  if (there)
+  feed->attached = reachable;
+  if (reachable)
     feed->contact_ms = bt_now_ms (feed->ctx);
-  if (before != there)
-    tell_state (feed);
+  if (before != reachable)
+    send_state_to_followers (feed);
   pthread_mutex_unlock (&feed->lock);
 }
 
@@ -456,11 +456,11 @@
 void
 bt_send_peer_items (bt_peer_feed_t *feed, int64_t from_revision)
 {
-  items_order_t order = { feed, NULL, from_revision };
+  items_args_t args = { feed, NULL, from_revision };
 
   pthread_mutex_lock (&feed->lock);
   if (feed->followers != NULL)
-    bt_look_at_copy (feed->copy, send_items, &order);
+    bt_visit_copy_items (feed->copy, send_items, &args);
   pthread_mutex_unlock (&feed->lock);
 }
 
@@ -469,7 +469,7 @@
 {
   pthread_mutex_lock (&feed->lock);
   feed->retired = true;
-  tell_state (feed);
+  send_state_to_followers (feed);
   pthread_mutex_unlock (&feed->lock);
 }
 
@@ -479,7 +479,7 @@
   bool left;
 
   pthread_mutex_lock (&feed->lock);
-  left = bt_is_left_peer (&feed->left, incarnation);
+  left = bt_is_departed_peer (&feed->left, incarnation);
   pthread_mutex_unlock (&feed->lock);
   return left;
 }
--- a/source/gateway/peer_feed.h
+++ b/source/gateway/peer_feed.h
@@ -35,24 +35,24 @@
 
 /** Follows one of the first @p count candidates and tries them in turn. Must be called regularly: a
  * later call gives up a candidate that does not answer and tries the next. */
-void bt_tend_peer_feed (bt_peer_feed_t *feed, const bt_feed_choice_t *choice, int32_t count);
+void bt_maintain_peer_feed (bt_peer_feed_t *feed, const bt_feed_choice_t *choice, int32_t count);
 
 /** Returns true if the followed peer reads the store itself, has sent all items, and is not behind
  * this entry's copy. */
-bool bt_is_peer_feed_good (bt_peer_feed_t *feed);
+bool bt_is_peer_feed_current (bt_peer_feed_t *feed);
 
 /** Waits until an update arrives or the peer is lost, at most @p wait_ms. */
-void bt_wait_peer_feed (bt_peer_feed_t *feed, int64_t wait_ms);
+void bt_wait_for_peer_update (bt_peer_feed_t *feed, int64_t wait_ms);
 
 /** Removes and returns the oldest pending update, which the caller drops; NULL if there is none. */
-bt_store_news_t *bt_take_peer_news (bt_peer_feed_t *feed);
+bt_store_update_t *bt_take_peer_update (bt_peer_feed_t *feed);
 
 /** Asks the peer for all changes since the copy's revision, after an update was missed. */
-void bt_ask_peer_again (bt_peer_feed_t *feed);
+void bt_request_peer_resync (bt_peer_feed_t *feed);
 
 /** Records whether the store has just answered this entry, and notifies the followers if that has
  * changed. */
-void bt_note_store_contact (bt_peer_feed_t *feed, bool there);
+void bt_set_store_reachable (bt_peer_feed_t *feed, bool reachable);
 
 /** Sends the changes after @p from_revision to the followers. */
 void
--- a/source/gateway/peer_links.c
+++ b/source/gateway/peer_links.c
@@ -1,9 +1,9 @@
 #include "peer_links.h"
 
 void
-bt_name_peer_links (const bt_peer_name_t *self,
-                    bt_link_handler_t *handler,
-                    bt_link_options_t *options)
+bt_fill_peer_link_options (const bt_peer_name_t *self,
+                           bt_link_handler_t *handler,
+                           bt_link_options_t *options)
 {
   options->role = "entry";
   options->instance = self->links;
--- a/source/gateway/peer_links.h
+++ b/source/gateway/peer_links.h
@@ -18,8 +18,8 @@
 
 /** Sets the identity and handler in the options of links that @p self opens or accepts. The caller
  * sets times and limits. */
-void bt_name_peer_links (const bt_peer_name_t *self,
-                         bt_link_handler_t *handler,
-                         bt_link_options_t *options);
+void bt_fill_peer_link_options (const bt_peer_name_t *self,
+                                bt_link_handler_t *handler,
+                                bt_link_options_t *options);
 
 #endif
--- a/source/gateway/store_copy.c
+++ b/source/gateway/store_copy.c
@@ -58,7 +58,7 @@
 }
 
 void
-bt_change_copy (bt_context_t *ctx, bt_store_copy_t *copy, bt_kv_changes_t *changes)
+bt_apply_changes_to_copy (bt_context_t *ctx, bt_store_copy_t *copy, bt_kv_changes_t *changes)
 {
   pthread_mutex_lock (&copy->lock);
   bt_apply_kv_changes (ctx, &copy->items, changes);
@@ -66,10 +66,10 @@
 }
 
 static bool
-has_key (const bt_store_news_t *news, const char *key)
+has_key (const bt_store_update_t *update, const char *key)
 {
-  for (int32_t i = 0; i < news->key_count; i++)
-    if (strcmp (news->keys[i], key) == 0)
+  for (int32_t i = 0; i < update->key_count; i++)
+    if (strcmp (update->keys[i], key) == 0)
       return true;
   return false;
 }
@@ -77,57 +77,58 @@
 /* Adds a removal for each key of @p items that a whole update does not list: such an update lists
  * the present keys, not the removed ones. */
 static void
-note_absent_keys (bt_context_t *ctx, const bt_kv_range_t *items, bt_store_news_t *news)
+add_absent_removals (bt_context_t *ctx, const bt_kv_range_t *items, bt_store_update_t *update)
 {
-  bt_kv_changes_t *changes = &news->changes;
-  size_t most = (size_t)changes->removed_count + (size_t)items->count;
+  bt_kv_changes_t *changes = &update->changes;
+  size_t max_count = (size_t)changes->removed_count + (size_t)items->count;
 
-  changes->removed = bt_realloc (ctx, changes->removed, most, sizeof *changes->removed);
-  changes->removed_at = bt_realloc (ctx, changes->removed_at, most, sizeof *changes->removed_at);
+  changes->removed = bt_realloc (ctx, changes->removed, max_count, sizeof *changes->removed);
+  changes->removed_at =
+      bt_realloc (ctx, changes->removed_at, max_count, sizeof *changes->removed_at);
   for (int32_t i = 0; i < items->count; i++)
-    if (!has_key (news, items->pairs[i].key))
+    if (!has_key (update, items->pairs[i].key))
       {
         changes->removed_at[changes->removed_count] = changes->written.revision;
         changes->removed[changes->removed_count++] = bt_strdup (ctx, items->pairs[i].key);
       }
 }
 
-bt_news_effect_t
-bt_add_news_to_copy (bt_context_t *ctx, bt_store_copy_t *copy, bt_store_news_t *news)
+bt_update_effect_t
+bt_apply_update_to_copy (bt_context_t *ctx, bt_store_copy_t *copy, bt_store_update_t *update)
 {
-  bt_news_effect_t effect = BT_NEWS_TAKEN;
+  bt_update_effect_t effect = BT_UPDATE_APPLIED;
 
   pthread_mutex_lock (&copy->lock);
-  if (news->changes.written.revision <= copy->items.revision)
-    effect = BT_NEWS_OLD;
-  else if (news->from_revision > copy->items.revision)
-    effect = BT_NEWS_GAP;
+  if (update->changes.written.revision <= copy->items.revision)
+    effect = BT_UPDATE_OLD;
+  else if (update->from_revision > copy->items.revision)
+    effect = BT_UPDATE_GAP;
   else
     {
-      if (news->whole)
-        note_absent_keys (ctx, &copy->items, news);
-      bt_apply_kv_changes (ctx, &copy->items, &news->changes);
+      if (update->whole)
+        add_absent_removals (ctx, &copy->items, update);
+      bt_apply_kv_changes (ctx, &copy->items, &update->changes);
     }
   pthread_mutex_unlock (&copy->lock);
   return effect;
 }
 
 void
-bt_look_at_copy (bt_store_copy_t *copy, bt_look_at_items_t look, void *data)
+bt_visit_copy_items (bt_store_copy_t *copy, bt_visit_items_t visit, void *data)
 {
   pthread_mutex_lock (&copy->lock);
-  look (data, &copy->items);
+  visit (data, &copy->items);
   pthread_mutex_unlock (&copy->lock);
 }
 
 void
-bt_drop_store_news (bt_context_t *ctx, bt_store_news_t *news)
+bt_drop_store_update (bt_context_t *ctx, bt_store_update_t *update)
 {
-  if (news == NULL)
+  if (update == NULL)
     return;
-  bt_drop_kv_changes (ctx, &news->changes);
-  for (int32_t i = 0; i < news->key_count; i++)
-    bt_free (ctx, news->keys[i]);
-  bt_free (ctx, news->keys);
-  bt_free (ctx, news);
+  bt_drop_kv_changes (ctx, &update->changes);
+  for (int32_t i = 0; i < update->key_count; i++)
+    bt_free (ctx, update->keys[i]);
+  bt_free (ctx, update->keys);
+  bt_free (ctx, update);
 }
--- a/source/gateway/store_copy.h
+++ b/source/gateway/store_copy.h
@@ -12,26 +12,26 @@
 typedef struct bt_store_copy bt_store_copy_t;
 
 /** An update from the copy of another process. */
-typedef struct bt_store_news
+typedef struct bt_store_update
 {
   int64_t from_revision;   /**< The update holds all changes after this revision... */
   bt_kv_changes_t changes; /**< ...up to and including changes.written.revision. */
   bool whole;              /**< keys holds all keys that are present at that revision. */
   char **keys;
   int32_t key_count;
-  struct bt_store_news *next;
-} bt_store_news_t;
+  struct bt_store_update *next;
+} bt_store_update_t;
 
 /** The result of applying an update. */
-typedef enum bt_news_effect
+typedef enum bt_update_effect
 {
-  BT_NEWS_OLD = 0, /**< The copy already contains it. */
-  BT_NEWS_TAKEN,
-  BT_NEWS_GAP, /**< Changes between the copy and the update are missing; the copy is unchanged. */
-} bt_news_effect_t;
+  BT_UPDATE_OLD = 0, /**< The copy already contains it. */
+  BT_UPDATE_APPLIED,
+  BT_UPDATE_GAP, /**< Changes between the copy and the update are missing; the copy is unchanged. */
+} bt_update_effect_t;
 
 /** Reads the items. Called with the copy's lock held; must not keep pointers to them. */
-typedef void (*bt_look_at_items_t) (void *data, const bt_kv_range_t *items);
+typedef void (*bt_visit_items_t) (void *data, const bt_kv_range_t *items);
 
 bt_store_copy_t *bt_new_store_copy (bt_context_t *ctx);
 
@@ -47,16 +47,16 @@
 bool bt_replace_copy (bt_context_t *ctx, bt_store_copy_t *copy, bt_kv_range_t *range);
 
 /** Applies changes that directly follow the copy's revision. */
-void bt_change_copy (bt_context_t *ctx, bt_store_copy_t *copy, bt_kv_changes_t *changes);
+void bt_apply_changes_to_copy (bt_context_t *ctx, bt_store_copy_t *copy, bt_kv_changes_t *changes);
 
 /** Applies an update from another process. */
-bt_news_effect_t
-bt_add_news_to_copy (bt_context_t *ctx, bt_store_copy_t *copy, bt_store_news_t *news);
+bt_update_effect_t
+bt_apply_update_to_copy (bt_context_t *ctx, bt_store_copy_t *copy, bt_store_update_t *update);
 
-/** Calls @p look with the items, with the copy's lock held. */
-void bt_look_at_copy (bt_store_copy_t *copy, bt_look_at_items_t look, void *data);
+/** Calls @p visit with the items, with the copy's lock held. */
+void bt_visit_copy_items (bt_store_copy_t *copy, bt_visit_items_t visit, void *data);
 
 /** NULL is accepted. */
-void bt_drop_store_news (bt_context_t *ctx, bt_store_news_t *news);
+void bt_drop_store_update (bt_context_t *ctx, bt_store_update_t *update);
 
 #endif
--- a/source/gateway/store_follower.c
+++ b/source/gateway/store_follower.c
@@ -41,105 +41,105 @@
   pthread_t watcher;
   int32_t watch_ended; /* atomic: the watching thread must stop */
   /* Used by the watching thread only. */
-  int64_t read_ms;    /* time of the last full read */
-  bt_view_t *last;    /* summary of the last posted view, which shares its declarations */
-  bool follows_peer;  /* updates come from a peer, not from the store */
-  bool lost;          /* neither the store nor a peer answers */
-  bool store_failing; /* the last call to the store failed */
-  int64_t tried_ms;   /* time of the last call to the store */
+  int64_t read_ms;      /* time of the last full read */
+  bt_view_t *last_view; /* summary of the last posted view, which shares its declarations */
+  bool follows_peer;    /* updates come from a peer, not from the store */
+  bool lost;            /* neither the store nor a peer answers */
+  bool store_failing;   /* the last call to the store failed */
+  int64_t tried_ms;     /* time of the last call to the store */
   bt_feed_choice_t choice;
   bt_store_copy_t *copy;
   bt_peer_feed_t *feed;
 };
 
 /** A task that passes a view, or the state of the connection to the store, to the event loop. */
-typedef struct news
+typedef struct follower_event
 {
   bt_task_t task;
   bt_store_follower_t *follower;
   bt_view_t *view; /* NULL: the connection to the store changed */
-  bool there;      /* the store, or a peer in its place, answers */
-} news_t;
+  bool available;  /* the store, or a peer in its place, answers */
+} follower_event_t;
 
 static void
-run_news (bt_task_t *task)
+run_event (bt_task_t *task)
 {
-  news_t *news = (news_t *)task;
-  bt_store_listener_t *listener = news->follower->listener;
+  follower_event_t *event = (follower_event_t *)task;
+  bt_store_listener_t *listener = event->follower->listener;
 
-  if (news->view != NULL)
-    listener->on_view (listener, news->view);
+  if (event->view != NULL)
+    listener->on_view (listener, event->view);
   else
-    listener->on_store (listener, news->there);
-  bt_free (news->follower->ctx, news);
+    listener->on_store (listener, event->available);
+  bt_free (event->follower->ctx, event);
 }
 
 static void
-post_news (bt_store_follower_t *follower, bt_view_t *view, bool there)
+post_event (bt_store_follower_t *follower, bt_view_t *view, bool available)
 {
-  news_t *news = bt_calloc (follower->ctx, 1, sizeof *news);
+  follower_event_t *event = bt_calloc (follower->ctx, 1, sizeof *event);
 
-  news->task.run = run_news;
-  news->follower = follower;
-  news->view = view;
-  news->there = there;
-  if (bt_post_task (follower->loop, &news->task))
+  event->task.run = run_event;
+  event->follower = follower;
+  event->view = view;
+  event->available = available;
+  if (bt_post_task (follower->loop, &event->task))
     return;
   bt_log_event (follower->ctx, BT_LOG_WARNING, "news-dropped", "{s:b}", "view", view != NULL);
   bt_drop_view (follower->ctx, view);
-  bt_free (follower->ctx, news);
+  bt_free (follower->ctx, event);
 }
 
 static void
-note_store (bt_store_follower_t *follower, bool there, const bt_error_t *error)
+record_store_state (bt_store_follower_t *follower, bool available, const bt_error_t *error)
 {
-  if (follower->lost != there)
+  if (follower->lost != available)
     return;
-  follower->lost = !there;
-  bt_log_event (follower->ctx, there ? BT_LOG_INFO : BT_LOG_WARNING,
-                there ? "store-regained" : "store-lost", "{s:s}", "message",
-                there ? "" : error->message);
-  post_news (follower, NULL, there);
+  follower->lost = !available;
+  bt_log_event (follower->ctx, available ? BT_LOG_INFO : BT_LOG_WARNING,
+                available ? "store-regained" : "store-lost", "{s:s}", "message",
+                available ? "" : error->message);
+  post_event (follower, NULL, available);
 }
 
 /* Keeps a summary of a view. The next view is compared with it to detect what has not changed. */
 static void
-remember (bt_store_follower_t *follower, const bt_view_t *view)
+keep_summary (bt_store_follower_t *follower, const bt_view_t *view)
 {
-  bt_drop_view (follower->ctx, follower->last);
-  follower->last = bt_copy_view_memory (follower->ctx, view);
+  bt_drop_view (follower->ctx, follower->last_view);
+  follower->last_view = bt_copy_view_summary (follower->ctx, view);
 }
 
 /** Arguments and result of make_view. */
-typedef struct view_order
+typedef struct view_args
 {
   bt_store_follower_t *follower;
   int64_t read_ms;
   bt_view_t *view;
-} view_order_t;
+} view_args_t;
 
 static void
 make_view (void *data, const bt_kv_range_t *items)
 {
-  view_order_t *order = data;
-  bt_store_follower_t *follower = order->follower;
+  view_args_t *args = data;
+  bt_store_follower_t *follower = args->follower;
 
-  order->view = bt_new_view (follower->ctx, follower->options.platform, items, order->read_ms,
-                             follower->last);
+  args->view = bt_new_view (follower->ctx, follower->options.platform, items, args->read_ms,
+                            follower->last_view);
 }
 
 /* Posts a view of the copy's current items, and chooses the feed from it. */
 static void
-tell_items (bt_store_follower_t *follower, int64_t read_ms)
+post_current_view (bt_store_follower_t *follower, int64_t read_ms)
 {
   const bt_listed_entry_t *self = &follower->options.entry;
-  view_order_t order = { follower, read_ms, NULL };
+  view_args_t args = { follower, read_ms, NULL };
 
-  bt_look_at_copy (follower->copy, make_view, &order);
-  bt_choose_feed (follower->ctx, order.view->entries, order.view->entry_count, self->links,
+  bt_visit_copy_items (follower->copy, make_view, &args);
+  bt_choose_feed (follower->ctx, args.view->entries, args.view->entry_count, self->links,
                   self->failure_domain, &follower->choice);
-  remember (follower, order.view);
-  post_news (follower, order.view, true);
+  keep_summary (follower, args.view);
+  post_event (follower, args.view, true);
 }
 
 /* Reads all items of the store. */
@@ -163,14 +163,14 @@
   follower->read_ms = begun_ms;
   if (bt_get_copy_revision (follower->copy) > before)
     bt_send_peer_items (follower->feed, before);
-  tell_items (follower, begun_ms);
+  post_current_view (follower, begun_ms);
   return true;
 }
 
 /* Applies the changes that a watch reported, or reads all items if the watch may have missed some.
  */
 static bool
-take_changes (bt_store_follower_t *follower, bt_kv_changes_t *changes, bt_error_t *error)
+apply_changes (bt_store_follower_t *follower, bt_kv_changes_t *changes, bt_error_t *error)
 {
   int64_t before = bt_get_copy_revision (follower->copy);
 
@@ -179,8 +179,8 @@
   if (changes->written.count == 0 && changes->removed_count == 0)
     return true;
   bt_send_peer_changes (follower->feed, before, changes);
-  bt_change_copy (follower->ctx, follower->copy, changes);
-  tell_items (follower, bt_now_ms (follower->ctx));
+  bt_apply_changes_to_copy (follower->ctx, follower->copy, changes);
+  post_current_view (follower, bt_now_ms (follower->ctx));
   /* Changes often come in quick succession, and each watch is a call to the store. Waiting lets the
    * next answer report several of them. */
   bt_sleep_ms (GATHER_MS);
@@ -195,13 +195,13 @@
   bt_kv_changes_t changes = { 0 };
   bool done;
 
-  if (follower->last == NULL || bt_now_ms (follower->ctx) - follower->read_ms > FULL_READ_MS)
+  if (follower->last_view == NULL || bt_now_ms (follower->ctx) - follower->read_ms > FULL_READ_MS)
     return read_all (follower, error);
   done = bt_follow_kv (follower->ctx, follower->kv, "", bt_get_copy_revision (follower->copy) + 1,
                        wait_ms, &changes, error);
   if (done)
-    done = take_changes (follower, &changes, error);
-  else if (!follower->told)
+    done = apply_changes (follower, &changes, error);
+  else if (!follower->follows_peer)
     {
       bt_clear_error (error);
       done = read_all (follower, error);
@@ -212,7 +212,7 @@
 
 /* Makes one call to the store itself, and records whether it answers. */
 static void
-ask_store (bt_store_follower_t *follower, int64_t wait_ms)
+call_store (bt_store_follower_t *follower, int64_t wait_ms)
 {
   bt_error_t error = { 0 };
   bool done = follow_store (follower, wait_ms, &error);
@@ -220,32 +220,32 @@
   if (ck_pr_load_int (&follower->watch_ended) != 0)
     return;
   follower->tried_ms = bt_now_ms (follower->ctx);
-  follower->turned_away = !done;
-  bt_note_store_contact (follower->feed, done);
-  if (done || !follower->told)
-    note_store (follower, done, &error);
-  if (!done && !follower->told)
+  follower->store_failing = !done;
+  bt_set_store_reachable (follower->feed, done);
+  if (done || !follower->follows_peer)
+    record_store_state (follower, done, &error);
+  if (!done && !follower->follows_peer)
     bt_sleep_ms (FAILED_PAUSE_MS);
 }
 
 /* Applies the updates that the followed peer has sent. */
 static void
-take_peer_news (bt_store_follower_t *follower)
+apply_peer_updates (bt_store_follower_t *follower)
 {
-  bt_store_news_t *news;
+  bt_store_update_t *update;
   bool changed = false;
 
-  while ((news = bt_take_peer_news (follower->feed)) != NULL)
+  while ((update = bt_take_peer_update (follower->feed)) != NULL)
     {
-      bt_news_effect_t effect = bt_add_news_to_copy (follower->ctx, follower->copy, news);
+      bt_update_effect_t effect = bt_apply_update_to_copy (follower->ctx, follower->copy, update);
 
-      if (effect == BT_NEWS_GAP)
-        bt_ask_peer_again (follower->feed);
-      changed = changed || effect == BT_NEWS_TAKEN;
-      bt_drop_store_news (follower->ctx, news);
+      if (effect == BT_UPDATE_GAP)
+        bt_request_peer_resync (follower->feed);
+      changed = changed || effect == BT_UPDATE_APPLIED;
+      bt_drop_store_update (follower->ctx, update);
     }
   if (changed)
-    tell_items (follower, bt_now_ms (follower->ctx));
+    post_current_view (follower, bt_now_ms (follower->ctx));
 }
 
 /* Decides whether this entry follows a peer or reads the store. Only readers, and entries without a
@@ -254,26 +254,26 @@
 choose_source (bt_store_follower_t *follower)
 {
   const bt_feed_choice_t *choice = &follower->choice;
-  int32_t count = follower->turned_away ? choice->count : choice->usual;
-  bool told;
+  int32_t count = follower->store_failing ? choice->count : choice->primary_count;
+  bool follows_peer;
 
-  bt_tend_peer_feed (follower->feed, choice, count);
-  told = bt_is_peer_feed_good (follower->feed);
-  if (told == follower->told)
+  bt_maintain_peer_feed (follower->feed, choice, count);
+  follows_peer = bt_is_peer_feed_current (follower->feed);
+  if (follows_peer == follower->follows_peer)
     return;
-  follower->told = told;
+  follower->follows_peer = follows_peer;
   bt_log_event (follower->ctx, BT_LOG_INFO, "store-source", "{s:s, s:I}", "source",
-                told ? "peer" : "store", "revision",
+                follows_peer ? "peer" : "store", "revision",
                 (json_int_t)bt_get_copy_revision (follower->copy));
-  if (!told)
+  if (!follows_peer)
     return;
   /* Peers that follow this one must follow one that reads the store instead. */
-  bt_note_store_contact (follower->feed, false);
-  note_store (follower, true, NULL);
+  bt_set_store_reachable (follower->feed, false);
+  record_store_state (follower, true, NULL);
 }
 
 static bool
-is_store_due (const bt_store_follower_t *follower)
+is_store_retry_due (const bt_store_follower_t *follower)
 {
   return follower->choice.reader && bt_now_ms (follower->ctx) - follower->tried_ms > STORE_RETRY_MS;
 }
@@ -286,13 +286,13 @@
   while (ck_pr_load_int (&follower->watch_ended) == 0)
     {
       choose_source (follower);
-      take_peer_news (follower);
-      if (!follower->told)
-        ask_store (follower, follower->options.watch_ms);
-      else if (is_store_due (follower))
-        ask_store (follower, RETRY_WATCH_MS);
+      apply_peer_updates (follower);
+      if (!follower->follows_peer)
+        call_store (follower, follower->options.watch_ms);
+      else if (is_store_retry_due (follower))
+        call_store (follower, RETRY_WATCH_MS);
       else
-        bt_wait_peer_feed (follower->feed, PEER_WAIT_MS);
+        bt_wait_for_peer_update (follower->feed, PEER_WAIT_MS);
     }
   return NULL;
 }
@@ -380,6 +380,6 @@
   bt_drop_kv (ctx, follower->kv);
   bt_drop_peer_feed (ctx, follower->feed);
   bt_drop_store_copy (ctx, follower->copy);
-  bt_drop_view (ctx, follower->last);
+  bt_drop_view (ctx, follower->last_view);
   bt_free (ctx, follower);
 }
--- a/source/gateway/store_follower.h
+++ b/source/gateway/store_follower.h
@@ -17,7 +17,7 @@
   /** There is a new view, which the listener owns. */
   void (*on_view) (struct bt_store_listener *listener, bt_view_t *view);
   /** The store was lost (no call succeeds and no peer can be followed), or is available again. */
-  void (*on_store) (struct bt_store_listener *listener, bool there);
+  void (*on_store) (struct bt_store_listener *listener, bool available);
 } bt_store_listener_t;
 
 typedef struct bt_store_follower_options
--- a/source/gateway/told_entries.h
+++ b/source/gateway/told_entries.h
@@ -17,6 +17,6 @@
                                 const bt_listed_entry_t **entries,
                                 int32_t count,
                                 const char *domain,
-                                int32_t most);
+                                int32_t max);
 
 #endif
--- a/source/gateway/view.c
+++ b/source/gateway/view.c
@@ -94,25 +94,25 @@
 {
   const char *instance = pair->key + strlen (entry_prefix);
   json_t *object = json_loadb (pair->value, pair->value_bytes, 0, NULL);
-  bool good;
+  bool valid;
 
   memset (entry, 0, sizeof *entry);
-  good = instance[0] != '\0' && strlen (instance) < sizeof entry->identity.instance
-         && read_entry_object (object, entry);
+  valid = instance[0] != '\0' && strlen (instance) < sizeof entry->identity.instance
+          && read_entry_object (object, entry);
   bt_copy_name (entry->identity.instance, instance);
   json_decref (object);
-  return good;
+  return valid;
 }
 
 /* Returns true if the previous view skipped the same item at the same revision. Items come in the
  * same order each time, so the search starts at *@p at, behind the last match. */
 static bool
-is_told (const bt_view_t *before, const bt_kv_pair_t *pair, int32_t *at)
+was_skipped (const bt_view_t *previous, const bt_kv_pair_t *pair, int32_t *at)
 {
-  for (int32_t i = 0; before != NULL && i < before->foreign_count; i++)
+  for (int32_t i = 0; previous != NULL && i < previous->skipped_count; i++)
     {
-      int32_t index = (*at + i) % before->foreign_count;
-      const bt_foreign_item_t *item = &before->foreign[index];
+      int32_t index = (*at + i) % previous->skipped_count;
+      const bt_skipped_item_t *item = &previous->skipped[index];
 
       if (item->revision != pair->mod_revision || strcmp (item->key, pair->key) != 0)
         continue;
@@ -127,31 +127,31 @@
 {
   bt_context_t *ctx;
   bt_view_t *view;
-  const bt_view_t *before;
-  int32_t told_at;
+  const bt_view_t *previous;
+  int32_t search_from;
 } view_draft_t;
 
 /* Skips an invalid item. Logs it unless the previous view skipped it at the same revision: other
  * programs may write anything to the store at any rate, and each change creates a view, so the log
  * would be flooded. */
 static void
-leave_out (view_draft_t *draft, const bt_kv_pair_t *pair, const char *event, const char *message)
+skip_item (view_draft_t *draft, const bt_kv_pair_t *pair, const char *event, const char *message)
 {
   bt_view_t *view = draft->view;
-  bt_foreign_item_t *item;
+  bt_skipped_item_t *item;
 
-  view->foreign = bt_realloc (draft->ctx, view->foreign, (size_t)view->foreign_count + 1,
-                              sizeof *view->foreign);
-  item = &view->foreign[view->foreign_count++];
+  view->skipped = bt_realloc (draft->ctx, view->skipped, (size_t)view->skipped_count + 1,
+                              sizeof *view->skipped);
+  item = &view->skipped[view->skipped_count++];
   item->key = bt_strdup (draft->ctx, pair->key);
   item->revision = pair->mod_revision;
-  if (!is_told (draft->before, pair, &draft->told_at))
+  if (!was_skipped (draft->previous, pair, &draft->search_from))
     bt_log_event (draft->ctx, BT_LOG_WARNING, event, "{s:s, s:I, s:s}", "key", pair->key,
                   "revision", (json_int_t)pair->mod_revision, "message", message);
 }
 
 static void
-tell_findings (bt_context_t *ctx, const bt_findings_t *findings, int64_t revision)
+log_findings (bt_context_t *ctx, const bt_findings_t *findings, int64_t revision)
 {
   for (int32_t i = 0; i < bt_count_findings (findings); i++)
     {
@@ -169,7 +169,7 @@
 read_configuration (bt_context_t *ctx,
                     const bt_platform_t *platform,
                     const bt_kv_pair_t *pair,
-                    const bt_view_t *before,
+                    const bt_view_t *previous,
                     bt_view_t *view)
 {
   bt_findings_t *findings;
@@ -177,9 +177,9 @@
   view->configuration_revision = pair->mod_revision;
   view->configuration = bt_memdup (ctx, pair->value, pair->value_bytes);
   view->configuration_bytes = pair->value_bytes;
-  if (before != NULL && before->configuration_revision == pair->mod_revision)
+  if (previous != NULL && previous->configuration_revision == pair->mod_revision)
     {
-      view->declarations = bt_keep_declarations (before->declarations);
+      view->declarations = bt_keep_declarations (previous->declarations);
       return;
     }
   findings = bt_new_findings (ctx);
@@ -187,8 +187,8 @@
       platform->vtable->read_declarations (ctx, pair->value, pair->value_bytes, findings);
   if (view->declarations == NULL)
     {
-      tell_findings (ctx, findings, pair->mod_revision);
-      view->declarations = before == NULL ? NULL : bt_keep_declarations (before->declarations);
+      log_findings (ctx, findings, pair->mod_revision);
+      view->declarations = previous == NULL ? NULL : bt_keep_declarations (previous->declarations);
     }
   bt_drop_findings (ctx, findings);
 }
@@ -211,9 +211,9 @@
 
   if (!platform->vtable->read_endpoint (pair->key, pair->value, pair->value_bytes, endpoint,
                                         &error))
-    leave_out (draft, pair, "endpoint-unreadable", error.message);
+    skip_item (draft, pair, "endpoint-unreadable", error.message);
   else if (!is_app_declared (view, endpoint->app))
-    leave_out (draft, pair, "endpoint-unreadable",
+    skip_item (draft, pair, "endpoint-unreadable",
                "The configuration does not declare its service.");
   else
     {
@@ -230,7 +230,7 @@
 
   if (!bt_read_crash_key (pair->key, &listed.crash))
     {
-      leave_out (draft, pair, "crash-unreadable", "Its key does not denote a crash.");
+      skip_item (draft, pair, "crash-unreadable", "Its key does not denote a crash.");
       return;
     }
   view->crashes =
@@ -252,7 +252,7 @@
       if (read_entry (pair, &view->entries[view->entry_count]))
         view->entry_count++;
       else
-        leave_out (draft, pair, "entry-unreadable", "It does not describe an entry instance.");
+        skip_item (draft, pair, "entry-unreadable", "It does not describe an entry instance.");
     }
   else if (starts_with (pair->key, bt_crash_prefix))
     read_listed_crash (draft, pair);
@@ -298,10 +298,10 @@
              const bt_platform_t *platform,
              const bt_kv_range_t *range,
              int64_t read_ms,
-             const bt_view_t *before)
+             const bt_view_t *previous)
 {
   bt_view_t *view = bt_calloc (ctx, 1, sizeof *view);
-  view_draft_t draft = { ctx, view, before, 0 };
+  view_draft_t draft = { ctx, view, previous, 0 };
 
   view->revision = range->revision;
   view->read_ms = read_ms;
@@ -309,7 +309,7 @@
   view->entries = bt_calloc (ctx, (size_t)range->count, sizeof *view->entries);
   for (int32_t i = 0; i < range->count; i++)
     if (strcmp (range->pairs[i].key, platform->configuration_key) == 0)
-      read_configuration (ctx, platform, &range->pairs[i], before, view);
+      read_configuration (ctx, platform, &range->pairs[i], previous, view);
   for (int32_t i = 0; i < range->count; i++)
     read_item (&draft, platform, &range->pairs[i]);
   drop_replaced (view);
@@ -317,19 +317,19 @@
 }
 
 bt_view_t *
-bt_copy_view_memory (bt_context_t *ctx, const bt_view_t *view)
+bt_copy_view_summary (bt_context_t *ctx, const bt_view_t *view)
 {
   bt_view_t *copy = bt_calloc (ctx, 1, sizeof *copy);
 
   copy->revision = view->revision;
   copy->configuration_revision = view->configuration_revision;
   copy->declarations = bt_keep_declarations (view->declarations);
-  copy->foreign_count = view->foreign_count;
-  copy->foreign = bt_calloc (ctx, (size_t)view->foreign_count, sizeof *copy->foreign);
-  for (int32_t i = 0; i < view->foreign_count; i++)
+  copy->skipped_count = view->skipped_count;
+  copy->skipped = bt_calloc (ctx, (size_t)view->skipped_count, sizeof *copy->skipped);
+  for (int32_t i = 0; i < view->skipped_count; i++)
     {
-      copy->foreign[i].key = bt_strdup (ctx, view->foreign[i].key);
-      copy->foreign[i].revision = view->foreign[i].revision;
+      copy->skipped[i].key = bt_strdup (ctx, view->skipped[i].key);
+      copy->skipped[i].revision = view->skipped[i].revision;
     }
   return copy;
 }
@@ -344,8 +344,8 @@
   bt_free (ctx, view->endpoints);
   bt_free (ctx, view->entries);
   bt_free (ctx, view->crashes);
-  for (int32_t i = 0; i < view->foreign_count; i++)
-    bt_free (ctx, view->foreign[i].key);
-  bt_free (ctx, view->foreign);
+  for (int32_t i = 0; i < view->skipped_count; i++)
+    bt_free (ctx, view->skipped[i].key);
+  bt_free (ctx, view->skipped);
   bt_free (ctx, view);
 }
--- a/source/gateway/view.h
+++ b/source/gateway/view.h
@@ -21,11 +21,11 @@
 
 /** An item under the keys of endpoints, entry instances or crashes that is invalid or was skipped,
  * such as one that another program wrote. */
-typedef struct bt_foreign_item
+typedef struct bt_skipped_item
 {
   char *key;
   int64_t revision; /**< Revision of its last change. */
-} bt_foreign_item_t;
+} bt_skipped_item_t;
 
 typedef struct bt_view
 {
@@ -41,25 +41,26 @@
   int32_t entry_count;
   bt_listed_crash_t *crashes;
   int32_t crash_count;
-  bt_foreign_item_t *foreign; /**< Skipped items, in the order of the store's items. Each is
+  bt_skipped_item_t *skipped; /**< Skipped items, in the order of the store's items. Each is
                                  logged once per revision. */
-  int32_t foreign_count;
+  int32_t skipped_count;
   char leader[BT_NAME_BYTES]; /**< The instance that leads the rank groups; "": none. */
 } bt_view_t;
 
 /** Creates a view of all items of the store. Invalid items, and endpoints whose app is not
- * declared, are skipped and logged, unless the previous view @p before skipped the same item at the
- * same revision. The view shares the declarations of @p before if the configuration is unchanged,
- * and also if the new one is invalid: the last valid one stays in force. @p before may be NULL. */
+ * declared, are skipped and logged, unless the previous view @p previous skipped the same item at
+ * the same revision. The view shares the declarations of @p previous if the configuration is
+ * unchanged, and also if the new one is invalid: the last valid one stays in force. @p previous may
+ * be NULL. */
 bt_view_t *bt_new_view (bt_context_t *ctx,
                         const bt_platform_t *platform,
                         const bt_kv_range_t *range,
                         int64_t read_ms,
-                        const bt_view_t *before);
+                        const bt_view_t *previous);
 
 /** Copies what bt_new_view needs of the previous view: its declarations, their revision and the
  * skipped items. */
-bt_view_t *bt_copy_view_memory (bt_context_t *ctx, const bt_view_t *view);
+bt_view_t *bt_copy_view_summary (bt_context_t *ctx, const bt_view_t *view);
 
 /** NULL is accepted. */
 void bt_drop_view (bt_context_t *ctx, bt_view_t *view);
--- a/test/gateway/test_feed_choice.c
+++ b/test/gateway/test_feed_choice.c
@@ -7,13 +7,13 @@
 enum
 {
   DOMAINS = 3,
-  MOST = 700,
+  MAX_ENTRIES = 700,
 };
 
 static const char *const domains[DOMAINS] = { "hall-a", "hall-b", "hall-c" };
 
 static bt_context_t *ctx;
-static bt_listed_entry_t entries[MOST];
+static bt_listed_entry_t entries[MAX_ENTRIES];
 
 static void
 list_entries (int32_t count)
@@ -59,7 +59,7 @@
 /* Too many readers would overload the store: only few entries read it, however large the fleet, but
  * at least one in each failure domain. */
 static void
-test_few_read_the_store (void)
+test_few_entries_read_the_store (void)
 {
   const int32_t sizes[] = { 1, 2, 7, 41, 640 };
   const int32_t readers[] = { 1, 2, 3, 4, 54 };
@@ -74,7 +74,7 @@
 /* Updates would cross between failure domains without need: an entry must prefer a reader in its
  * own domain, and must never follow itself. */
 static void
-test_near_readers_come_first (void)
+test_readers_of_own_domain_come_first (void)
 {
   list_entries (41);
   for (int32_t i = 0; i < 41; i++)
@@ -93,8 +93,8 @@
 static void
 test_followers_are_spread (void)
 {
-  int32_t followers[MOST] = { 0 };
-  int32_t most = 0;
+  int32_t followers[MAX_ENTRIES] = { 0 };
+  int32_t max = 0;
 
   list_entries (640);
   for (int32_t i = 0; i < 640; i++)
@@ -103,9 +103,9 @@
 
       for (int32_t r = 0; r < 640 && !choice.reader; r++)
         if (strcmp (choice.candidates[0], entries[r].links) == 0)
-          most = ++followers[r] > most ? followers[r] : most;
+          max = ++followers[r] > max ? followers[r] : max;
     }
-  CU_ASSERT (most <= 3 * BT_ENTRIES_A_READER);
+  CU_ASSERT (max <= 3 * BT_ENTRIES_PER_READER);
 }
 
 /* An instance that starts is not listed yet: it must follow a peer and not choose itself as a
@@ -120,7 +120,7 @@
   bt_choose_feed (ctx, entries, 7, "10.9.9.9:7340", "hall-a", &choice);
   CU_ASSERT_FALSE (choice.reader);
   CU_ASSERT_EQUAL (choice.count, 3 + BT_STANDBY_READERS);
-  CU_ASSERT_EQUAL (choice.usual, choice.count);
+  CU_ASSERT_EQUAL (choice.primary_count, choice.count);
   bt_choose_feed (ctx, entries, 0, "10.9.9.9:7340", "hall-a", &choice);
   CU_ASSERT_EQUAL (choice.count, 0);
 }
@@ -131,7 +131,7 @@
 {
   bt_feed_choice_t choice = choose (count, first);
 
-  for (int32_t i = 0; i < choice.usual; i++)
+  for (int32_t i = 0; i < choice.primary_count; i++)
     if (strcmp (choice.candidates[i], entries[second].links) == 0)
       return true;
   return false;
@@ -150,7 +150,7 @@
 
 /* A reader whose calls to the store fail, even if it is the only one, must have peers to follow. */
 static void
-test_reader_has_somebody_to_turn_to (void)
+test_reader_has_peers_to_follow (void)
 {
   list_entries (4);
   for (int32_t i = 0; i < 4; i++)
@@ -158,12 +158,12 @@
       bt_feed_choice_t choice = choose (4, i);
 
       CU_ASSERT (choice.count >= 3);
-      CU_ASSERT_EQUAL (choice.usual == 0, choice.reader);
+      CU_ASSERT_EQUAL (choice.primary_count == 0, choice.reader);
     }
 }
 
 static void
-test_seeds_without_oneself (void)
+test_own_address_is_not_a_seed (void)
 {
   bt_feed_choice_t choice;
 
@@ -183,13 +183,13 @@
   ctx = bt_new_context ();
   CU_initialize_registry ();
   suite = CU_add_suite ("feed_choice", NULL, NULL);
-  CU_ADD_TEST (suite, test_few_read_the_store);
-  CU_ADD_TEST (suite, test_near_readers_come_first);
+  CU_ADD_TEST (suite, test_few_entries_read_the_store);
+  CU_ADD_TEST (suite, test_readers_of_own_domain_come_first);
   CU_ADD_TEST (suite, test_followers_are_spread);
   CU_ADD_TEST (suite, test_unlisted_entry_follows);
   CU_ADD_TEST (suite, test_no_two_follow_each_other);
-  CU_ADD_TEST (suite, test_reader_has_somebody_to_turn_to);
-  CU_ADD_TEST (suite, test_seeds_without_oneself);
+  CU_ADD_TEST (suite, test_reader_has_peers_to_follow);
+  CU_ADD_TEST (suite, test_own_address_is_not_a_seed);
   CU_basic_set_mode (CU_BRM_VERBOSE);
   CU_basic_run_tests ();
   failures = CU_get_number_of_failures ();
--- a/test/gateway/test_group_control.c
+++ b/test/gateway/test_group_control.c
@@ -19,7 +19,7 @@
 
 static bt_context_t *ctx;
 static atomic_int renewed;
-static atomic_int given_back;
+static atomic_int released;
 
 static bool
 read_nothing (bt_context_t *unused,
@@ -86,7 +86,7 @@
   (void)kv;
   (void)error;
   if (lease == LEASE)
-    atomic_fetch_add (&given_back, 1);
+    atomic_fetch_add (&released, 1);
   return true;
 }
 
@@ -129,7 +129,7 @@
 static const bt_platform_t platform = { &platform_vtable };
 
 /** A run of the group control on an event loop, until its condition or a time limit is reached. */
-typedef struct course
+typedef struct control_run
 {
   bt_turn_t turn;
   bt_timer_t timer;
@@ -139,12 +139,12 @@
   bt_view_t view;
   int64_t end_ms;
   bool leaving;
-  int32_t seen; /* number of lease releases at the last check */
-} course_t;
+  int32_t release_count; /* number of lease releases at the last check */
+} control_run_t;
 
 /* Runs an instance's group control until a callback stops the loop. */
 static void
-run_course (course_t *course)
+run_control (control_run_t *control_run)
 {
   bt_error_t error = { 0 };
   bt_agent_links_options_t links = { .instance = "one", .incarnation = 1, .secret = "s" };
@@ -158,93 +158,96 @@
                                          .steady_ms = STEADY_MS };
 
   atomic_store (&renewed, 0);
-  atomic_store (&given_back, 0);
-  course->loop = bt_new_event_loop (ctx, &error);
-  course->links = bt_new_agent_links (ctx, course->loop, &links, &error);
-  course->control = bt_new_group_control (ctx, course->loop, course->links, &options);
-  course->end_ms = bt_now_ms (ctx) + LIMIT_MS;
-  bt_set_group_view (course->control, &course->view, false);
-  bt_add_turn (course->loop, &course->turn);
-  course->timer.on_time (&course->timer);
-  bt_run_event_loop (course->loop);
-  bt_drop_group_control (ctx, course->control);
-  bt_drop_agent_links (ctx, course->links);
-  bt_clear_timer (course->loop, &course->timer);
-  bt_drop_event_loop (ctx, course->loop);
+  atomic_store (&released, 0);
+  control_run->loop = bt_new_event_loop (ctx, &error);
+  control_run->links = bt_new_agent_links (ctx, control_run->loop, &links, &error);
+  control_run->control =
+      bt_new_group_control (ctx, control_run->loop, control_run->links, &options);
+  control_run->end_ms = bt_now_ms (ctx) + LIMIT_MS;
+  bt_set_group_view (control_run->control, &control_run->view, false);
+  bt_add_turn (control_run->loop, &control_run->turn);
+  control_run->timer.on_time (&control_run->timer);
+  bt_run_event_loop (control_run->loop);
+  bt_drop_group_control (ctx, control_run->control);
+  bt_drop_agent_links (ctx, control_run->links);
+  bt_clear_timer (control_run->loop, &control_run->timer);
+  bt_drop_event_loop (ctx, control_run->loop);
 }
 
 static void
-look_again (bt_timer_t *timer)
+rearm_timer (bt_timer_t *timer)
 {
-  course_t *course = (course_t *)((char *)timer - offsetof (course_t, timer));
+  control_run_t *control_run = (control_run_t *)((char *)timer - offsetof (control_run_t, timer));
 
-  bt_set_timer (course->loop, timer, bt_now_ms (ctx) + PLAN_MS);
+  bt_set_timer (control_run->loop, timer, bt_now_ms (ctx) + PLAN_MS);
 }
 
 static void
-take_turn (bt_turn_t *turn)
+check_leaving (bt_turn_t *turn)
 {
-  course_t *course = (course_t *)turn;
+  control_run_t *control_run = (control_run_t *)turn;
 
-  bt_run_group_control (course->control);
-  if (!course->leaving && atomic_load (&renewed) > 1)
+  bt_run_group_control (control_run->control);
+  if (!control_run->leaving && atomic_load (&renewed) > 1)
     {
-      course->leaving = true;
-      bt_set_group_view (course->control, &course->view, true);
+      control_run->leaving = true;
+      bt_set_group_view (control_run->control, &control_run->view, true);
     }
-  if (atomic_load (&given_back) > 0 || bt_now_ms (ctx) >= course->end_ms)
-    bt_stop_event_loop (course->loop);
+  if (atomic_load (&released) > 0 || bt_now_ms (ctx) >= control_run->end_ms)
+    bt_stop_event_loop (control_run->loop);
 }
 
 /* A leader with a long lease shuts down. No other instance could lead until the lease expires, so
  * the leader must release it as soon as no group has a round in progress. */
 static void
-test_leaving_leader_gives_the_lease_back (void)
+test_leaving_leader_releases_the_lease (void)
 {
-  course_t course = { .turn = { .on_turn = take_turn }, .timer = { .on_time = look_again } };
+  control_run_t control_run = { .turn = { .on_turn = check_leaving },
+                                .timer = { .on_time = rearm_timer } };
 
-  run_course (&course);
-  CU_ASSERT_TRUE (course.leaving);
-  CU_ASSERT_EQUAL (atomic_load (&given_back), 1);
+  run_control (&control_run);
+  CU_ASSERT_TRUE (control_run.leaving);
+  CU_ASSERT_EQUAL (atomic_load (&released), 1);
 }
 
 /* Applies the view repeatedly, as in a fleet in which something always changes. */
 static void
-look_at_outdone (bt_timer_t *timer)
+apply_view_again (bt_timer_t *timer)
 {
-  course_t *course = (course_t *)((char *)timer - offsetof (course_t, timer));
+  control_run_t *control_run = (control_run_t *)((char *)timer - offsetof (control_run_t, timer));
 
-  bt_set_group_view (course->control, &course->view, false);
-  bt_set_timer (course->loop, timer, bt_now_ms (ctx) + PLAN_MS);
+  bt_set_group_view (control_run->control, &control_run->view, false);
+  bt_set_timer (control_run->loop, timer, bt_now_ms (ctx) + PLAN_MS);
 }
 
 static void
-run_outdone (bt_turn_t *turn)
+check_handover (bt_turn_t *turn)
 {
-  course_t *course = (course_t *)turn;
-  int32_t seen = atomic_load (&given_back);
+  control_run_t *control_run = (control_run_t *)turn;
+  int32_t release_count = atomic_load (&released);
 
-  bt_run_group_control (course->control);
-  if (seen > course->seen)
+  bt_run_group_control (control_run->control);
+  if (release_count > control_run->release_count)
     atomic_store (&renewed, 0);
-  course->seen = seen;
-  if ((seen > 0 && atomic_load (&renewed) > RENEWALS) || bt_now_ms (ctx) >= course->end_ms)
-    bt_stop_event_loop (course->loop);
+  control_run->release_count = release_count;
+  if ((release_count > 0 && atomic_load (&renewed) > RENEWALS)
+      || bt_now_ms (ctx) >= control_run->end_ms)
+    bt_stop_event_loop (control_run->loop);
 }
 
 /* Callers of a small instance wait while it plans for all groups. It must hand over to an instance
  * with twice its processor share that has been listed for a while. If the other instance does not
  * take the lease, the small one must keep leading, and must not hand over again and again. */
 static void
-test_leader_hands_over_once_to_one_with_room (void)
+test_leader_hands_over_once_to_larger_instance (void)
 {
   bt_listed_entry_t other = { .identity = { .instance = "two" }, .cores = 0.5 };
-  course_t course = { .turn = { .on_turn = run_outdone },
-                      .timer = { .on_time = look_at_outdone },
-                      .view = { .entries = &other, .entry_count = 1 } };
+  control_run_t control_run = { .turn = { .on_turn = check_handover },
+                                .timer = { .on_time = apply_view_again },
+                                .view = { .entries = &other, .entry_count = 1 } };
 
-  run_course (&course);
-  CU_ASSERT_EQUAL (atomic_load (&given_back), 1);
+  run_control (&control_run);
+  CU_ASSERT_EQUAL (atomic_load (&released), 1);
   CU_ASSERT (atomic_load (&renewed) > RENEWALS);
 }
 
@@ -257,8 +260,8 @@
   ctx = bt_new_context ();
   CU_initialize_registry ();
   suite = CU_add_suite ("group_control", NULL, NULL);
-  CU_ADD_TEST (suite, test_leaving_leader_gives_the_lease_back);
-  CU_ADD_TEST (suite, test_leader_hands_over_once_to_one_with_room);
+  CU_ADD_TEST (suite, test_leaving_leader_releases_the_lease);
+  CU_ADD_TEST (suite, test_leader_hands_over_once_to_larger_instance);
   CU_basic_set_mode (CU_BRM_VERBOSE);
   CU_basic_run_tests ();
   failures = CU_get_number_of_failures ();
--- a/test/gateway/test_group_load.c
+++ b/test/gateway/test_group_load.c
@@ -41,7 +41,7 @@
 }
 
 static bt_group_result_t
-play (const bt_group_load_t *load, const bt_group_way_t *way)
+run_load (const bt_group_load_t *load, const bt_group_way_t *way)
 {
   bt_context_t *ctx = bt_new_context ();
   bt_group_result_t sum = { 0 };
@@ -62,7 +62,7 @@
 }
 
 static double
-get_in_time (const bt_group_result_t *result)
+get_in_time_share (const bt_group_result_t *result)
 {
   return (double)result->in_time / result->asked;
 }
@@ -83,9 +83,9 @@
   slow.maps.keep_past = true;
   slow.maps.planner = bt_paying_map_planner ();
   slow.maps.copy_weight = 20;
-  with = play (&load, &shipped);
-  without = play (&load, &slow);
-  CU_ASSERT_TRUE (get_in_time (&with) > get_in_time (&without) + 0.1);
+  with = run_load (&load, &shipped);
+  without = run_load (&load, &slow);
+  CU_ASSERT_TRUE (get_in_time_share (&with) > get_in_time_share (&without) + 0.1);
 }
 
 /* Streams paused too long when demand jumped every 2.3 s, about the duration of a stream: the group
@@ -114,27 +114,27 @@
   load.shift = BT_SHIFT_JUMP;
   load.shift_share = 0.65;
   load.shift_ms = 2300;
-  result = play (&load, &shipped);
+  result = run_load (&load, &shipped);
   CU_ASSERT_TRUE (result.in_time > result.late);
 }
 
 /* The handling of jumps must not delay requests under constant demand: hardly any is late. */
 static void
-test_calm_demand_is_served (void)
+test_constant_demand_is_served_in_time (void)
 {
   bt_group_load_t load = get_steep_load ();
   bt_group_way_t shipped = bt_get_shipped_group_way ();
   bt_group_result_t result;
 
   load.shift = BT_SHIFT_NONE;
-  result = play (&load, &shipped);
-  CU_ASSERT_TRUE (get_in_time (&result) > 0.9);
+  result = run_load (&load, &shipped);
+  CU_ASSERT_TRUE (get_in_time_share (&result) > 0.9);
 }
 
 /* A group that is half empty must not copy experts all the time: the copies take link bandwidth and
  * callers gain nothing. */
 static void
-test_a_group_with_room_copies_less (void)
+test_half_empty_group_copies_less (void)
 {
   bt_group_load_t load = get_steep_load ();
   bt_group_way_t shipped = bt_get_shipped_group_way ();
@@ -145,10 +145,10 @@
   load.shift = BT_SHIFT_JUMP;
   load.requests_a_s = 15;
   cheap.maps.copy_weight = 5;
-  by_need = play (&load, &shipped);
-  always = play (&load, &cheap);
+  by_need = run_load (&load, &shipped);
+  always = run_load (&load, &cheap);
   CU_ASSERT_TRUE (by_need.copies < always.copies * 3 / 4);
-  CU_ASSERT_TRUE (get_in_time (&by_need) > get_in_time (&always) - 0.02);
+  CU_ASSERT_TRUE (get_in_time_share (&by_need) > get_in_time_share (&always) - 0.02);
 }
 
 int
@@ -161,8 +161,8 @@
   suite = CU_add_suite ("group load", NULL, NULL);
   CU_ADD_TEST (suite, test_jumps_are_followed_in_time);
   CU_ADD_TEST (suite, test_frequent_jumps_make_few_late);
-  CU_ADD_TEST (suite, test_calm_demand_is_served);
-  CU_ADD_TEST (suite, test_a_group_with_room_copies_less);
+  CU_ADD_TEST (suite, test_constant_demand_is_served_in_time);
+  CU_ADD_TEST (suite, test_half_empty_group_copies_less);
   CU_basic_set_mode (CU_BRM_VERBOSE);
   CU_basic_run_tests ();
   failed = CU_get_number_of_failures ();
--- a/test/gateway/test_store_copy.c
+++ b/test/gateway/test_store_copy.c
@@ -46,44 +46,44 @@
 }
 
 /** A key to look up in a copy, and the value found. */
-typedef struct look
+typedef struct lookup
 {
   const char *key;
   char value[16];
-} look_t;
+} lookup_t;
 
 static void
-look_for (void *data, const bt_kv_range_t *items)
+find_value (void *data, const bt_kv_range_t *items)
 {
-  look_t *look = data;
+  lookup_t *lookup = data;
 
   for (int32_t i = 0; i < items->count; i++)
-    if (strcmp (items->pairs[i].key, look->key) == 0)
-      strncpy (look->value, items->pairs[i].value, sizeof look->value - 1);
+    if (strcmp (items->pairs[i].key, lookup->key) == 0)
+      strncpy (lookup->value, items->pairs[i].value, sizeof lookup->value - 1);
 }
 
 static void
-expect (bt_store_copy_t *copy, const char *key, const char *value)
+check_value (bt_store_copy_t *copy, const char *key, const char *value)
 {
-  look_t look = { key, "" };
+  lookup_t lookup = { key, "" };
 
-  bt_look_at_copy (copy, look_for, &look);
-  CU_ASSERT_STRING_EQUAL (look.value, value);
+  bt_visit_copy_items (copy, find_value, &lookup);
+  CU_ASSERT_STRING_EQUAL (lookup.value, value);
 }
 
 /* Passes changes through an encoded message, as a peer does, and applies them to a copy. */
-static bt_news_effect_t
-pass_changes (bt_store_copy_t *copy, int64_t from_revision, bt_kv_changes_t *changes)
+static bt_update_effect_t
+send_changes (bt_store_copy_t *copy, int64_t from_revision, bt_kv_changes_t *changes)
 {
   Bilberry__StoreItems message;
-  bt_store_news_t *news;
-  bt_news_effect_t effect;
+  bt_store_update_t *update;
+  bt_update_effect_t effect;
 
   bt_write_changes_message (ctx, from_revision, changes, &message);
-  news = bt_read_items_message (ctx, &message);
+  update = bt_read_items_message (ctx, &message);
   bt_clear_items_message (ctx, &message);
-  effect = bt_add_news_to_copy (ctx, copy, news);
-  bt_drop_store_news (ctx, news);
+  effect = bt_apply_update_to_copy (ctx, copy, update);
+  bt_drop_store_update (ctx, update);
   bt_drop_kv_changes (ctx, changes);
   return effect;
 }
@@ -102,8 +102,8 @@
   bt_drop_kv_range (ctx, &older);
   add_pair (&changes.written, "a", "older", 5);
   changes.written.revision = 9;
-  CU_ASSERT_EQUAL (pass_changes (copy, 4, &changes), BT_NEWS_OLD);
-  expect (copy, "a", "old");
+  CU_ASSERT_EQUAL (send_changes (copy, 4, &changes), BT_UPDATE_OLD);
+  check_value (copy, "a", "old");
   CU_ASSERT_EQUAL (bt_get_copy_revision (copy), 9);
   bt_drop_store_copy (ctx, copy);
 }
@@ -118,14 +118,14 @@
 
   add_pair (&changes.written, "a", "new", 12);
   changes.written.revision = 12;
-  CU_ASSERT_EQUAL (pass_changes (copy, 11, &changes), BT_NEWS_GAP);
-  expect (copy, "a", "old");
+  CU_ASSERT_EQUAL (send_changes (copy, 11, &changes), BT_UPDATE_GAP);
+  check_value (copy, "a", "old");
   CU_ASSERT_EQUAL (bt_get_copy_revision (copy), 9);
   bt_drop_store_copy (ctx, copy);
 }
 
 static void
-test_changes_are_taken (void)
+test_changes_are_applied (void)
 {
   bt_store_copy_t *copy = make_copy (9);
   bt_kv_changes_t changes = { 0 };
@@ -134,57 +134,57 @@
   add_pair (&changes.written, "c", "new", 11);
   add_removal (&changes, "b", 12);
   changes.written.revision = 12;
-  CU_ASSERT_EQUAL (pass_changes (copy, 8, &changes), BT_NEWS_TAKEN);
-  expect (copy, "a", "new");
-  expect (copy, "b", "");
-  expect (copy, "c", "new");
+  CU_ASSERT_EQUAL (send_changes (copy, 8, &changes), BT_UPDATE_APPLIED);
+  check_value (copy, "a", "new");
+  check_value (copy, "b", "");
+  check_value (copy, "c", "new");
   CU_ASSERT_EQUAL (bt_get_copy_revision (copy), 12);
   bt_drop_store_copy (ctx, copy);
 }
 
 /** Arguments and result of send_items. */
-typedef struct carrier
+typedef struct transfer
 {
   bt_store_copy_t *target;
   int64_t from_revision;
-  bt_news_effect_t effect;
-} carrier_t;
+  bt_update_effect_t effect;
+} transfer_t;
 
 static void
-carry (void *data, const bt_kv_range_t *items)
+send_items (void *data, const bt_kv_range_t *items)
 {
-  carrier_t *carrier = data;
+  transfer_t *transfer = data;
   Bilberry__StoreItems message;
-  bt_store_news_t *news;
+  bt_store_update_t *update;
 
-  bt_write_items_message (ctx, carrier->from_revision, items, &message);
-  news = bt_read_items_message (ctx, &message);
+  bt_write_items_message (ctx, transfer->from_revision, items, &message);
+  update = bt_read_items_message (ctx, &message);
   bt_clear_items_message (ctx, &message);
-  carrier->effect = bt_add_news_to_copy (ctx, carrier->target, news);
-  bt_drop_store_news (ctx, news);
+  transfer->effect = bt_apply_update_to_copy (ctx, transfer->target, update);
+  bt_drop_store_update (ctx, update);
 }
 
 /* A key was removed while an entry was disconnected. The peer that it asks afterwards sends the
  * items that changed since, which do not include removals. The entry must detect the removal from
  * the list of present keys. */
 static void
-test_removed_key_is_told_by_absence (void)
+test_removed_key_is_detected_by_absence (void)
 {
   bt_store_copy_t *behind = make_copy (9);
   bt_store_copy_t *peer = make_copy (9);
   bt_kv_changes_t changes = { 0 };
-  carrier_t carrier = { behind, 9, BT_NEWS_OLD };
+  transfer_t transfer = { behind, 9, BT_UPDATE_OLD };
 
   add_removal (&changes, "b", 10);
   add_pair (&changes.written, "c", "new", 11);
   changes.written.revision = 11;
-  bt_change_copy (ctx, peer, &changes);
+  bt_apply_changes_to_copy (ctx, peer, &changes);
   bt_drop_kv_changes (ctx, &changes);
-  bt_look_at_copy (peer, carry, &carrier);
-  CU_ASSERT_EQUAL (carrier.effect, BT_NEWS_TAKEN);
-  expect (behind, "a", "old");
-  expect (behind, "b", "");
-  expect (behind, "c", "new");
+  bt_visit_copy_items (peer, send_items, &transfer);
+  CU_ASSERT_EQUAL (transfer.effect, BT_UPDATE_APPLIED);
+  check_value (behind, "a", "old");
+  check_value (behind, "b", "");
+  check_value (behind, "c", "new");
   CU_ASSERT_EQUAL (bt_get_copy_revision (behind), 11);
   bt_drop_store_copy (ctx, behind);
   bt_drop_store_copy (ctx, peer);
@@ -201,8 +201,8 @@
   suite = CU_add_suite ("store_copy", NULL, NULL);
   CU_ADD_TEST (suite, test_revision_never_goes_back);
   CU_ADD_TEST (suite, test_gap_changes_nothing);
-  CU_ADD_TEST (suite, test_changes_are_taken);
-  CU_ADD_TEST (suite, test_removed_key_is_told_by_absence);
+  CU_ADD_TEST (suite, test_changes_are_applied);
+  CU_ADD_TEST (suite, test_removed_key_is_detected_by_absence);
   CU_basic_set_mode (CU_BRM_VERBOSE);
   CU_basic_run_tests ();
   failures = CU_get_number_of_failures ();
--- a/test/gateway/test_view.c
+++ b/test/gateway/test_view.c
@@ -18,7 +18,7 @@
 static bt_kv_range_t range;
 
 static void
-start (void)
+reset_items (void)
 {
   memset (pairs, 0, sizeof pairs);
   memset (&range, 0, sizeof range);
@@ -82,7 +82,7 @@
 {
   bt_view_t *view;
 
-  start ();
+  reset_items ();
   add_endpoint ("i-1", "127.0.0.1:1", 300, 10);
   add_endpoint ("i-2", "127.0.0.1:1", 200, 20);
   view = make_view (NULL);
@@ -98,14 +98,14 @@
 {
   bt_view_t *view;
 
-  start ();
+  reset_items ();
   add_endpoint ("i-1", "127.0.0.1:1", 0, 10);
   add_endpoint ("i-2", "127.0.0.1:1", 0, 20);
   view = make_view (NULL);
   CU_ASSERT_EQUAL (view->endpoint_count, 1);
   CU_ASSERT_TRUE (is_listed (view, "i-2"));
   bt_drop_view (ctx, view);
-  start ();
+  reset_items ();
   add_endpoint ("i-1", "127.0.0.1:1", 100, 30);
   add_endpoint ("i-2", "127.0.0.1:1", 0, 20);
   add_endpoint ("i-3", "127.0.0.1:1", 200, 10);
@@ -127,7 +127,7 @@
 {
   bt_view_t *view;
 
-  start ();
+  reset_items ();
   add_endpoint ("i-1", "127.0.0.1:1", 300, 10);
   add_item ("servers/i-2",
             "{\"service\":\"other\",\"address\":\"127.0.0.1:1\",\"zone\":\"a\",\"version\":\"v1\","
@@ -139,7 +139,7 @@
   CU_ASSERT_PTR_NOT_NULL (view->declarations);
   CU_ASSERT_EQUAL (view->endpoint_count, 1);
   CU_ASSERT_TRUE (is_listed (view, "i-1"));
-  CU_ASSERT_EQUAL (view->foreign_count, 2);
+  CU_ASSERT_EQUAL (view->skipped_count, 2);
   bt_drop_view (ctx, view);
 }
 
@@ -159,9 +159,9 @@
 /* Creates views in sequence while standard output is captured, and counts the log lines about
  * invalid endpoints. */
 static int32_t
-count_told (int32_t views, int64_t revision_step)
+count_logged (int32_t views, int64_t revision_step)
 {
-  bt_view_t *memory = NULL;
+  bt_view_t *summary = NULL;
   FILE *log = tmpfile ();
   int saved = dup (STDOUT_FILENO);
   int32_t lines;
@@ -170,16 +170,16 @@
   dup2 (fileno (log), STDOUT_FILENO);
   for (int32_t i = 0; i < views; i++)
     {
-      bt_view_t *view = make_view (memory);
+      bt_view_t *view = make_view (summary);
 
-      bt_drop_view (ctx, memory);
-      memory = bt_copy_view_memory (ctx, view);
+      bt_drop_view (ctx, summary);
+      summary = bt_copy_view_summary (ctx, view);
       bt_drop_view (ctx, view);
       pairs[1].mod_revision += revision_step;
     }
   dup2 (saved, STDOUT_FILENO);
   close (saved);
-  bt_drop_view (ctx, memory);
+  bt_drop_view (ctx, summary);
   lines = count_lines (log);
   fclose (log);
   return lines;
@@ -188,21 +188,21 @@
 /* Invalid items stay in the store, and each change there creates a view. The log must hold one line
  * for each revision of an invalid item, not one for each view. */
 static void
-test_foreign_entry_is_told_of_once_a_revision (void)
+test_invalid_item_is_logged_once_per_revision (void)
 {
-  start ();
+  reset_items ();
   add_item ("servers/x-1", "[]", 10);
   add_item ("servers/x-2", "\xff", 20);
   add_endpoint ("i-1", "127.0.0.1:1", 300, 30);
   add_item ("servers/x-3", "{}", 40);
-  CU_ASSERT_EQUAL (count_told (10, 0), 3);
-  CU_ASSERT_EQUAL (count_told (10, 1), 12);
+  CU_ASSERT_EQUAL (count_logged (10, 0), 3);
+  CU_ASSERT_EQUAL (count_logged (10, 1), 12);
 }
 
 /* Another program writes invalid values under the keys of the entry instances and the leader.
  * Without a check they would be advertised to callers as addresses, or connected to. */
 static void
-test_scribbled_entry_names_no_instance (void)
+test_invalid_entry_values_are_skipped (void)
 {
   static const char *const others[] = {
     "",
@@ -228,7 +228,7 @@
 
   for (size_t i = 0; i < sizeof others / sizeof others[0]; i++)
     {
-      start ();
+      reset_items ();
       add_item ("bilberrytray/entries/other", others[i], 10);
       add_item ("bilberrytray/entries/own", text, 20);
       add_item ("bilberrytray/maps/groups/controller",
@@ -246,11 +246,11 @@
 
 /* Other programs may write items under the prefix of crashes. Invalid ones must be skipped. */
 static void
-test_crashes_are_read_and_others_left_out (void)
+test_valid_crashes_are_read_and_others_skipped (void)
 {
   bt_view_t *view;
 
-  start ();
+  reset_items ();
   add_item ("bilberrytray/crashes/a7a7a7a7a7a7a7a7a7a7a7a7a7a7a7a7/17/i-1", "gateway-0", 10);
   add_item ("bilberrytray/crashes/of another kind", "", 20);
   add_item ("bilberrytray/crashes/a7a7a7a7a7a7a7a7a7a7a7a7a7a7a7a7/18/i-2", "", 30);
@@ -259,7 +259,7 @@
   CU_ASSERT_EQUAL (view->crashes[0].revision, 10);
   CU_ASSERT_STRING_EQUAL (view->crashes[1].crash.endpoint.instance, "i-2");
   CU_ASSERT_EQUAL (view->crashes[1].crash.endpoint.incarnation, 18);
-  CU_ASSERT_EQUAL (view->foreign_count, 1);
+  CU_ASSERT_EQUAL (view->skipped_count, 1);
   bt_drop_view (ctx, view);
 }
 
@@ -275,9 +275,9 @@
   CU_ADD_TEST (suite, test_latest_start_holds_the_address);
   CU_ADD_TEST (suite, test_without_starts_the_last_entry_holds_the_address);
   CU_ADD_TEST (suite, test_app_that_is_not_declared_holds_no_address);
-  CU_ADD_TEST (suite, test_foreign_entry_is_told_of_once_a_revision);
-  CU_ADD_TEST (suite, test_scribbled_entry_names_no_instance);
-  CU_ADD_TEST (suite, test_crashes_are_read_and_others_left_out);
+  CU_ADD_TEST (suite, test_invalid_item_is_logged_once_per_revision);
+  CU_ADD_TEST (suite, test_invalid_entry_values_are_skipped);
+  CU_ADD_TEST (suite, test_valid_crashes_are_read_and_others_skipped);
   CU_basic_set_mode (CU_BRM_VERBOSE);
   CU_basic_run_tests ();
   failures = CU_get_number_of_failures ();
