--- a/include/bilberrytray/gateway/platform.h
+++ b/include/bilberrytray/gateway/platform.h
@@ -96,14 +96,14 @@
 
   /** Decodes a header of a caller's request. Returns true if the header is forwarded unchanged to
    * the endpoint. */
-  bool (*read_call_header) (const char *name, const char *value, bt_call_facts_t *facts);
+  bool (*read_call_header) (const char *name, const char *value, bt_call_facts_t *info);
 
   /** Passes the headers that the gateway itself sets on an attempt to @p put. */
-  void (*write_send_headers) (const bt_send_facts_t *facts, bt_put_header_t put, void *data);
+  void (*write_send_headers) (const bt_send_facts_t *info, bt_put_header_t put, void *data);
 
   /** Decodes a header of an endpoint's answer. Returns true if the header is forwarded unchanged to
    * the caller. */
-  bool (*read_answer_header) (const char *name, const char *value, bt_answer_facts_t *facts);
+  bool (*read_answer_header) (const char *name, const char *value, bt_answer_facts_t *info);
 
   /** Reads the failure domain of a caller from the target of its request for addresses; "" if the
    * target does not name one. */
--- a/source/gateway/agent_links.h
+++ b/source/gateway/agent_links.h
@@ -63,8 +63,7 @@
                              const bt_declarations_t *declarations);
 
 /** Passes each update that arrived since the last call to @p handle_update. Returns false if there
- * is none.
- */
+ * are none. */
 bool bt_collect_agent_updates (bt_agent_links_t *links,
                                bt_agent_update_handler_t handle_update,
                                void *data);
@@ -87,7 +86,7 @@
                           const bt_group_order_t *order,
                           const bt_map_bytes_t *map);
 
-/** Returns n such that every nth report of a rank carries its picks, in a group of @p ranks ranks.
+/** Returns n such that every nth report of a rank carries its picks, in a group of so many ranks.
  */
 int32_t bt_get_picks_every (int32_t ranks);
 
--- a/source/gateway/crash_control.c
+++ b/source/gateway/crash_control.c
@@ -15,7 +15,7 @@
 
 struct bt_crash_control
 {
-  bt_endpoint_end_handler_t end_handler; /* must be first: take_end casts it */
+  bt_endpoint_end_handler_t end_handler; /* must be first: handle_end casts it */
   bt_port_probes_handler_t probe_handler;
   bt_context_t *ctx;
   bt_event_loop_t *loop;
--- a/source/gateway/group_control.c
+++ b/source/gateway/group_control.c
@@ -54,7 +54,7 @@
   bool leaving;
   bool handed_over;        /* the lease that was granted last is being released */
   bool handover_failed;    /* the lease was released, but no other instance took it */
-  int64_t better_since_ms; /* an instance with more processor share is listed since; 0: none */
+  int64_t better_since_ms; /* since when an instance with more processor share is listed */
   group_row_t *groups;
   bt_timer_t timer;
 };
@@ -253,8 +253,7 @@
 }
 
 /* Returns true if an instance with more processor share has been listed long enough to take over.
- * If no instance took the lease when it was released, such an instance is listed but not running.
- */
+ * If no instance took the lease when it was released, such an instance is listed but not active. */
 static bool
 is_better_instance_stable (const bt_group_control_t *control, int64_t now_ms)
 {
@@ -277,9 +276,9 @@
   return true;
 }
 
-/* Stops leading and releases the lease at once, after the rounds in progress have ended. If the
- * lease expired instead, a group that this leader holds would stand still until the next leader
- * takes over. */
+/* Stops leading and releases the lease at once; called when no round prevents it. If the lease
+ * expired instead, a group that this leader holds would stand still until the next leader takes
+ * over. */
 static void
 hand_over (bt_group_control_t *control)
 {
--- a/source/gateway/group_control.h
+++ b/source/gateway/group_control.h
@@ -44,8 +44,7 @@
                              const bt_agent_update_t *update,
                              int32_t pass_limit);
 
-/** Returns true while this instance leads and a round is in progress or a group's state is not
- * known.
+/** Returns true while this instance leads and a round is in progress or a group's state is unknown.
  */
 bool bt_is_group_round_open (const bt_group_control_t *control);
 
--- a/source/gateway/group_maps.c
+++ b/source/gateway/group_maps.c
@@ -36,7 +36,7 @@
   bt_map_shape_t shape;
   bt_moving_load_t *load;
   double picks;  /* number of picks recorded since the last plan */
-  double *paces; /* by rank */
+  double *paces; /* slowdown of each rank */
   bt_copy_price_t *price;
   bt_expert_map_t *current; /* the map in use; NULL while unknown */
   int64_t epoch;
--- a/source/gateway/group_maps.h
+++ b/source/gateway/group_maps.h
@@ -40,9 +40,8 @@
  * only. */
 void bt_forget_group_map (bt_context_t *ctx, bt_group_maps_t *maps);
 
-/** Records the experts that one rank holds (set << 16 | expert) in the map of this epoch and
- * version.
- */
+/** Records the experts (set << 16 | expert) that one rank holds in the map of this epoch and
+ * version. */
 void bt_take_rank_places (bt_context_t *ctx,
                           bt_group_maps_t *maps,
                           int32_t rank,
@@ -76,8 +75,7 @@
 
 /** Plans the next map from the one in use. Returns NULL if no new map is worth its cost; else the
  * map is valid until the next call of this function, of bt_use_next_group_map or of
- * bt_forget_group_map.
- * @p skew receives the predicted skew before and after the change. */
+ * bt_forget_group_map. @p skew receives the predicted skew before and after the change. */
 const bt_expert_map_t *
 bt_plan_next_group_map (bt_context_t *ctx, bt_group_maps_t *maps, int64_t now_ms, double skew[2]);
 
--- a/source/gateway/led_group.c
+++ b/source/gateway/led_group.c
@@ -10,10 +10,8 @@
 enum
 {
   /* Number of steps from the orders of a leader's first round to the change of the map. If the
-   * group reaches the held step before it is released, the pause delays every running stream. The
-   * orders take longer with more ranks, so there is one more step for each RANKS_PER_HOLD_STEP
-   * ranks.
-   */
+     group reaches the held step before it is released, the pause delays every running stream. The
+     orders take longer with more ranks, so RANKS_PER_HOLD_STEP more ranks add a step. */
   MIN_HOLD_STEPS = 3,
   MAX_HOLD_STEPS = 5,
   RANKS_PER_HOLD_STEP = 32,
@@ -184,8 +182,7 @@
       bt_request_agent_places (group->links, group->endpoints[rank]);
 }
 
-/* Schedules a plan at once after demand has jumped: until then the busiest rank stays overloaded.
- */
+/* Schedules a plan at once after demand has jumped: until then the busiest rank stays the same. */
 static void
 schedule_plan_after_jump (bt_managed_group_t *group, int64_t now_ms)
 {
--- a/source/gateway/led_group.h
+++ b/source/gateway/led_group.h
@@ -51,8 +51,7 @@
 /** Returns true while a round is in progress, or the orders of an abandoned one are undone. */
 bool bt_has_managed_group_orders (const bt_managed_group_t *group);
 
-/** Plans, and sends the orders that are due. Returns false if an engine reported a newer leader.
- */
+/** Plans, and sends the orders that are due. Returns false if an engine reported a newer leader. */
 bool bt_run_managed_group (bt_managed_group_t *group, const bt_group_run_params_t *params);
 
 #endif
--- a/source/gateway/left_peers.h
+++ b/source/gateway/left_peers.h
@@ -21,8 +21,8 @@
 } bt_departed_peers_t;
 
 /** Records and logs that the peer of a link shuts down. */
-void bt_record_departed_peer (bt_context_t *ctx, bt_departed_peers_t *left, const bt_link_t *link);
+void bt_record_departed_peer (bt_context_t *ctx, bt_departed_peers_t *peers, const bt_link_t *link);
 
-bool bt_is_departed_peer (const bt_departed_peers_t *left, uint64_t incarnation);
+bool bt_is_departed_peer (const bt_departed_peers_t *peers, uint64_t incarnation);
 
 #endif
--- a/source/gateway/peer_feed.c
+++ b/source/gateway/peer_feed.c
@@ -59,7 +59,7 @@
   int64_t peer_revision;
   bt_store_update_t *first_update;
   bt_store_update_t **update_tail;
-  bt_departed_peers_t left;
+  bt_departed_peers_t departed;
 };
 
 static void
@@ -225,7 +225,7 @@
 
   pthread_mutex_lock (&feed->lock);
   if (frame->body_case == BILBERRY__FRAME__BODY_STORE_STATE && frame->store_state->leaving)
-    bt_record_departed_peer (feed->ctx, &feed->left, link);
+    bt_record_departed_peer (feed->ctx, &feed->departed, link);
   if (frame->body_case == BILBERRY__FRAME__BODY_STORE_FOLLOW)
     handle_follow (feed, link, frame->store_follow->revision);
   else if (link == feed->link && frame->body_case == BILBERRY__FRAME__BODY_STORE_ITEMS)
@@ -479,7 +479,7 @@
   bool left;
 
   pthread_mutex_lock (&feed->lock);
-  left = bt_is_departed_peer (&feed->left, incarnation);
+  left = bt_is_departed_peer (&feed->departed, incarnation);
   pthread_mutex_unlock (&feed->lock);
   return left;
 }
--- a/source/gateway/peer_feed.h
+++ b/source/gateway/peer_feed.h
@@ -66,9 +66,7 @@
  * from any thread. */
 void bt_retire_peer_feed (bt_peer_feed_t *feed);
 
-/** Returns true if the peer of this incarnation announced its shutdown. May be called from any
- * thread.
- */
+/** Returns true if the peer of this incarnation announced its shutdown. From any thread. */
 bool bt_has_peer_left (bt_peer_feed_t *feed, uint64_t incarnation);
 
 #endif
--- a/source/gateway/store_follower.c
+++ b/source/gateway/store_follower.c
@@ -41,7 +41,7 @@
   pthread_t watcher;
   int32_t watch_ended; /* atomic: the watching thread must stop */
   /* Used by the watching thread only. */
-  int64_t read_ms;      /* time of the last full read */
+  int64_t read_ms;      /* start of the last full read */
   bt_view_t *last_view; /* summary of the last posted view, which shares its declarations */
   bool follows_peer;    /* updates come from a peer, not from the store */
   bool lost;            /* neither the store nor a peer answers */
@@ -167,8 +167,7 @@
   return true;
 }
 
-/* Applies the changes that a watch reported, or reads all items if the watch may have missed some.
- */
+/* Applies the changes that a watch reported. Reads all items if the watch may have missed some. */
 static bool
 apply_changes (bt_store_follower_t *follower, bt_kv_changes_t *changes, bt_error_t *error)
 {
--- a/source/gateway/view.c
+++ b/source/gateway/view.c
@@ -52,11 +52,11 @@
 
 /* Copies a string member of an object. Returns false if it is missing or does not fit. */
 static bool
-copy_field (char *target, size_t room, const json_t *object, const char *field)
+copy_field (char *target, size_t capacity, const json_t *object, const char *field)
 {
   const char *text = json_string_value (json_object_get (object, field));
 
-  if (text == NULL || strlen (text) >= room)
+  if (text == NULL || strlen (text) >= capacity)
     return false;
   memcpy (target, text, strlen (text) + 1);
   return true;
@@ -273,8 +273,7 @@
 }
 
 /* Returns true if a later start is listed at the same address. After a power loss, the item of the
- * old process stays until its lease expires, seconds after the next start at its address is listed.
- */
+ * old process stays until its lease expires, seconds after the next start is listed. */
 static bool
 is_replaced (const bt_view_t *view, const bt_listed_endpoint_t *endpoint)
 {
--- a/source/gateway/view.h
+++ b/source/gateway/view.h
@@ -19,8 +19,8 @@
   double cores; /**< Its processor share, in cores; 0: unknown. */
 } bt_listed_entry_t;
 
-/** An item under the keys of endpoints, entry instances or crashes that is invalid or was skipped,
- * such as one that another program wrote. */
+/** An item under the keys of endpoints, entry instances or crashes that was skipped, because it is
+ * invalid or its app is not declared. Other programs may write such items. */
 typedef struct bt_skipped_item
 {
   char *key;
--- a/test/gateway/test_crash_items.c
+++ b/test/gateway/test_crash_items.c
@@ -44,7 +44,7 @@
 
 /* Other programs may write items under the prefix. Invalid keys must be rejected. */
 static void
-test_other_keys_name_no_crash (void)
+test_invalid_keys_are_rejected (void)
 {
   static const char *const tails[] = { "",
                                        "x",
@@ -97,7 +97,7 @@
   CU_initialize_registry ();
   suite = CU_add_suite ("crash_items", NULL, NULL);
   CU_ADD_TEST (suite, test_key_is_read_back);
-  CU_ADD_TEST (suite, test_other_keys_name_no_crash);
+  CU_ADD_TEST (suite, test_invalid_keys_are_rejected);
   CU_ADD_TEST (suite, test_changed_keys_are_read_safely);
   CU_basic_set_mode (CU_BRM_VERBOSE);
   CU_basic_run_tests ();
--- a/test/gateway/test_feed_choice.c
+++ b/test/gateway/test_feed_choice.c
@@ -108,9 +108,7 @@
   CU_ASSERT (max <= 3 * BT_ENTRIES_PER_READER);
 }
 
-/* An instance that starts is not listed yet: it must follow a peer and not choose itself as a
- * reader.
- */
+/* An instance that starts is not listed yet. It must follow a peer, not choose itself as reader. */
 static void
 test_unlisted_entry_follows (void)
 {
--- a/test/gateway/test_view.c
+++ b/test/gateway/test_view.c
@@ -94,7 +94,7 @@
 /* Endpoints of older software do not state their start time. Then the item that was created last
  * must keep the address, and a mix of both must never remove all endpoints at an address. */
 static void
-test_without_starts_the_last_entry_holds_the_address (void)
+test_without_start_times_the_last_created_item_holds_the_address (void)
 {
   bt_view_t *view;
 
@@ -123,7 +123,7 @@
  * would be treated as an earlier process there and get no requests. The configuration may be the
  * last item. */
 static void
-test_app_that_is_not_declared_holds_no_address (void)
+test_undeclared_app_holds_no_address (void)
 {
   bt_view_t *view;
 
@@ -273,8 +273,8 @@
   CU_initialize_registry ();
   suite = CU_add_suite ("view", NULL, NULL);
   CU_ADD_TEST (suite, test_latest_start_holds_the_address);
-  CU_ADD_TEST (suite, test_without_starts_the_last_entry_holds_the_address);
-  CU_ADD_TEST (suite, test_app_that_is_not_declared_holds_no_address);
+  CU_ADD_TEST (suite, test_without_start_times_the_last_created_item_holds_the_address);
+  CU_ADD_TEST (suite, test_undeclared_app_holds_no_address);
   CU_ADD_TEST (suite, test_invalid_item_is_logged_once_per_revision);
   CU_ADD_TEST (suite, test_invalid_entry_values_are_skipped);
   CU_ADD_TEST (suite, test_valid_crashes_are_read_and_others_skipped);
