--- a/include/bilberrytray/requests/arbiter.h
+++ b/include/bilberrytray/requests/arbiter.h
@@ -2,9 +2,10 @@
 #define BILBERRYTRAY_REQUESTS_ARBITER_H
 
 /** @file
- * The agent's side of the request protocol. For keys whose ticket names this agent as home it
- * decides who may run them; for keys granted to it, and for its own, it starts at most one run and
- * remembers it. Messages and a time go in, actions come out. Not thread-safe.
+ * The agent's side of the request protocol. For keys whose ticket names this agent as home, it
+ * decides which agent may run them. For those keys and for keys granted to it, it starts at most
+ * one run each and records it. The functions take messages and the current time and return actions;
+ * they do no I/O. Not thread-safe.
  */
 
 #include "bilberrytray/base/context.h"
@@ -15,35 +16,37 @@
 typedef struct bt_arbiter_options
 {
   bt_identity_t self;
-  uint64_t max_records;       /**< Keys of runs and grants kept at once. */
-  uint64_t tombstone_reserve; /**< Tombstones that fit beside them; then one floor stands for
-                                   all, which refuses other unused tickets too. */
-  uint64_t max_bytes;         /**< Of records and kept answers. */
+  uint64_t max_records;       /**< Most keys of runs and grants on record at once. */
+  uint64_t tombstone_reserve; /**< Most tombstones beyond max_records. Once these are used up, an
+                                   expiry floor replaces further tombstones; it also refuses
+                                   other unused tickets that expire no later. */
+  uint64_t max_bytes;         /**< Most bytes of records and kept answers together. */
   uint64_t max_answer_bytes;  /**< A longer answer is not kept. */
-  int64_t keep_answer_ms;     /**< How long a whole answer is kept after its end. */
-  int64_t grace_ms;           /**< How long a record outlives its ticket. */
+  int64_t keep_answer_ms;     /**< How long a complete answer is kept after its end. */
+  int64_t grace_ms;           /**< How long a record is kept after its expiry. */
   int64_t ticket_life_ms;     /**< Longest life of tickets and grants; see bt_can_arbiter_exit. */
-  int64_t retry_after_ms;     /**< Told to those refused for want of room. */
-  uint32_t max_resumes;       /**< How often a silent engine stream is resumed. */
+  int64_t retry_after_ms;     /**< Sent with refusals because the records are full. */
+  uint32_t max_resumes;       /**< How often the stream of one run is resumed. */
   uint32_t faults;            /**< Bits of bt_fault_t; 0 outside tests. */
 } bt_arbiter_options_t;
 
 typedef enum bt_arbiter_action_kind
 {
-  BT_ARBITER_START_RUN = 0, /**< run, dispatch: hand it to the endpoint. */
-  BT_ARBITER_RESUME_RUN,    /**< run, from_bytes: fetch the rest of the stream from there. */
-  BT_ARBITER_CANCEL_RUN,    /**< run: stop it, its events are no longer wanted. */
-  BT_ARBITER_REPLY,         /**< reply: send it over the link that its path names. */
+  BT_ARBITER_START_RUN = 0, /**< run, dispatch: send the request to the endpoint. */
+  BT_ARBITER_RESUME_RUN,    /**< run, from_bytes: fetch the stream from this offset on. */
+  BT_ARBITER_CANCEL_RUN,    /**< run: stop it; its later events are ignored. */
+  BT_ARBITER_REPLY,         /**< reply: send it over the link in reply.path. */
 } bt_arbiter_action_kind_t;
 
-/** One thing to do. */
+/** One action that the I/O layer of the agent carries out. */
 typedef struct bt_arbiter_action
 {
   bt_arbiter_action_kind_t kind;
   uint64_t run;
-  const bt_dispatch_t *dispatch; /**< The one handed in, so valid as long as that. */
+  const bt_dispatch_t *dispatch; /**< The pointer passed to bt_handle_dispatch. */
   uint64_t from_bytes;
-  bt_reply_t reply; /**< Its data is valid until the arbiter or the event's memory is used again. */
+  bt_reply_t reply; /**< Its data is valid until the next call for this arbiter, and not longer
+                         than the data of the event that was passed in. */
 } bt_arbiter_action_t;
 
 /** A growable list of actions; zero-initialise it. */
@@ -51,22 +54,22 @@
 {
   bt_arbiter_action_t *items;
   int32_t count;
-  int32_t room;
+  int32_t capacity;
 } bt_arbiter_actions_t;
 
-/** Frees what a list holds. */
+/** Frees the items of a list and empties it. */
 void bt_free_arbiter_actions (bt_context_t *ctx, bt_arbiter_actions_t *actions);
 
 typedef enum bt_run_event_kind
 {
   BT_RUN_HEAD = 0, /**< status, data */
   BT_RUN_PIECE,    /**< offset_bytes, data */
-  BT_RUN_END,      /**< total_bytes: the endpoint marked the end of its answer. */
+  BT_RUN_END,      /**< total_bytes: the endpoint sent the end of its answer. */
   BT_RUN_FAILED,   /**< may_have_run, reason, retry_after_ms */
-  BT_RUN_SILENT,   /**< The stream went silent or was cut; the endpoint may go on. */
+  BT_RUN_SILENT,   /**< resumable: the stream stalled or broke; the run may still go on. */
 } bt_run_event_kind_t;
 
-/** What the endpoint did with a run. */
+/** An event of a run, reported by the endpoint's connection. */
 typedef struct bt_run_event
 {
   bt_run_event_kind_t kind;
@@ -74,10 +77,10 @@
   uint32_t status;
   const void *data;
   uint64_t data_bytes;
-  uint64_t offset_bytes; /**< Where the piece begins in the answer's body. */
+  uint64_t offset_bytes; /**< Offset of the piece in the answer's body. */
   uint64_t total_bytes;
   bool may_have_run; /**< False only when the endpoint can't have seen the request. */
-  bool resumable;    /**< The endpoint can give the rest of a silent stream. */
+  bool resumable;    /**< The endpoint can send the rest of an interrupted stream. */
   bt_reason_t reason;
   int64_t retry_after_ms;
 } bt_run_event_t;
@@ -85,64 +88,71 @@
 bt_arbiter_t *bt_new_arbiter (bt_context_t *ctx, const bt_arbiter_options_t *options);
 void bt_drop_arbiter (bt_context_t *ctx, bt_arbiter_t *arbiter);
 
+/** Handles a request to run: starts it, attaches the caller to its run or kept answer, or refuses.
+ */
 void bt_handle_dispatch (bt_context_t *ctx,
                          bt_arbiter_t *arbiter,
                          const bt_dispatch_t *dispatch,
                          int64_t now_ms,
                          bt_arbiter_actions_t *actions);
 
+/** Handles a request to its home agent: grants the key to the proposed agent, replies with the
+ * current grant, or refuses. */
 void bt_handle_grant_request (bt_context_t *ctx,
                               bt_arbiter_t *arbiter,
                               const bt_grant_request_t *request,
                               int64_t now_ms,
                               bt_arbiter_actions_t *actions);
 
+/** Handles a request never to run a key. The reply confirms the tombstone or says why there is
+ * none. */
 void bt_handle_tombstone_request (bt_context_t *ctx,
                                   bt_arbiter_t *arbiter,
                                   const bt_tombstone_request_t *request,
                                   int64_t now_ms,
                                   bt_arbiter_actions_t *actions);
 
-/** The caller behind @p path is gone. A run with a key goes on; one without is cancelled. */
+/** Handles that the caller of @p path has disconnected. A run with a key goes on, one without a key
+ * is cancelled. */
 void bt_handle_cancel (bt_context_t *ctx,
                        bt_arbiter_t *arbiter,
                        const bt_reply_path_t *path,
                        bt_arbiter_actions_t *actions);
 
-/** A connection is dead: like a cancel of all that came over it. */
+/** Handles the loss of a connection: cancels every call that came over it, as bt_handle_cancel. */
 void bt_handle_link_down (bt_context_t *ctx,
                           bt_arbiter_t *arbiter,
                           uint64_t link,
                           bt_arbiter_actions_t *actions);
 
-/** Events of runs that ended or were cancelled are ignored. */
+/** Handles an event of a run. Events of runs that ended or were cancelled are ignored. */
 void bt_handle_run_event (bt_context_t *ctx,
                           bt_arbiter_t *arbiter,
                           const bt_run_event_t *event,
                           int64_t now_ms,
                           bt_arbiter_actions_t *actions);
 
-/** From now on no run is started here; keys are still arbitrated and runs finish. */
+/** Stops starting new runs. Keys are still arbitrated, and current runs finish. */
 void bt_set_arbiter_leaving (bt_arbiter_t *arbiter, int64_t now_ms);
 
-/** Forgets what has expired; call it several times a second. */
+/** Removes expired records and answers. Call it several times a second. */
 void bt_tick_arbiter (bt_context_t *ctx, bt_arbiter_t *arbiter, int64_t now_ms);
 
-/** True when a leaving agent is needed no more: nothing runs, and every ticket that can name it has
- * expired. Entries mint by a reading that this agent sent before it was leaving, so all expire
- * within ticket_life_ms of the leaving. */
+/** True when a leaving agent can exit: nothing runs, and every ticket that names it has expired.
+ * Entry instances compute the expiry of new tickets from a clock reading that this agent sent
+ * before it began to leave, so all tickets expire within ticket_life_ms of that moment. */
 bool bt_can_arbiter_exit (const bt_arbiter_t *arbiter, int64_t now_ms);
 
-/** How many runs the endpoint has now. */
+/** Number of current runs on the endpoint. */
 uint64_t bt_count_arbiter_runs (const bt_arbiter_t *arbiter);
 
-/** How many keys are on record. */
+/** Number of keys on record, including tombstones. */
 uint64_t bt_count_arbiter_records (const bt_arbiter_t *arbiter);
 
 /** Bytes of records and kept answers. */
 uint64_t bt_count_arbiter_bytes (const bt_arbiter_t *arbiter);
 
-/** How many further keys would be taken. */
+/** Number of further keys that would be accepted. */
 uint64_t bt_count_arbiter_room (const bt_arbiter_t *arbiter);
 
 #endif
--- a/include/bilberrytray/requests/delivery.h
+++ b/include/bilberrytray/requests/delivery.h
@@ -2,10 +2,11 @@
 #define BILBERRYTRAY_REQUESTS_DELIVERY_H
 
 /** @file
- * The entry's side of one request: from its admission to its final answer. Events and a time go in,
- * actions come out. Not thread-safe.
+ * The entry instance's side of one request, from its admission to its final answer: a state machine
+ * that takes events and the current time and returns actions; it does no I/O. Not thread-safe.
  *
- * After each BT_DELIVERY_SEND_* action the shell reports BT_DELIVERY_SENT before any other event.
+ * After each of BT_DELIVERY_SEND_DISPATCH, _GRANT and _TOMBSTONE, the I/O layer reports
+ * BT_DELIVERY_SENT before any other event.
  */
 
 #include "bilberrytray/base/context.h"
@@ -15,34 +16,36 @@
 
 typedef struct bt_delivery_options
 {
-  uint64_t call;      /**< Unique in this entry's incarnation. */
-  bool has_ticket;    /**< The request has a key. */
+  uint64_t call;      /**< Call id, unique in this entry instance's incarnation. */
+  bool has_ticket;    /**< The request has an idempotency key. */
   bt_ticket_t ticket; /**< Its verified ticket. */
   bool idempotent;    /**< May be run more than once. */
   uint64_t body_digest;
-  int64_t deadline_ms;        /**< In this process's clock, as all times here. */
-  int64_t give_up_margin_ms;  /**< What is left of the deadline when not-run must be proved. */
-  int64_t reply_limit_ms;     /**< How long one message may stay unanswered. */
-  int64_t reconnect_limit_ms; /**< How long a lost agent is waited for. */
-  int64_t retry_after_ms;     /**< Told where the refusal itself names no time. */
-  int32_t max_resends;        /**< Unanswered messages sent again, and streams resumed. */
-  int32_t max_hops;           /**< Grants of other entries that are followed. */
+  int64_t deadline_ms;        /**< In this process's clock, like all times here. */
+  int64_t give_up_margin_ms;  /**< Time before the deadline at which the delivery of an
+                                   unanswered request gives up and asks for tombstones. */
+  int64_t reply_limit_ms;     /**< Time limit for the reply to one message. */
+  int64_t reconnect_limit_ms; /**< Time limit for reconnecting to a lost agent. */
+  int64_t retry_after_ms;     /**< Sent where the refusal itself has no retry time. */
+  int32_t max_resends;        /**< Most resends of one message, including those that resume a
+                                   stream. */
+  int32_t max_hops;           /**< Most grants followed, to limit redirects between agents. */
   uint32_t faults;            /**< Bits of bt_fault_t; 0 outside tests. */
 } bt_delivery_options_t;
 
 typedef enum bt_delivery_event_kind
 {
   BT_DELIVERY_SUBMIT = 0,   /**< The request was admitted. */
-  BT_DELIVERY_CANDIDATE,    /**< identity, grant_expires_ms: the policy's choice. */
+  BT_DELIVERY_CANDIDATE,    /**< identity, grant_expires_ms: the agent that the policy chose. */
   BT_DELIVERY_NO_CANDIDATE, /**< reason, retry_after_ms */
-  BT_DELIVERY_BUDGET,       /**< allowed: whether a further attempt may be made. */
-  BT_DELIVERY_SENT,         /**< link: the connection used, 0 when there is none. */
+  BT_DELIVERY_BUDGET,       /**< allowed, retry_after_ms: whether a further attempt may be made. */
+  BT_DELIVERY_SENT,         /**< link: the connection used, 0 when there was none. */
   BT_DELIVERY_LINK_UP,      /**< identity: a connection to it is open. */
   BT_DELIVERY_LINK_DOWN,    /**< link */
-  BT_DELIVERY_REPLY,        /**< reply: from an agent. */
+  BT_DELIVERY_REPLY,        /**< reply: received from an agent. */
   BT_DELIVERY_CALLER_GONE,  /**< The caller closed its connection. */
-  BT_DELIVERY_REFUSE,       /**< reason, retry_after_ms: the shell gives the request up. */
-  BT_DELIVERY_TICK,         /**< Time has passed. */
+  BT_DELIVERY_REFUSE,       /**< reason, retry_after_ms: the I/O layer gives the request up. */
+  BT_DELIVERY_TICK,         /**< Periodic check of deadlines and limits. */
 } bt_delivery_event_kind_t;
 
 typedef struct bt_delivery_event
@@ -60,16 +63,19 @@
 typedef enum bt_delivery_action_kind
 {
   BT_DELIVERY_ASK_CANDIDATE = 0, /**< excluded, excluded_count: agents already tried. */
-  BT_DELIVERY_ASK_BUDGET,        /**< retry: why a further attempt is wanted. */
-  BT_DELIVERY_SEND_DISPATCH,     /**< identity, dispatch (path.link, deadline left to the shell) */
-  BT_DELIVERY_SEND_GRANT,        /**< identity, grant_request */
-  BT_DELIVERY_SEND_TOMBSTONE,    /**< identity, tombstone_request */
-  BT_DELIVERY_SEND_CANCEL,       /**< path */
-  BT_DELIVERY_GIVE_HEAD,         /**< status, data */
-  BT_DELIVERY_GIVE_PIECE,        /**< data */
-  BT_DELIVERY_FINISH_WHOLE,      /**< The answer is complete. */
-  BT_DELIVERY_FINISH_REFUSED,    /**< reason, outcome, retry_after_ms; nothing was given before. */
-  BT_DELIVERY_CUT,               /**< reason: an answer was begun and must be visibly cut. */
+  BT_DELIVERY_ASK_BUDGET,        /**< retry: why a further attempt is needed. */
+  BT_DELIVERY_SEND_DISPATCH, /**< identity, dispatch; the I/O layer sets path.link and the deadline.
+                              */
+  BT_DELIVERY_SEND_GRANT,    /**< identity, grant_request */
+  BT_DELIVERY_SEND_TOMBSTONE, /**< identity, tombstone_request */
+  BT_DELIVERY_SEND_CANCEL,    /**< path */
+  BT_DELIVERY_GIVE_HEAD,      /**< status, data */
+  BT_DELIVERY_GIVE_PIECE,     /**< data */
+  BT_DELIVERY_FINISH_WHOLE,   /**< The answer is complete. */
+  BT_DELIVERY_FINISH_REFUSED, /**< reason, outcome, retry_after_ms; no part of an answer was
+                                 forwarded. */
+  BT_DELIVERY_CUT, /**< reason: the answer has begun; abort it so that the caller sees that
+                       it is incomplete. */
 } bt_delivery_action_kind_t;
 
 typedef struct bt_delivery_action
@@ -87,7 +93,8 @@
   bt_outcome_t outcome;
   int64_t retry_after_ms;
   uint32_t status;
-  const void *data; /**< Valid until the delivery or the event's memory is used again. */
+  const void *data; /**< Valid until the next call for this delivery, and not longer than the
+                         data of the event. */
   uint64_t data_bytes;
 } bt_delivery_action_t;
 
@@ -96,30 +103,30 @@
 {
   bt_delivery_action_t *items;
   int32_t count;
-  int32_t room;
+  int32_t capacity;
 } bt_delivery_actions_t;
 
-/** Frees what a list holds. */
+/** Frees the items of a list and empties it. */
 void bt_free_delivery_actions (bt_context_t *ctx, bt_delivery_actions_t *actions);
 
 bt_delivery_t *bt_new_delivery (bt_context_t *ctx, const bt_delivery_options_t *options);
 void bt_drop_delivery (bt_context_t *ctx, bt_delivery_t *delivery);
 
-/** Takes one event. Events that belong to earlier attempts, other links or other calls, and all
- * events after the final answer, are ignored. */
+/** Handles one event. Replies to earlier attempts, on other links or for other calls are ignored,
+ * and so are all events after the final action. */
 void bt_step_delivery (bt_context_t *ctx,
                        bt_delivery_t *delivery,
                        const bt_delivery_event_t *event,
                        int64_t now_ms,
                        bt_delivery_actions_t *actions);
 
-/** True after one of the three final actions. */
+/** True after one of the three final actions (complete answer, refusal, aborted answer). */
 bool bt_is_delivery_finished (const bt_delivery_t *delivery);
 
 /** The agents already tried; valid until the next event. */
 const bt_identity_t *bt_get_delivery_excluded (const bt_delivery_t *delivery, int32_t *count);
 
-/** True when a link to the instance of @p identity is waited for. */
+/** True when the delivery waits for a link to the instance of @p identity. */
 bool bt_is_delivery_waiting_for (const bt_delivery_t *delivery, const bt_identity_t *identity);
 
 #endif
--- a/include/bilberrytray/requests/event_stream.h
+++ b/include/bilberrytray/requests/event_stream.h
@@ -2,8 +2,8 @@
 #define BILBERRYTRAY_REQUESTS_EVENT_STREAM_H
 
 /** @file
- * Server-sent events, split at their ends, so that a caller gets whole events only and a stream
- * that was cut goes on behind the last one it got.
+ * Splits a stream of server-sent events into complete events, so that a caller gets only complete
+ * events and an interrupted stream can be resumed after the last one delivered.
  */
 
 #include <stdbool.h>
@@ -12,22 +12,23 @@
 
 enum
 {
-  /** Longest id of an event, with its zero, in bytes. */
+  /** Size of the longest event id with its terminating zero, in bytes. */
   BT_EVENT_ID_BYTES = 64,
 };
 
-/** What has been delivered of a stream. Zero-initialise it. */
+/** Progress of a stream: what was delivered so far. Zero-initialise it. */
 typedef struct bt_event_stream
 {
-  char last_id[BT_EVENT_ID_BYTES]; /**< Of the last whole event; "" before the first. */
-  int64_t last_number;             /**< The same as a number; -1: it is none. */
-  int64_t events;                  /**< Whole events so far. */
-  bool gap; /**< An id did not follow the one before: the stream is not whole. */
+  char last_id[BT_EVENT_ID_BYTES]; /**< Id of the last delivered event; "" before the first. */
+  int64_t last_number;             /**< last_id as a number; -1 when it is not a number. */
+  int64_t events;                  /**< Number of delivered events that have an id. */
+  bool gap; /**< An event's id did not follow the previous one, so the stream is broken. */
 } bt_event_stream_t;
 
-/** Bytes at the start of @p data that are whole events and follow on what was delivered; they are
- * noted as delivered. 0 while no event is whole. With @p stream->gap set, what is returned ends
- * before the event that does not follow. */
+/** Finds the complete events at the start of @p data that continue the stream, and records them as
+ * delivered.
+ * @return their length in bytes; 0 while no event is complete. When an event does not follow the
+ * previous one, sets @p stream->gap and returns the length up to that event. */
 size_t bt_take_events (bt_event_stream_t *stream, const char *data, size_t bytes);
 
 #endif
--- a/include/bilberrytray/requests/fingerprint.h
+++ b/include/bilberrytray/requests/fingerprint.h
@@ -2,8 +2,8 @@
 #define BILBERRYTRAY_REQUESTS_FINGERPRINT_H
 
 /** @file
- * Names a request by its content, so that it is known again when it returns under another id, at
- * any instance. It is a keyed hash: whoever reads it learns nothing of the request.
+ * Identifies a request by its content, so that any instance recognises it when it is sent again
+ * under another id. The fingerprint is a keyed hash, which reveals nothing about the request.
  */
 
 #include <stdbool.h>
@@ -14,7 +14,7 @@
 {
   BT_FINGERPRINT_BYTES = 16,
   BT_FINGERPRINT_KEY_BYTES = 32,
-  /** Room for a fingerprint in hex digits, with its zero, in bytes. */
+  /** Size of a fingerprint in hex digits with its terminating zero, in bytes. */
   BT_FINGERPRINT_TEXT_BYTES = 2 * BT_FINGERPRINT_BYTES + 1,
 };
 
@@ -23,13 +23,14 @@
   uint8_t bytes[BT_FINGERPRINT_BYTES];
 } bt_fingerprint_t;
 
-/** What fingerprints of one deployment are made with. */
+/** Hash key for the fingerprints of one deployment. */
 typedef struct bt_fingerprint_key
 {
   uint8_t bytes[BT_FINGERPRINT_KEY_BYTES];
 } bt_fingerprint_key_t;
 
-/** What makes two requests the same. Headers are left out: some differ with each attempt. */
+/** The parts of a request that its fingerprint covers. Headers are left out, since some differ with
+ * each attempt. */
 typedef struct bt_request_content
 {
   const char *account; /**< "" for callers without one. */
@@ -39,7 +40,8 @@
   size_t body_bytes;
 } bt_request_content_t;
 
-/** @p secret is the deployment's, the same at all its instances; it may be "". */
+/** Derives the hash key from the deployment's secret, which is the same at all its instances and
+ * may be "". */
 void bt_derive_fingerprint_key (const char *secret, bt_fingerprint_key_t *key);
 
 void bt_make_fingerprint (const bt_fingerprint_key_t *key,
@@ -48,10 +50,11 @@
 
 bool bt_same_fingerprint (const bt_fingerprint_t *left, const bt_fingerprint_t *right);
 
+/** Formats a fingerprint as hex digits. */
 void bt_write_fingerprint (const bt_fingerprint_t *fingerprint,
                            char text[BT_FINGERPRINT_TEXT_BYTES]);
 
-/** Reads the hex digits that @p text begins with; false when there are not enough of them. */
+/** Parses the hex digits at the start of @p text; false when there are too few of them. */
 bool bt_read_fingerprint (const char *text, bt_fingerprint_t *fingerprint);
 
 #endif
--- a/source/requests/arbiter.c
+++ b/source/requests/arbiter.c
@@ -4,7 +4,7 @@
 
 enum
 {
-  FIRST_ACTION_ROOM = 8,
+  INITIAL_ACTION_CAPACITY = 8,
 };
 
 bt_arbiter_t *
@@ -42,11 +42,11 @@
 {
   bt_arbiter_action_t *action;
 
-  if (actions->count == actions->room)
+  if (actions->count == actions->capacity)
     {
-      actions->room = actions->room == 0 ? FIRST_ACTION_ROOM : actions->room * 2;
+      actions->capacity = actions->capacity == 0 ? INITIAL_ACTION_CAPACITY : actions->capacity * 2;
       actions->items =
-          bt_realloc (ctx, actions->items, (size_t)actions->room, sizeof *actions->items);
+          bt_realloc (ctx, actions->items, (size_t)actions->capacity, sizeof *actions->items);
     }
   action = &actions->items[actions->count++];
   memset (action, 0, sizeof *action);
@@ -198,13 +198,14 @@
   bt_remove_record (ctx, arbiter->table, record);
 }
 
-/* Takes the watchers of a link away, or only those of one message of it. */
+/* Removes the watchers of one message of a link, or of all its messages. Cancels runs without a key
+ * that have no watcher left. */
 static void
-detach (bt_context_t *ctx,
-        bt_arbiter_t *arbiter,
-        const bt_reply_path_t *path,
-        bool whole_link,
-        bt_arbiter_actions_t *actions)
+remove_watchers (bt_context_t *ctx,
+                 bt_arbiter_t *arbiter,
+                 const bt_reply_path_t *path,
+                 bool whole_link,
+                 bt_arbiter_actions_t *actions)
 {
   bt_record_t *record = bt_first_active_record (arbiter->table);
 
@@ -214,10 +215,10 @@
 
       for (int32_t i = record->watcher_count - 1; i >= 0; i--)
         {
-          const bt_reply_path_t *at = &record->watchers[i].path;
+          const bt_reply_path_t *watched = &record->watchers[i].path;
 
-          if (at->link == path->link
-              && (whole_link || (at->call == path->call && at->attempt == path->attempt)))
+          if (watched->link == path->link
+              && (whole_link || (watched->call == path->call && watched->attempt == path->attempt)))
             bt_remove_watcher (record, i);
         }
       if (!record->keyed && record->watcher_count == 0)
@@ -232,7 +233,7 @@
                   const bt_reply_path_t *path,
                   bt_arbiter_actions_t *actions)
 {
-  detach (ctx, arbiter, path, false, actions);
+  remove_watchers (ctx, arbiter, path, false, actions);
 }
 
 void
@@ -243,15 +244,15 @@
 {
   bt_reply_path_t path = { .link = link };
 
-  detach (ctx, arbiter, &path, true, actions);
+  remove_watchers (ctx, arbiter, &path, true, actions);
 }
 
 static void
-take_head (bt_context_t *ctx,
-           bt_arbiter_t *arbiter,
-           bt_record_t *record,
-           const bt_run_event_t *event,
-           bt_arbiter_actions_t *actions)
+handle_head (bt_context_t *ctx,
+             bt_arbiter_t *arbiter,
+             bt_record_t *record,
+             const bt_run_event_t *event,
+             bt_arbiter_actions_t *actions)
 {
   if (record->answer->has_head)
     return;
@@ -261,11 +262,11 @@
 }
 
 static void
-give_piece (bt_context_t *ctx,
-            bt_record_t *record,
-            const uint8_t *data,
-            uint64_t bytes,
-            bt_arbiter_actions_t *actions)
+forward_piece (bt_context_t *ctx,
+               bt_record_t *record,
+               const uint8_t *data,
+               uint64_t bytes,
+               bt_arbiter_actions_t *actions)
 {
   uint64_t sequence = record->answer->pieces - 1;
 
@@ -283,10 +284,10 @@
     }
 }
 
-/* An open key that was never granted is as good as unseen, so a burst of refusals keeps no records.
- */
+/* A record in BT_RECORD_OPEN that was never granted holds no more information than no record, so it
+ * is removed. Otherwise a burst of refusals would fill the table. */
 static bool
-is_worth_keeping (const bt_arbiter_t *arbiter, const bt_record_t *record)
+must_keep_record (const bt_arbiter_t *arbiter, const bt_record_t *record)
 {
   if (!record->keyed || (arbiter->options.faults & BT_FAULT_NO_RECORD) != 0)
     return false;
@@ -299,14 +300,15 @@
   arbiter->runs--;
   record->ended_ms = now_ms;
   record->watcher_count = 0;
-  if (is_worth_keeping (arbiter, record))
+  if (must_keep_record (arbiter, record))
     bt_set_record_active (arbiter->table, record, false);
   else
     bt_remove_record (ctx, arbiter->table, record);
 }
 
-/* A run that the endpoint can't have seen leaves the key open, so that it may be tried or
- * tombstoned; any other failed run is final, since a second one might be a doubled one. */
+/* A run that cannot have reached the endpoint leaves the key open, so that it may be retried or
+ * tombstoned. Any other failed run is final, since the request may have run and must not run twice.
+ */
 static void
 fail_run (bt_context_t *ctx,
           bt_arbiter_t *arbiter,
@@ -328,8 +330,9 @@
   end_run (ctx, arbiter, record, now_ms);
 }
 
-/* A stream that went silent is taken up where it broke off. The endpoint still holds the run, so
- * this starts nothing; when it can't be taken up the run may have had its effect. */
+/* Resumes a silent or broken stream at the bytes received so far. The endpoint still has the run,
+ * so this starts no new one. When the stream cannot be resumed, the run fails as one that may have
+ * run. */
 static void
 resume_run (bt_context_t *ctx,
             bt_arbiter_t *arbiter,
@@ -338,12 +341,13 @@
             int64_t now_ms,
             bt_arbiter_actions_t *actions)
 {
-  static const bt_run_event_t silence = { .may_have_run = true, .reason = BT_REASON_ENGINE_SILENT };
+  static const bt_run_event_t silent_failure = { .may_have_run = true,
+                                                 .reason = BT_REASON_ENGINE_SILENT };
   bt_arbiter_action_t *action;
 
   if (!resumable || record->resumes >= arbiter->options.max_resumes)
     {
-      fail_run (ctx, arbiter, record, &silence, now_ms, actions);
+      fail_run (ctx, arbiter, record, &silent_failure, now_ms, actions);
       return;
     }
   record->resumes++;
@@ -353,18 +357,18 @@
 }
 
 static void
-take_piece (bt_context_t *ctx,
-            bt_arbiter_t *arbiter,
-            bt_record_t *record,
-            const bt_run_event_t *event,
-            int64_t now_ms,
-            bt_arbiter_actions_t *actions)
-{
-  uint64_t have = record->answer->bytes;
-  uint64_t skip = have - event->offset_bytes;
+handle_piece (bt_context_t *ctx,
+              bt_arbiter_t *arbiter,
+              bt_record_t *record,
+              const bt_run_event_t *event,
+              int64_t now_ms,
+              bt_arbiter_actions_t *actions)
+{
+  uint64_t received = record->answer->bytes;
+  uint64_t skip = received - event->offset_bytes;
   const uint8_t *data = event->data;
 
-  if (event->offset_bytes > have)
+  if (event->offset_bytes > received)
     {
       resume_run (ctx, arbiter, record, event->resumable, now_ms, actions);
       return;
@@ -372,16 +376,16 @@
   if (event->data_bytes <= skip)
     return;
   bt_append_answer (ctx, arbiter->table, record, data + skip, event->data_bytes - skip);
-  give_piece (ctx, record, data + skip, event->data_bytes - skip, actions);
+  forward_piece (ctx, record, data + skip, event->data_bytes - skip, actions);
 }
 
 static void
-take_end (bt_context_t *ctx,
-          bt_arbiter_t *arbiter,
-          bt_record_t *record,
-          const bt_run_event_t *event,
-          int64_t now_ms,
-          bt_arbiter_actions_t *actions)
+handle_end (bt_context_t *ctx,
+            bt_arbiter_t *arbiter,
+            bt_record_t *record,
+            const bt_run_event_t *event,
+            int64_t now_ms,
+            bt_arbiter_actions_t *actions)
 {
   if (event->total_bytes != record->answer->bytes || !record->answer->has_head)
     {
@@ -408,13 +412,13 @@
   switch (event->kind)
     {
     case BT_RUN_HEAD:
-      take_head (ctx, arbiter, record, event, actions);
+      handle_head (ctx, arbiter, record, event, actions);
       break;
     case BT_RUN_PIECE:
-      take_piece (ctx, arbiter, record, event, now_ms, actions);
+      handle_piece (ctx, arbiter, record, event, now_ms, actions);
       break;
     case BT_RUN_END:
-      take_end (ctx, arbiter, record, event, now_ms, actions);
+      handle_end (ctx, arbiter, record, event, now_ms, actions);
       break;
     case BT_RUN_FAILED:
       fail_run (ctx, arbiter, record, event, now_ms, actions);
@@ -468,5 +472,5 @@
 uint64_t
 bt_count_arbiter_room (const bt_arbiter_t *arbiter)
 {
-  return bt_count_table_room (arbiter->table);
+  return bt_count_table_free_records (arbiter->table);
 }
--- a/source/requests/arbiter_keys.c
+++ b/source/requests/arbiter_keys.c
@@ -1,9 +1,11 @@
-/* How an arbiter answers the three messages of entries: dispatch, grant and tombstone requests. */
+/* Handling of the three messages that entry instances send to an arbiter: dispatch, grant and
+ * tombstone requests. */
 
 #include "arbiter_private.h"
 
-/* At home the ticket alone tells, also for a grant to home itself: home keeps its record by the
- * ticket, so a longer grant would let a late copy run after the tombstone was dropped. */
+/* At the home agent the ticket's expiry applies, even under a grant to the home itself. The home
+ * keeps a record as long as the ticket, so with a longer grant a delayed copy of the dispatch could
+ * run after the tombstone was removed. */
 static int64_t
 get_dispatch_expiry (const bt_arbiter_t *arbiter, const bt_dispatch_t *dispatch)
 {
@@ -12,8 +14,8 @@
   return dispatch->ticket.expires_ms;
 }
 
-/* Judged by this agent's own clock: that same clock tells when the record is dropped, so a message
- * that outlived its record is always seen to be too late. */
+/* Uses this agent's own clock. The same clock decides when a record is removed, so a message that
+ * arrives after its record was removed is always found expired. */
 static bool
 is_dispatch_past (const bt_arbiter_t *arbiter, const bt_dispatch_t *dispatch, int64_t now_ms)
 {
@@ -23,9 +25,9 @@
   return bt_is_past (get_dispatch_expiry (arbiter, dispatch), now_ms);
 }
 
-/* A record must outlive every message that it has answered: a tombstone set under one grant also
- * speaks for a later grant to the same agent, whose late copy would else arrive after the record
- * was dropped and before that grant expires, and run. */
+/* Keeps a record until every message that it answered has expired. A tombstone set under one grant
+ * also answers for a later grant to the same agent. If it were removed before that grant expires, a
+ * delayed dispatch under that grant would run. */
 static void
 extend_record (bt_record_t *record, int64_t expires_ms)
 {
@@ -33,9 +35,10 @@
     record->expires_ms = expires_ms;
 }
 
-/* When there is no room left for tombstones, one floor stands for all: it refuses other keys as
- * well that have no record yet and expire no later, and their callers take new tickets. Without it
- * a refusal in a full table could not be proved, or a late copy would run once there is room. */
+/* Returns the expiry floor that applies to a ticket. It is raised when the table has no space for a
+ * tombstone. It also refuses other keys that have no record and expire no later; their callers need
+ * new tickets. Without it a full table could not confirm that a request will not run, or a delayed
+ * copy would run once there is space again. */
 static int64_t *
 find_floor (bt_arbiter_t *arbiter, const bt_ticket_t *ticket)
 {
@@ -68,7 +71,7 @@
   action->dispatch = dispatch;
 }
 
-/* Why a new run is refused, BT_REASON_NONE when it may start. */
+/* Returns why a new run is refused, or BT_REASON_NONE when it may start. */
 static bt_reason_t
 check_admission (const bt_arbiter_t *arbiter, const bt_dispatch_t *dispatch, int64_t now_ms)
 {
@@ -93,8 +96,9 @@
   reply->retry_after_ms = dispatch->admission_retry_ms;
 }
 
+/* True when this very dispatch already runs, so that a duplicate is ignored. */
 static bool
-has_transient (const bt_arbiter_t *arbiter, const bt_reply_path_t *path)
+has_unkeyed_run (const bt_arbiter_t *arbiter, const bt_reply_path_t *path)
 {
   const bt_record_t *record = bt_first_active_record (arbiter->table);
 
@@ -115,7 +119,7 @@
 {
   bt_reason_t reason = check_admission (arbiter, dispatch, now_ms);
 
-  if (has_transient (arbiter, &dispatch->path))
+  if (has_unkeyed_run (arbiter, &dispatch->path))
     return;
   if (reason != BT_REASON_NONE)
     refuse_run (ctx, dispatch, reason, actions);
@@ -151,7 +155,7 @@
   reply->grant = *record->grant;
 }
 
-/* True when the dispatch carries the live grant of a key that its home granted to itself. */
+/* True when the home granted the key to itself and the dispatch carries that current grant. */
 static bool
 is_granted_here (const bt_arbiter_t *arbiter,
                  const bt_record_t *record,
@@ -251,7 +255,8 @@
   now_ms = bt_advance_arbiter (arbiter, now_ms);
   if (!dispatch->has_ticket)
     {
-      /* Without a key nothing else can have run it, so a wrong addressee proves not-run. */
+      /* Only the target can run a request without a key, so a wrong target proves that it did not
+       * run. */
       if (bt_is_arbiter (arbiter, &dispatch->target))
         dispatch_unkeyed (ctx, arbiter, dispatch, now_ms, actions);
       else
@@ -304,8 +309,8 @@
   reply->grant = *grant;
 }
 
-/* The grant is on record before the reply leaves. So whichever entry asks next, and however often,
- * it is sent to this one agent, until that agent has promised never to run the key. */
+/* Records the grant before the reply is sent. Every entry instance that asks later is referred to
+ * the same agent, until that agent has tombstoned the key. */
 static void
 grant_key (bt_context_t *ctx,
            bt_arbiter_t *arbiter,
@@ -343,7 +348,7 @@
                 const bt_grant_request_t *request,
                 bt_arbiter_actions_t *actions)
 {
-  bool forgets = (arbiter->options.faults & BT_FAULT_NO_GRANT_RECORD) != 0;
+  bool no_grant_record = (arbiter->options.faults & BT_FAULT_NO_GRANT_RECORD) != 0;
 
   switch (record->state)
     {
@@ -351,7 +356,7 @@
       grant_key (ctx, arbiter, record, request, actions);
       break;
     case BT_RECORD_GRANTED:
-      if (request->after_number == record->grant_number || forgets)
+      if (request->after_number == record->grant_number || no_grant_record)
         grant_key (ctx, arbiter, record, request, actions);
       else
         reply_grant (ctx, &request->path, record->grant, actions);
@@ -394,14 +399,15 @@
 }
 
 static bt_record_state_t
-to_foreign_state (bt_reason_t reason)
+map_addressee_state (bt_reason_t reason)
 {
   return reason == BT_REASON_NONE ? BT_RECORD_UNSEEN : BT_RECORD_FOREIGN;
 }
 
-/* What a tombstone would be set over, or why it can't be set. */
+/* Returns the state that a tombstone would replace (BT_RECORD_UNSEEN or BT_RECORD_OPEN), or the
+ * state that prevents it. */
 static bt_record_state_t
-judge_tombstone (const bt_arbiter_t *arbiter,
+check_tombstone (const bt_arbiter_t *arbiter,
                  const bt_record_t *record,
                  const bt_tombstone_request_t *request,
                  bool is_home)
@@ -417,8 +423,8 @@
   return BT_RECORD_GRANTED;
 }
 
-/* The promise "never ran here and never will" is on record before the reply leaves, so a dispatch
- * that arrives later, however late, meets it, the floor or its own expiry. */
+/* Records that the key never ran here and never will, before the reply is sent. Any dispatch that
+ * arrives later is refused by the tombstone, by the expiry floor or because it has expired. */
 static void
 set_tombstone (bt_context_t *ctx,
                bt_arbiter_t *arbiter,
@@ -451,20 +457,21 @@
 {
   bt_reply_t *reply = bt_add_reply (ctx, actions, BT_REPLY_TOMBSTONE, &request->path);
   bool is_home = bt_is_arbiter (arbiter, &request->ticket.home);
-  const bt_identity_t *role =
+  const bt_identity_t *addressee =
       is_home || !request->has_grant ? &request->ticket.home : &request->grant.agent;
   int64_t expires_ms = is_home ? request->ticket.expires_ms : request->grant.expires_ms;
   bt_record_t *record = bt_find_record (arbiter->table, &request->ticket.key);
 
   now_ms = bt_advance_arbiter (arbiter, now_ms);
-  reply->state =
-      to_foreign_state (bt_check_addressee (arbiter, &request->target, BT_REASON_AGENT_RESTARTED));
+  reply->state = map_addressee_state (
+      bt_check_addressee (arbiter, &request->target, BT_REASON_AGENT_RESTARTED));
   if (reply->state == BT_RECORD_UNSEEN)
-    reply->state = to_foreign_state (bt_check_addressee (arbiter, role, BT_REASON_HOME_RESTARTED));
+    reply->state =
+        map_addressee_state (bt_check_addressee (arbiter, addressee, BT_REASON_HOME_RESTARTED));
   if (reply->state == BT_RECORD_FOREIGN)
     return;
   extend_record (record, expires_ms);
-  reply->state = judge_tombstone (arbiter, record, request, is_home);
+  reply->state = check_tombstone (arbiter, record, request, is_home);
   if (reply->state == BT_RECORD_UNSEEN && bt_is_past (expires_ms, now_ms))
     reply->state = BT_RECORD_EXPIRED;
   if (reply->state == BT_RECORD_UNSEEN || reply->state == BT_RECORD_OPEN)
--- a/source/requests/attempt.c
+++ b/source/requests/attempt.c
@@ -8,8 +8,8 @@
   STATUS_REDIRECT = 300,
   STATUS_TIMEOUT = 408,
   STATUS_MISDIRECTED = 421,
-  STATUS_TOO_MANY = 429,
-  STATUS_FAILURE = 500,
+  STATUS_TOO_MANY_REQUESTS = 429,
+  STATUS_SERVER_ERROR = 500,
   STATUS_UNAVAILABLE = 503,
 };
 
@@ -19,15 +19,15 @@
   return status >= STATUS_OK && status < STATUS_REDIRECT;
 }
 
-/* Callers read these as a promise that the request has not run. */
+/* Callers take these statuses as a promise that the request has not run. */
 static bool
 promises_not_run (int32_t status)
 {
-  return status == STATUS_TIMEOUT || status == STATUS_MISDIRECTED || status == STATUS_TOO_MANY
-         || status == STATUS_UNAVAILABLE;
+  return status == STATUS_TIMEOUT || status == STATUS_MISDIRECTED
+         || status == STATUS_TOO_MANY_REQUESTS || status == STATUS_UNAVAILABLE;
 }
 
-/* A retry where the request allows it, else the refusal. */
+/* Retries when the request allows it, else refuses. */
 static void
 retry_or_refuse (const bt_attempt_rights_t *rights, bt_attempt_verdict_t *verdict)
 {
@@ -37,9 +37,9 @@
 }
 
 static void
-judge_refusal (const bt_attempt_result_t *result,
-               const bt_attempt_rights_t *rights,
-               bt_attempt_verdict_t *verdict)
+decide_after_refusal (const bt_attempt_result_t *result,
+                      const bt_attempt_rights_t *rights,
+                      bt_attempt_verdict_t *verdict)
 {
   verdict->end = BT_ATTEMPT_REFUSED;
   verdict->endpoint_gone = result->status == STATUS_MISDIRECTED;
@@ -48,17 +48,18 @@
   retry_or_refuse (rights, verdict);
 }
 
-/* A whole answer that is the endpoint's own. One that fails, for a request that may run again, is
- * better answered by another endpoint; what promises that nothing ran although the endpoint did not
- * say so must not reach a caller, who would send the request again. */
+/* Handles a complete answer that comes from the endpoint itself. After a failure, a request that
+ * may run again is retried at another endpoint. A status that promises that the request has not
+ * run, without the endpoint's statement, must not reach the caller, who would send the request
+ * again. */
 static void
-judge_answer (const bt_attempt_result_t *result,
-              const bt_attempt_rights_t *rights,
-              bt_attempt_verdict_t *verdict)
+decide_after_answer (const bt_attempt_result_t *result,
+                     const bt_attempt_rights_t *rights,
+                     bt_attempt_verdict_t *verdict)
 {
   verdict->may_have_run = true;
   if (is_success (result->status)
-      || (result->status < STATUS_FAILURE && !promises_not_run (result->status)))
+      || (result->status < STATUS_SERVER_ERROR && !promises_not_run (result->status)))
     {
       verdict->next = BT_NEXT_PASS;
       verdict->end = BT_ATTEMPT_ANSWERED;
@@ -86,21 +87,21 @@
       retry_or_refuse (rights, verdict);
       return;
     }
-  /* A refusal counts by its head: its body says nothing more. A second answer to an earlier request
-   * may look like one, and is known by its id. */
+  /* The head of a refusal is enough; its body has no further information. A late answer to an
+   * earlier request may look like a refusal, but has another id. */
   if (result->stage >= BT_ATTEMPT_CUT && !result->other_id
       && (result->not_run || result->status == STATUS_MISDIRECTED))
     {
-      judge_refusal (result, rights, verdict);
+      decide_after_refusal (result, rights, verdict);
       return;
     }
   if (result->stage == BT_ATTEMPT_WHOLE && !result->other_id && !result->encoded
       && (result->marked || !is_success (result->status)))
     {
-      judge_answer (result, rights, verdict);
+      decide_after_answer (result, rights, verdict);
       return;
     }
-  /* Cut, or bytes that are not this endpoint's answer to this request: it may have run. */
+  /* The answer was cut off, or is not this endpoint's answer to this request: it may have run. */
   verdict->may_have_run = true;
   verdict->reason = BT_REASON_ENGINE_FAILED;
   verdict->retry = BT_RETRY_LINK_LOST;
--- a/source/requests/crash_suspects.c
+++ b/source/requests/crash_suspects.c
@@ -11,7 +11,7 @@
 }
 
 static void
-remove_ended_start (bt_crash_suspects_t *suspects, int32_t index)
+remove_ended_incarnation (bt_crash_suspects_t *suspects, int32_t index)
 {
   suspects->ended_count--;
   memmove (&suspects->ended[index], &suspects->ended[index + 1],
@@ -21,15 +21,15 @@
 void
 bt_add_suspect (bt_crash_suspects_t *suspects, const bt_crash_t *attempt, int64_t now_ms)
 {
-  if (suspects->count == BT_MOST_SUSPECTS)
+  if (suspects->count == BT_MAX_SUSPECTS)
     remove_suspect (suspects, 0);
   suspects->list[suspects->count++] = (bt_crash_suspect_t){ *attempt, now_ms };
 }
 
 bool
-bt_take_suspect_at (bt_crash_suspects_t *suspects,
-                    const bt_identity_t *endpoint,
-                    bt_crash_t *attempt)
+bt_remove_suspect_of (bt_crash_suspects_t *suspects,
+                      const bt_identity_t *endpoint,
+                      bt_crash_t *attempt)
 {
   for (int32_t i = 0; i < suspects->count; i++)
     {
@@ -43,15 +43,17 @@
 }
 
 void
-bt_add_ended_start (bt_crash_suspects_t *suspects, const bt_identity_t *endpoint, int64_t now_ms)
+bt_add_ended_incarnation (bt_crash_suspects_t *suspects,
+                          const bt_identity_t *endpoint,
+                          int64_t now_ms)
 {
-  if (suspects->ended_count == BT_MOST_ENDED_STARTS)
-    remove_ended_start (suspects, 0);
-  suspects->ended[suspects->ended_count++] = (bt_ended_start_t){ *endpoint, now_ms };
+  if (suspects->ended_count == BT_MAX_ENDED_INCARNATIONS)
+    remove_ended_incarnation (suspects, 0);
+  suspects->ended[suspects->ended_count++] = (bt_ended_incarnation_t){ *endpoint, now_ms };
 }
 
 bool
-bt_is_ended_start (const bt_crash_suspects_t *suspects, const bt_identity_t *endpoint)
+bt_is_ended_incarnation (const bt_crash_suspects_t *suspects, const bt_identity_t *endpoint)
 {
   for (int32_t i = 0; i < suspects->ended_count; i++)
     if (bt_same_identity (&suspects->ended[i].endpoint, endpoint))
@@ -65,23 +67,23 @@
   for (int32_t i = suspects->count - 1; i >= 0; i--)
     {
       const bt_crash_suspect_t *suspect = &suspects->list[i];
-      bool ran_on = bt_same_identity (&suspect->attempt.endpoint, &answered->endpoint)
-                    && suspect->at_ms < sent_ms;
+      bool still_running = bt_same_identity (&suspect->attempt.endpoint, &answered->endpoint)
+                           && suspect->broken_ms < sent_ms;
 
-      if (ran_on || bt_same_fingerprint (&suspect->attempt.request, &answered->request))
+      if (still_running || bt_same_fingerprint (&suspect->attempt.request, &answered->request))
         remove_suspect (suspects, i);
     }
   for (int32_t i = suspects->ended_count - 1; i >= 0; i--)
     if (bt_same_identity (&suspects->ended[i].endpoint, &answered->endpoint)
-        && suspects->ended[i].at_ms < sent_ms)
-      remove_ended_start (suspects, i);
+        && suspects->ended[i].ended_ms < sent_ms)
+      remove_ended_incarnation (suspects, i);
 }
 
 void
 bt_expire_suspects (bt_crash_suspects_t *suspects, int64_t before_ms)
 {
-  while (suspects->count > 0 && suspects->list[0].at_ms < before_ms)
+  while (suspects->count > 0 && suspects->list[0].broken_ms < before_ms)
     remove_suspect (suspects, 0);
-  while (suspects->ended_count > 0 && suspects->ended[0].at_ms < before_ms)
-    remove_ended_start (suspects, 0);
+  while (suspects->ended_count > 0 && suspects->ended[0].ended_ms < before_ms)
+    remove_ended_incarnation (suspects, 0);
 }
--- a/source/requests/crash_table.c
+++ b/source/requests/crash_table.c
@@ -8,48 +8,50 @@
 
 enum
 {
-  DEFAULT_MOST_ENDS = 3,
+  DEFAULT_MAX_ENDS = 3,
   DEFAULT_KEEP_MS = 3600000,
-  DEFAULT_ROOM = 4096,
-  /* An endpoint that falls silent is taken off the list after three missed heartbeats. */
-  DEFAULT_PROOF_MS = 15000,
-  /* The part of the time that facts are kept over which instances spread their forgetting, and the
-   * age from which a return renews them. */
-  SPREAD_PART = 8,
-  RENEW_PART = 2,
+  DEFAULT_MAX_CRASHES = 4096,
+  /* An unresponsive endpoint is removed from the instance list after three missed heartbeats, so
+   * the report of its end may come that late. */
+  DEFAULT_MATCH_WINDOW_MS = 15000,
+  /* Crashes are kept for keep_ms plus a random time of up to keep_ms / KEEP_SPREAD_DIVISOR that
+   * differs between instances. A request that returns renews crashes older than
+   * keep_ms / RENEW_AGE_DIVISOR. */
+  KEEP_SPREAD_DIVISOR = 8,
+  RENEW_AGE_DIVISOR = 2,
 };
 
-/** A fact. */
+/** A crash in the table. */
 typedef struct crash_row
 {
   bt_crash_t crash;
-  int64_t known_ms; /* when it was last told or renewed */
-  int64_t revision; /* of the last telling; 0: the others were not seen to have it */
-  bool listed;      /* while a list is taken in */
+  int64_t known_ms; /* when it was recorded, listed with a new revision, or renewed */
+  int64_t revision; /* of its entry in the shared list; 0: not seen there yet */
+  bool listed;      /* found in the list that is being applied */
 } crash_row_t;
 
 struct bt_crash_table
 {
   bt_crash_options_t options;
-  int64_t keep_ms;   /* of this instance */
-  crash_row_t *rows; /* in the order of compare_crashes */
+  int64_t keep_ms;   /* with the random extension of this instance */
+  crash_row_t *rows; /* sorted by compare_crashes */
   int32_t count;
   int32_t capacity;
   bt_crash_suspects_t suspects;
-  bt_crash_order_t *orders;
-  int32_t order_count;
-  int32_t order_capacity;
-  int32_t orders_taken;
+  bt_crash_order_t *updates; /* queue for the shared list */
+  int32_t update_count;
+  int32_t update_capacity;
+  int32_t updates_taken;
 };
 
 void
 bt_default_crash_options (bt_crash_options_t *options)
 {
   memset (options, 0, sizeof *options);
-  options->most_ends = DEFAULT_MOST_ENDS;
+  options->most_ends = DEFAULT_MAX_ENDS;
   options->keep_ms = DEFAULT_KEEP_MS;
-  options->proof_ms = DEFAULT_PROOF_MS;
-  options->room = DEFAULT_ROOM;
+  options->match_window_ms = DEFAULT_MATCH_WINDOW_MS;
+  options->max_crashes = DEFAULT_MAX_CRASHES;
 }
 
 bt_crash_table_t *
@@ -62,7 +64,7 @@
   table->options = *options;
   table->keep_ms =
       options->keep_ms
-      + (int64_t)bt_random_below (&random, (uint64_t)options->keep_ms / SPREAD_PART + 1);
+      + (int64_t)bt_random_below (&random, (uint64_t)options->keep_ms / KEEP_SPREAD_DIVISOR + 1);
   return table;
 }
 
@@ -72,7 +74,7 @@
   if (table == NULL)
     return;
   bt_free (ctx, table->rows);
-  bt_free (ctx, table->orders);
+  bt_free (ctx, table->updates);
   bt_free (ctx, table);
 }
 
@@ -88,9 +90,9 @@
   return order;
 }
 
-/* The first row that is not before a crash. */
+/* Returns the index of the first row that does not sort before a crash. */
 static int32_t
-find_place (const bt_crash_table_t *table, const bt_crash_t *crash)
+find_row (const bt_crash_table_t *table, const bt_crash_t *crash)
 {
   int32_t low = 0;
   int32_t high = table->count;
@@ -107,105 +109,106 @@
   return low;
 }
 
-/* The first row that is not before all those of a request. */
+/* Returns the index of a request's first row, or where it would be inserted. */
 static int32_t
-find_first (const bt_crash_table_t *table, const bt_fingerprint_t *request)
+find_first_row (const bt_crash_table_t *table, const bt_fingerprint_t *request)
 {
   bt_crash_t least = { .request = *request };
 
-  return find_place (table, &least);
+  return find_row (table, &least);
 }
 
 static bool
-is_row_of (const bt_crash_table_t *table, int32_t place, const bt_fingerprint_t *request)
+is_row_of_request (const bt_crash_table_t *table, int32_t index, const bt_fingerprint_t *request)
 {
-  return place < table->count && bt_same_fingerprint (&table->rows[place].crash.request, request);
+  return index < table->count && bt_same_fingerprint (&table->rows[index].crash.request, request);
 }
 
 static bool
-is_row (const bt_crash_table_t *table, int32_t place, const bt_crash_t *crash)
+is_row_of_crash (const bt_crash_table_t *table, int32_t index, const bt_crash_t *crash)
 {
-  return place < table->count && compare_crashes (&table->rows[place].crash, crash) == 0;
+  return index < table->count && compare_crashes (&table->rows[index].crash, crash) == 0;
 }
 
 static void
-push_order (bt_context_t *ctx,
-            bt_crash_table_t *table,
-            bt_crash_order_kind_t kind,
-            const bt_crash_t *crash)
+queue_update (bt_context_t *ctx,
+              bt_crash_table_t *table,
+              bt_crash_order_kind_t kind,
+              const bt_crash_t *crash)
 {
-  if (table->order_count == table->order_capacity)
+  if (table->update_count == table->update_capacity)
     {
-      table->order_capacity = 2 * table->order_capacity + 1;
-      table->orders =
-          bt_realloc (ctx, table->orders, (size_t)table->order_capacity, sizeof *table->orders);
+      table->update_capacity = 2 * table->update_capacity + 1;
+      table->updates =
+          bt_realloc (ctx, table->updates, (size_t)table->update_capacity, sizeof *table->updates);
     }
-  table->orders[table->order_count++] = (bt_crash_order_t){ kind, *crash };
+  table->updates[table->update_count++] = (bt_crash_order_t){ kind, *crash };
 }
 
 bool
 bt_take_crash_order (bt_crash_table_t *table, bt_crash_order_t *order)
 {
-  if (table->orders_taken == table->order_count)
+  if (table->updates_taken == table->update_count)
     {
-      table->orders_taken = 0;
-      table->order_count = 0;
+      table->updates_taken = 0;
+      table->update_count = 0;
       return false;
     }
-  *order = table->orders[table->orders_taken++];
+  *order = table->updates[table->updates_taken++];
   return true;
 }
 
 static void
-insert_row (bt_context_t *ctx, bt_crash_table_t *table, int32_t place, const crash_row_t *row)
+insert_row (bt_context_t *ctx, bt_crash_table_t *table, int32_t index, const crash_row_t *row)
 {
   if (table->count == table->capacity)
     {
       table->capacity = 2 * table->capacity + 1;
       table->rows = bt_realloc (ctx, table->rows, (size_t)table->capacity, sizeof *table->rows);
     }
-  memmove (&table->rows[place + 1], &table->rows[place],
-           (size_t)(table->count - place) * sizeof *table->rows);
-  table->rows[place] = *row;
+  memmove (&table->rows[index + 1], &table->rows[index],
+           (size_t)(table->count - index) * sizeof *table->rows);
+  table->rows[index] = *row;
   table->count++;
 }
 
 static void
-remove_row (bt_crash_table_t *table, int32_t place)
+remove_row (bt_crash_table_t *table, int32_t index)
 {
   table->count--;
-  memmove (&table->rows[place], &table->rows[place + 1],
-           (size_t)(table->count - place) * sizeof *table->rows);
+  memmove (&table->rows[index], &table->rows[index + 1],
+           (size_t)(table->count - index) * sizeof *table->rows);
 }
 
-/* Also what is not listed yet: it is on its way to the others. */
+/* Retracts crashes that are not listed yet too, since they may already be on their way to the list.
+ */
 static void
-forget_row (bt_context_t *ctx, bt_crash_table_t *table, int32_t place)
+retract_row (bt_context_t *ctx, bt_crash_table_t *table, int32_t index)
 {
-  push_order (ctx, table, BT_CRASH_RETRACT, &table->rows[place].crash);
-  remove_row (table, place);
+  queue_update (ctx, table, BT_CRASH_RETRACT, &table->rows[index].crash);
+  remove_row (table, index);
 }
 
 static bool
-has_room (bt_context_t *ctx, const bt_crash_table_t *table, const bt_crash_t *crash)
+has_free_space (bt_context_t *ctx, const bt_crash_table_t *table, const bt_crash_t *crash)
 {
-  if (table->count < table->options.room)
+  if (table->count < table->options.max_crashes)
     return true;
-  bt_note_limit (ctx, "crashes", table->options.room, crash->endpoint.instance,
-                 "A request that crashed it is not counted for that.");
+  bt_note_limit (ctx, "crashes", table->options.max_crashes, crash->endpoint.instance,
+                 "A crash of this endpoint is not recorded: the crash table is full.");
   return false;
 }
 
 static void
 add_crash (bt_context_t *ctx, bt_crash_table_t *table, const bt_crash_t *crash, int64_t now_ms)
 {
-  int32_t place = find_place (table, crash);
+  int32_t index = find_row (table, crash);
   crash_row_t row = { .crash = *crash, .known_ms = now_ms };
 
-  if (is_row (table, place, crash) || !has_room (ctx, table, crash))
+  if (is_row_of_crash (table, index, crash) || !has_free_space (ctx, table, crash))
     return;
-  insert_row (ctx, table, place, &row);
-  push_order (ctx, table, BT_CRASH_PUBLISH, crash);
+  insert_row (ctx, table, index, &row);
+  queue_update (ctx, table, BT_CRASH_PUBLISH, crash);
 }
 
 void
@@ -214,7 +217,7 @@
                         const bt_crash_t *attempt,
                         int64_t now_ms)
 {
-  if (bt_is_ended_start (&table->suspects, &attempt->endpoint))
+  if (bt_is_ended_incarnation (&table->suspects, &attempt->endpoint))
     add_crash (ctx, table, attempt, now_ms);
   else
     bt_add_suspect (&table->suspects, attempt, now_ms);
@@ -228,8 +231,8 @@
 {
   bt_crash_t crash;
 
-  bt_add_ended_start (&table->suspects, endpoint, now_ms);
-  while (bt_take_suspect_at (&table->suspects, endpoint, &crash))
+  bt_add_ended_incarnation (&table->suspects, endpoint, now_ms);
+  while (bt_remove_suspect_of (&table->suspects, endpoint, &crash))
     add_crash (ctx, table, &crash, now_ms);
 }
 
@@ -239,33 +242,33 @@
                       const bt_crash_t *attempt,
                       int64_t sent_ms)
 {
-  int32_t first = find_first (table, &attempt->request);
+  int32_t first = find_first_row (table, &attempt->request);
 
   bt_clear_suspects (&table->suspects, attempt, sent_ms);
-  while (is_row_of (table, first, &attempt->request))
-    forget_row (ctx, table, first);
+  while (is_row_of_request (table, first, &attempt->request))
+    retract_row (ctx, table, first);
 }
 
-/* Adds a listed fact, or brings the known one up to date; false when there is no room. */
+/* Adds a listed crash, or updates the row of a known one; false when the table is full. */
 static bool
-take_listed (bt_context_t *ctx,
-             bt_crash_table_t *table,
-             const bt_listed_crash_t *listed,
-             int64_t now_ms)
+apply_listed_crash (bt_context_t *ctx,
+                    bt_crash_table_t *table,
+                    const bt_listed_crash_t *listed,
+                    int64_t now_ms)
 {
-  int32_t place = find_place (table, &listed->crash);
+  int32_t index = find_row (table, &listed->crash);
   crash_row_t row = { listed->crash, now_ms, listed->revision, true };
 
-  if (is_row (table, place, &listed->crash))
+  if (is_row_of_crash (table, index, &listed->crash))
     {
-      if (table->rows[place].revision == listed->revision)
-        row.known_ms = table->rows[place].known_ms;
-      table->rows[place] = row;
+      if (table->rows[index].revision == listed->revision)
+        row.known_ms = table->rows[index].known_ms;
+      table->rows[index] = row;
       return true;
     }
-  if (!has_room (ctx, table, &listed->crash))
+  if (!has_free_space (ctx, table, &listed->crash))
     return false;
-  insert_row (ctx, table, place, &row);
+  insert_row (ctx, table, index, &row);
   return true;
 }
 
@@ -281,7 +284,7 @@
   for (int32_t i = 0; i < table->count; i++)
     table->rows[i].listed = false;
   for (int32_t i = 0; i < count; i++)
-    left_out += take_listed (ctx, table, &listed[i], now_ms) ? 0 : 1;
+    left_out += apply_listed_crash (ctx, table, &listed[i], now_ms) ? 0 : 1;
   for (int32_t i = table->count - 1; i >= 0; i--)
     if (table->rows[i].revision > 0 && !table->rows[i].listed)
       remove_row (table, i);
@@ -291,10 +294,10 @@
 void
 bt_expire_crashes (bt_context_t *ctx, bt_crash_table_t *table, int64_t now_ms)
 {
-  bt_expire_suspects (&table->suspects, now_ms - table->options.proof_ms);
+  bt_expire_suspects (&table->suspects, now_ms - table->options.match_window_ms);
   for (int32_t i = table->count - 1; i >= 0; i--)
     if (now_ms - table->rows[i].known_ms > table->keep_ms)
-      forget_row (ctx, table, i);
+      retract_row (ctx, table, i);
 }
 
 int32_t
@@ -312,12 +315,12 @@
 int32_t
 bt_count_crashes (const bt_crash_table_t *table, const bt_fingerprint_t *request)
 {
-  int32_t first = find_first (table, request);
-  int32_t place = first;
+  int32_t first = find_first_row (table, request);
+  int32_t index = first;
 
-  while (is_row_of (table, place, request))
-    place++;
-  return place - first;
+  while (is_row_of_request (table, index, request))
+    index++;
+  return index - first;
 }
 
 bool
@@ -333,13 +336,13 @@
                   const bt_fingerprint_t *request,
                   int64_t now_ms)
 {
-  for (int32_t i = find_first (table, request); is_row_of (table, i, request); i++)
+  for (int32_t i = find_first_row (table, request); is_row_of_request (table, i, request); i++)
     {
       crash_row_t *row = &table->rows[i];
 
-      if (now_ms - row->known_ms < table->options.keep_ms / RENEW_PART)
+      if (now_ms - row->known_ms < table->options.keep_ms / RENEW_AGE_DIVISOR)
         continue;
       row->known_ms = now_ms;
-      push_order (ctx, table, BT_CRASH_PUBLISH, &row->crash);
+      queue_update (ctx, table, BT_CRASH_PUBLISH, &row->crash);
     }
 }
--- a/source/requests/delivery.c
+++ b/source/requests/delivery.c
@@ -4,7 +4,7 @@
 
 enum
 {
-  FIRST_ROOM = 4,
+  INITIAL_CAPACITY = 4,
 };
 
 bt_delivery_t *
@@ -34,11 +34,11 @@
 {
   bt_delivery_action_t *action;
 
-  if (actions->count == actions->room)
+  if (actions->count == actions->capacity)
     {
-      actions->room = actions->room == 0 ? FIRST_ROOM : actions->room * 2;
+      actions->capacity = actions->capacity == 0 ? INITIAL_CAPACITY : actions->capacity * 2;
       actions->items =
-          bt_realloc (ctx, actions->items, (size_t)actions->room, sizeof *actions->items);
+          bt_realloc (ctx, actions->items, (size_t)actions->capacity, sizeof *actions->items);
     }
   action = &actions->items[actions->count++];
   memset (action, 0, sizeof *action);
@@ -77,10 +77,11 @@
 enter_phase (bt_delivery_t *delivery, bt_delivery_phase_t phase, int64_t now_ms)
 {
   delivery->phase = phase;
-  delivery->since_ms = now_ms;
+  delivery->phase_start_ms = now_ms;
 }
 
-/* A run without a key is stopped when nobody waits for it; one with a key is only detached from. */
+/* Sends a cancel to the agent. It stops a run without a key; a run with a key goes on without this
+ * caller. */
 static void
 cancel_dispatch (bt_context_t *ctx, bt_delivery_t *delivery, bt_delivery_actions_t *actions)
 {
@@ -102,10 +103,10 @@
 
   cancel_dispatch (ctx, delivery, actions);
   delivery->phase = BT_PHASE_FINISHED;
-  action = bt_add_delivery_action (ctx, actions,
-                                   delivery->begun ? BT_DELIVERY_CUT : BT_DELIVERY_FINISH_REFUSED);
+  action = bt_add_delivery_action (
+      ctx, actions, delivery->head_forwarded ? BT_DELIVERY_CUT : BT_DELIVERY_FINISH_REFUSED);
   action->reason = reason;
-  action->outcome = delivery->begun ? BT_OUTCOME_UNKNOWN : outcome;
+  action->outcome = delivery->head_forwarded ? BT_OUTCOME_UNKNOWN : outcome;
   action->retry_after_ms = retry_after_ms > 0 ? retry_after_ms : delivery->options.retry_after_ms;
 }
 
@@ -125,7 +126,7 @@
   dispatch->target = delivery->target;
   dispatch->has_ticket = delivery->options.has_ticket;
   dispatch->ticket = delivery->options.ticket;
-  dispatch->has_grant = delivery->has_grant && !delivery->grant_buried;
+  dispatch->has_grant = delivery->has_grant && !delivery->grant_tombstoned;
   dispatch->grant = delivery->grant;
   dispatch->idempotent = delivery->options.idempotent;
   dispatch->attach_only = delivery->attach_only;
@@ -141,7 +142,7 @@
   request->ticket = delivery->options.ticket;
   request->proposal.agent = delivery->candidate;
   request->proposal.expires_ms = delivery->candidate_expires_ms;
-  request->after_number = delivery->grant_buried ? delivery->grant.number : 0;
+  request->after_number = delivery->grant_tombstoned ? delivery->grant.number : 0;
 }
 
 static void
@@ -152,7 +153,7 @@
   request->ticket = delivery->options.ticket;
   request->has_grant =
       delivery->has_grant
-      && (delivery->message == BT_MESSAGE_TOMBSTONE_GRANTEE || delivery->grant_buried);
+      && (delivery->message == BT_MESSAGE_TOMBSTONE_GRANTEE || delivery->grant_tombstoned);
   request->grant = delivery->grant;
 }
 
@@ -208,22 +209,24 @@
 {
   bt_identity_t copy = *target;
 
-  delivery->attach_only = delivery->giving_up || delivery->begun;
+  delivery->attach_only = delivery->giving_up || delivery->head_forwarded;
   send_message (ctx, delivery, BT_MESSAGE_DISPATCH, &copy, now_ms, actions);
 }
 
-/* "Not run" is true only when nothing can run the key any more: first the granted agent promises,
- * then home. Without that an earlier copy, or one sent through another entry, might still run. */
+/* "Not run" is true only when no agent can run the key any more: first the granted agent tombstones
+ * it, then the home. Otherwise an earlier copy, or one sent through another entry instance, might
+ * still run. */
 static void
-bury_key (bt_context_t *ctx,
-          bt_delivery_t *delivery,
-          int64_t now_ms,
-          bt_delivery_actions_t *actions)
+tombstone_key (bt_context_t *ctx,
+               bt_delivery_t *delivery,
+               int64_t now_ms,
+               bt_delivery_actions_t *actions)
 {
-  bool at_grantee = delivery->has_grant && !delivery->grant_buried
-                    && !bt_same_identity (&delivery->grant.agent, &delivery->options.ticket.home);
+  bool ask_grantee_first =
+      delivery->has_grant && !delivery->grant_tombstoned
+      && !bt_same_identity (&delivery->grant.agent, &delivery->options.ticket.home);
 
-  if (at_grantee)
+  if (ask_grantee_first)
     send_message (ctx, delivery, BT_MESSAGE_TOMBSTONE_GRANTEE, &delivery->grant.agent, now_ms,
                   actions);
   else
@@ -239,7 +242,7 @@
                      int64_t now_ms,
                      bt_delivery_actions_t *actions)
 {
-  bool proved = delivery->unsettled == 0;
+  bool proved = delivery->unconfirmed_dispatches == 0;
 
   if (!delivery->giving_up)
     {
@@ -247,9 +250,9 @@
       delivery->reason = reason;
       delivery->retry_after_ms = retry_after_ms;
     }
-  if (delivery->options.has_ticket && !delivery->begun
+  if (delivery->options.has_ticket && !delivery->head_forwarded
       && (delivery->options.faults & BT_FAULT_NOT_RUN_EARLY) == 0)
-    bury_key (ctx, delivery, now_ms, actions);
+    tombstone_key (ctx, delivery, now_ms, actions);
   else
     bt_end_delivery (ctx, delivery, delivery->reason,
                      proved ? BT_OUTCOME_NOT_RUN : BT_OUTCOME_UNKNOWN, delivery->retry_after_ms,
@@ -272,11 +275,11 @@
 static void
 exclude (bt_context_t *ctx, bt_delivery_t *delivery, const bt_identity_t *identity)
 {
-  if (delivery->excluded_count == delivery->excluded_room)
+  if (delivery->excluded_count == delivery->excluded_capacity)
     {
-      delivery->excluded_room =
-          delivery->excluded_room == 0 ? FIRST_ROOM : delivery->excluded_room * 2;
-      delivery->excluded = bt_realloc (ctx, delivery->excluded, (size_t)delivery->excluded_room,
+      delivery->excluded_capacity =
+          delivery->excluded_capacity == 0 ? INITIAL_CAPACITY : delivery->excluded_capacity * 2;
+      delivery->excluded = bt_realloc (ctx, delivery->excluded, (size_t)delivery->excluded_capacity,
                                        sizeof *delivery->excluded);
     }
   delivery->excluded[delivery->excluded_count++] = *identity;
@@ -295,11 +298,11 @@
 }
 
 static void
-take_candidate (bt_context_t *ctx,
-                bt_delivery_t *delivery,
-                const bt_delivery_event_t *event,
-                int64_t now_ms,
-                bt_delivery_actions_t *actions)
+handle_candidate (bt_context_t *ctx,
+                  bt_delivery_t *delivery,
+                  const bt_delivery_event_t *event,
+                  int64_t now_ms,
+                  bt_delivery_actions_t *actions)
 {
   const bt_identity_t *home = &delivery->options.ticket.home;
 
@@ -313,23 +316,24 @@
     send_message (ctx, delivery, BT_MESSAGE_GRANT, home, now_ms, actions);
 }
 
-/* After a refusal: the refusing agent first promises not to run the key, then another is chosen. */
+/* Continues after a refusal: the agent that refused first tombstones the key, then another agent is
+ * chosen. */
 static void
-take_budget (bt_context_t *ctx,
-             bt_delivery_t *delivery,
-             const bt_delivery_event_t *event,
-             int64_t now_ms,
-             bt_delivery_actions_t *actions)
+handle_budget (bt_context_t *ctx,
+               bt_delivery_t *delivery,
+               const bt_delivery_event_t *event,
+               int64_t now_ms,
+               bt_delivery_actions_t *actions)
 {
-  /* Home knows whether its own grant was used, so it needs no promise to itself. */
+  /* The home knows whether its grant to itself was used, so it needs no tombstone. */
   if (delivery->has_grant
       && bt_same_identity (&delivery->grant.agent, &delivery->options.ticket.home))
-    delivery->grant_buried = true;
+    delivery->grant_tombstoned = true;
   if (!event->allowed)
     bt_give_up_delivery (ctx, delivery, BT_REASON_RETRY_BUDGET, event->retry_after_ms, now_ms,
                          actions);
-  else if (delivery->options.has_ticket && delivery->has_grant && !delivery->grant_buried)
-    bury_key (ctx, delivery, now_ms, actions);
+  else if (delivery->options.has_ticket && delivery->has_grant && !delivery->grant_tombstoned)
+    tombstone_key (ctx, delivery, now_ms, actions);
   else
     bt_ask_candidate (ctx, delivery, now_ms, actions);
 }
@@ -345,11 +349,11 @@
 }
 
 static void
-lose_unkeyed (bt_context_t *ctx, bt_delivery_t *delivery, bt_delivery_actions_t *actions)
+handle_lost_unkeyed (bt_context_t *ctx, bt_delivery_t *delivery, bt_delivery_actions_t *actions)
 {
-  bool left = delivery->path.link != 0;
+  bool was_sent = delivery->path.link != 0;
 
-  if (delivery->begun || (left && !delivery->options.idempotent))
+  if (delivery->head_forwarded || (was_sent && !delivery->options.idempotent))
     {
       bt_end_delivery_unknown (ctx, delivery, BT_REASON_LINK_LOST, actions);
       return;
@@ -359,15 +363,15 @@
 }
 
 void
-bt_lose_message (bt_context_t *ctx,
-                 bt_delivery_t *delivery,
-                 bool link_is_up,
-                 int64_t now_ms,
-                 bt_delivery_actions_t *actions)
+bt_handle_lost_message (bt_context_t *ctx,
+                        bt_delivery_t *delivery,
+                        bool link_is_up,
+                        int64_t now_ms,
+                        bt_delivery_actions_t *actions)
 {
   if (!delivery->options.has_ticket)
     {
-      lose_unkeyed (ctx, delivery, actions);
+      handle_lost_unkeyed (ctx, delivery, actions);
       return;
     }
   if (delivery->phase == BT_PHASE_RUNNING)
@@ -382,26 +386,27 @@
 }
 
 static void
-take_sent (bt_context_t *ctx,
-           bt_delivery_t *delivery,
-           const bt_delivery_event_t *event,
-           int64_t now_ms,
-           bt_delivery_actions_t *actions)
+handle_sent (bt_context_t *ctx,
+             bt_delivery_t *delivery,
+             const bt_delivery_event_t *event,
+             int64_t now_ms,
+             bt_delivery_actions_t *actions)
 {
   delivery->path.link = event->link;
   if (event->link == 0)
-    bt_lose_message (ctx, delivery, false, now_ms, actions);
+    bt_handle_lost_message (ctx, delivery, false, now_ms, actions);
   else if (!delivery->options.has_ticket)
-    delivery->unsettled++;
+    delivery->unconfirmed_dispatches++;
 }
 
-/* An agent that comes back under another incarnation has forgotten what it ran: nobody can tell. */
+/* An agent that reconnects with another incarnation has lost its records, so it is unknown whether
+ * the request ran. */
 static void
-take_link_up (bt_context_t *ctx,
-              bt_delivery_t *delivery,
-              const bt_delivery_event_t *event,
-              int64_t now_ms,
-              bt_delivery_actions_t *actions)
+handle_link_up (bt_context_t *ctx,
+                bt_delivery_t *delivery,
+                const bt_delivery_event_t *event,
+                int64_t now_ms,
+                bt_delivery_actions_t *actions)
 {
   bool is_home = strcmp (delivery->target.instance, delivery->options.ticket.home.instance) == 0;
 
@@ -416,17 +421,17 @@
 }
 
 static void
-take_tick (bt_context_t *ctx,
-           bt_delivery_t *delivery,
-           int64_t now_ms,
-           bt_delivery_actions_t *actions)
+handle_tick (bt_context_t *ctx,
+             bt_delivery_t *delivery,
+             int64_t now_ms,
+             bt_delivery_actions_t *actions)
 {
   int64_t left_ms = delivery->options.deadline_ms - now_ms;
-  int64_t phase_ms = now_ms - delivery->since_ms;
+  int64_t phase_ms = now_ms - delivery->phase_start_ms;
   bool unanswered = delivery->phase == BT_PHASE_ASKING || delivery->phase == BT_PHASE_CHOOSING
                     || delivery->phase == BT_PHASE_BUDGETING || delivery->phase == BT_PHASE_NEW;
 
-  if (left_ms <= 0 && !delivery->options.has_ticket && delivery->unsettled == 0)
+  if (left_ms <= 0 && !delivery->options.has_ticket && delivery->unconfirmed_dispatches == 0)
     bt_end_delivery (ctx, delivery, BT_REASON_DEADLINE_UNREACHABLE, BT_OUTCOME_NOT_RUN, 0, actions);
   else if (left_ms <= 0)
     bt_end_delivery_unknown (ctx, delivery, BT_REASON_DEADLINE_PASSED, actions);
@@ -434,7 +439,7 @@
            && unanswered && !delivery->giving_up)
     bt_give_up_delivery (ctx, delivery, BT_REASON_DEADLINE_UNREACHABLE, 0, now_ms, actions);
   else if (delivery->phase == BT_PHASE_ASKING && phase_ms >= delivery->options.reply_limit_ms)
-    bt_lose_message (ctx, delivery, true, now_ms, actions);
+    bt_handle_lost_message (ctx, delivery, true, now_ms, actions);
   else if (delivery->phase == BT_PHASE_WAITING && phase_ms >= delivery->options.reconnect_limit_ms)
     bt_end_delivery_unknown (ctx, delivery,
                              bt_same_identity (&delivery->target, &delivery->options.ticket.home)
@@ -444,7 +449,7 @@
 }
 
 static bool
-is_matched (const bt_delivery_t *delivery, const bt_reply_path_t *path)
+is_reply_to_last_message (const bt_delivery_t *delivery, const bt_reply_path_t *path)
 {
   if ((delivery->options.faults & BT_FAULT_NO_MATCH) != 0)
     return true;
@@ -452,36 +457,36 @@
          && path->link == delivery->path.link;
 }
 
-/* Answers reach only the message that asked for them: a late one, or one of a dead link, would give
- * a caller parts of another answer. */
+/* Handles a reply only when it belongs to the last message sent. A late reply, or one from a lost
+ * link, would mix parts of another answer into the caller's. */
 static void
-take_matched (bt_context_t *ctx,
-              bt_delivery_t *delivery,
-              const bt_reply_t *reply,
-              int64_t now_ms,
-              bt_delivery_actions_t *actions)
+handle_matched_reply (bt_context_t *ctx,
+                      bt_delivery_t *delivery,
+                      const bt_reply_t *reply,
+                      int64_t now_ms,
+                      bt_delivery_actions_t *actions)
 {
-  if (!is_matched (delivery, &reply->path))
+  if (!is_reply_to_last_message (delivery, &reply->path))
     return;
   if (delivery->phase != BT_PHASE_ASKING && delivery->phase != BT_PHASE_RUNNING)
     return;
   if (reply->kind >= BT_REPLY_HEAD)
-    bt_take_answer (ctx, delivery, reply, now_ms, actions);
+    bt_handle_answer (ctx, delivery, reply, now_ms, actions);
   else
-    bt_take_reply (ctx, delivery, reply, now_ms, actions);
+    bt_handle_reply (ctx, delivery, reply, now_ms, actions);
 }
 
 static void
-take_link_down (bt_context_t *ctx,
-                bt_delivery_t *delivery,
-                const bt_delivery_event_t *event,
-                int64_t now_ms,
-                bt_delivery_actions_t *actions)
+handle_link_down (bt_context_t *ctx,
+                  bt_delivery_t *delivery,
+                  const bt_delivery_event_t *event,
+                  int64_t now_ms,
+                  bt_delivery_actions_t *actions)
 {
-  bool waits_on_it = delivery->phase == BT_PHASE_ASKING || delivery->phase == BT_PHASE_RUNNING;
+  bool awaits_reply = delivery->phase == BT_PHASE_ASKING || delivery->phase == BT_PHASE_RUNNING;
 
-  if (waits_on_it && delivery->path.link != 0 && delivery->path.link == event->link)
-    bt_lose_message (ctx, delivery, false, now_ms, actions);
+  if (awaits_reply && delivery->path.link != 0 && delivery->path.link == event->link)
+    bt_handle_lost_message (ctx, delivery, false, now_ms, actions);
 }
 
 void
@@ -500,7 +505,7 @@
       break;
     case BT_DELIVERY_CANDIDATE:
       if (delivery->phase == BT_PHASE_CHOOSING)
-        take_candidate (ctx, delivery, event, now_ms, actions);
+        handle_candidate (ctx, delivery, event, now_ms, actions);
       break;
     case BT_DELIVERY_NO_CANDIDATE:
       if (delivery->phase == BT_PHASE_CHOOSING)
@@ -508,16 +513,16 @@
       break;
     case BT_DELIVERY_BUDGET:
       if (delivery->phase == BT_PHASE_BUDGETING)
-        take_budget (ctx, delivery, event, now_ms, actions);
+        handle_budget (ctx, delivery, event, now_ms, actions);
       break;
     case BT_DELIVERY_SENT:
-      take_sent (ctx, delivery, event, now_ms, actions);
+      handle_sent (ctx, delivery, event, now_ms, actions);
       break;
     case BT_DELIVERY_LINK_UP:
-      take_link_up (ctx, delivery, event, now_ms, actions);
+      handle_link_up (ctx, delivery, event, now_ms, actions);
       break;
     case BT_DELIVERY_LINK_DOWN:
-      take_link_down (ctx, delivery, event, now_ms, actions);
+      handle_link_down (ctx, delivery, event, now_ms, actions);
       break;
     case BT_DELIVERY_CALLER_GONE:
       bt_end_delivery_unknown (ctx, delivery, BT_REASON_CANCELLED, actions);
@@ -526,10 +531,10 @@
       bt_give_up_delivery (ctx, delivery, event->reason, event->retry_after_ms, now_ms, actions);
       break;
     case BT_DELIVERY_TICK:
-      take_tick (ctx, delivery, now_ms, actions);
+      handle_tick (ctx, delivery, now_ms, actions);
       break;
     case BT_DELIVERY_REPLY:
-      take_matched (ctx, delivery, event->reply, now_ms, actions);
+      handle_matched_reply (ctx, delivery, event->reply, now_ms, actions);
       break;
     }
 }
--- a/source/requests/delivery_private.h
+++ b/source/requests/delivery_private.h
@@ -2,7 +2,7 @@
 #define BT_SOURCE_REQUESTS_DELIVERY_PRIVATE_H
 
 /** @file
- * What the files of the delivery machine share.
+ * State and functions shared by the source files of the delivery state machine.
  */
 
 #include "bilberrytray/requests/delivery.h"
@@ -11,10 +11,10 @@
 {
   BT_PHASE_NEW = 0,
   BT_PHASE_CHOOSING,  /**< The policy was asked for a candidate. */
-  BT_PHASE_BUDGETING, /**< The policy was asked for a further attempt. */
-  BT_PHASE_ASKING,    /**< A message is out, its reply is awaited. */
+  BT_PHASE_BUDGETING, /**< The policy was asked whether a further attempt is allowed. */
+  BT_PHASE_ASKING,    /**< A message was sent; waits for its reply. */
   BT_PHASE_RUNNING,   /**< The dispatch was accepted. */
-  BT_PHASE_WAITING,   /**< For a link, to send the message again. */
+  BT_PHASE_WAITING,   /**< Waits for a link, to send the message again. */
   BT_PHASE_FINISHED,
 } bt_delivery_phase_t;
 
@@ -30,30 +30,33 @@
 {
   bt_delivery_options_t options;
   bt_delivery_phase_t phase;
-  bt_delivery_message_t message; /**< Last sent or waiting to be sent. */
-  bt_identity_t target;          /**< Whom it goes to. */
-  bt_reply_path_t path;          /**< What its replies carry; link 0 when none left. */
-  int64_t since_ms;              /**< When the phase began. */
+  bt_delivery_message_t message; /**< The message last sent, or to be sent again. */
+  bt_identity_t target;          /**< The agent that the message goes to. */
+  bt_reply_path_t path;          /**< Path that its replies have; link 0 when it was not sent. */
+  int64_t phase_start_ms;        /**< When the phase began. */
   int32_t resends;
   int32_t hops;
   bt_identity_t candidate; /**< Proposed in the last grant request. */
   int64_t candidate_expires_ms;
   bool has_grant;
-  bool grant_buried; /**< Its agent has tombstoned the key. */
+  bool grant_tombstoned; /**< The agent of the grant has tombstoned the key, or needs not
+                             (see handle_budget). */
   bt_grant_t grant;
   bool attach_only;
   bool giving_up;
-  bt_reason_t reason; /**< Told when giving up has ended. */
+  bt_reason_t reason; /**< Sent to the caller once giving up has finished. */
   int64_t retry_after_ms;
-  uint32_t unsettled; /**< Dispatches without a key that left and weren't refused as not-run. */
+  uint32_t unconfirmed_dispatches; /**< Dispatches without a key that were sent and not refused as
+                                     not run. */
   bt_identity_t *excluded;
   int32_t excluded_count;
-  int32_t excluded_room;
-  bool has_head; /**< Held back until the first piece, so that a rerun stays possible. */
+  int32_t excluded_capacity;
+  bool has_head; /**< The head is held back until the first piece, so that the request can still
+                    run again elsewhere. */
   uint32_t status;
   void *head;
   uint64_t head_bytes;
-  bool begun; /**< The caller has got the head. */
+  bool head_forwarded; /**< The head was forwarded to the caller. */
   uint64_t next_sequence;
   uint64_t bytes;
 };
@@ -62,13 +65,13 @@
                                               bt_delivery_actions_t *actions,
                                               bt_delivery_action_kind_t kind);
 
-/** Sends delivery->message to delivery->target under a new attempt. */
+/** Sends delivery->message to delivery->target with a new attempt number. */
 void bt_send_delivery_message (bt_context_t *ctx,
                                bt_delivery_t *delivery,
                                int64_t now_ms,
                                bt_delivery_actions_t *actions);
 
-/** Ends the delivery: cuts an answer that has begun, else refuses. */
+/** Ends the delivery: aborts an answer that has begun, else refuses. */
 void bt_end_delivery (bt_context_t *ctx,
                       bt_delivery_t *delivery,
                       bt_reason_t reason,
@@ -76,13 +79,13 @@
                       int64_t retry_after_ms,
                       bt_delivery_actions_t *actions);
 
-/** Ends the delivery as unknown. */
+/** Ends the delivery with BT_OUTCOME_UNKNOWN. */
 void bt_end_delivery_unknown (bt_context_t *ctx,
                               bt_delivery_t *delivery,
                               bt_reason_t reason,
                               bt_delivery_actions_t *actions);
 
-/** Stops trying. The refusal is told once it is proved that nothing ran or will. */
+/** Gives up. The caller is refused once it is proved that the request did not run and will not. */
 void bt_give_up_delivery (bt_context_t *ctx,
                           bt_delivery_t *delivery,
                           bt_reason_t reason,
@@ -90,47 +93,49 @@
                           int64_t now_ms,
                           bt_delivery_actions_t *actions);
 
-/** Dispatches to the grantee of the current grant, or home when there is none. */
+/** Sends a dispatch to @p target: the agent of the current grant, the home agent, or for a request
+ * without a key the chosen agent. */
 void bt_dispatch_delivery (bt_context_t *ctx,
                            bt_delivery_t *delivery,
                            const bt_identity_t *target,
                            int64_t now_ms,
                            bt_delivery_actions_t *actions);
 
-/** Asks the policy for an agent that was not tried. */
+/** Asks the policy for an agent that has not been tried yet. */
 void bt_ask_candidate (bt_context_t *ctx,
                        bt_delivery_t *delivery,
                        int64_t now_ms,
                        bt_delivery_actions_t *actions);
 
-/** Asks the policy for a further attempt. */
+/** Excludes the current target and asks the policy whether a further attempt is allowed. */
 void bt_ask_budget (bt_context_t *ctx,
                     bt_delivery_t *delivery,
                     bt_retry_t retry,
                     bt_delivery_actions_t *actions);
 
-/** The message got no reply: sends it again by key, waits for a link, tries elsewhere or ends. */
-void bt_lose_message (bt_context_t *ctx,
+/** Handles a message that got no reply or was not sent. With a key it is sent again or waits for a
+ * link; without a key the request is tried elsewhere or ends. */
+void bt_handle_lost_message (bt_context_t *ctx,
+                             bt_delivery_t *delivery,
+                             bool link_is_up,
+                             int64_t now_ms,
+                             bt_delivery_actions_t *actions);
+
+/** Handles the head, a piece or the end of an answer. */
+void bt_handle_answer (bt_context_t *ctx,
+                       bt_delivery_t *delivery,
+                       const bt_reply_t *reply,
+                       int64_t now_ms,
+                       bt_delivery_actions_t *actions);
+
+/** Handles a reply to a dispatch, a grant request or a tombstone request. */
+void bt_handle_reply (bt_context_t *ctx,
                       bt_delivery_t *delivery,
-                      bool link_is_up,
+                      const bt_reply_t *reply,
                       int64_t now_ms,
                       bt_delivery_actions_t *actions);
 
-/** Takes head, piece or end of the answer. */
-void bt_take_answer (bt_context_t *ctx,
-                     bt_delivery_t *delivery,
-                     const bt_reply_t *reply,
-                     int64_t now_ms,
-                     bt_delivery_actions_t *actions);
-
-/** Takes a reply to a dispatch, a grant or a tombstone request. */
-void bt_take_reply (bt_context_t *ctx,
-                    bt_delivery_t *delivery,
-                    const bt_reply_t *reply,
-                    int64_t now_ms,
-                    bt_delivery_actions_t *actions);
-
-/** Forgets what was received, before a rerun. */
+/** Discards the part of the answer received so far, before the request runs again elsewhere. */
 void bt_reset_answer (bt_context_t *ctx, bt_delivery_t *delivery);
 
 #endif
--- a/source/requests/delivery_replies.c
+++ b/source/requests/delivery_replies.c
@@ -1,4 +1,4 @@
-/* How a delivery takes the replies and the answers of agents. */
+/* Handling of the replies and answers that agents send to a delivery. */
 
 #include "delivery_private.h"
 
@@ -8,7 +8,8 @@
   return bt_same_identity (&delivery->target, &delivery->options.ticket.home);
 }
 
-/* Someone else's grant is the live one: whoever it names is the only one that may run the key. */
+/* Follows the current grant, which may have been made for another entry instance: only the agent
+ * that it names may run the key. */
 static void
 follow_grant (bt_context_t *ctx,
               bt_delivery_t *delivery,
@@ -22,7 +23,7 @@
       return;
     }
   delivery->has_grant = true;
-  delivery->grant_buried = false;
+  delivery->grant_tombstoned = false;
   delivery->grant = *grant;
   if (delivery->giving_up)
     bt_give_up_delivery (ctx, delivery, delivery->reason, delivery->retry_after_ms, now_ms,
@@ -32,7 +33,7 @@
 }
 
 static bt_retry_t
-to_retry (bt_reason_t reason)
+map_reason_to_retry (bt_reason_t reason)
 {
   switch (reason)
     {
@@ -54,18 +55,18 @@
 }
 
 static void
-take_keyed_refusal (bt_context_t *ctx,
-                    bt_delivery_t *delivery,
-                    const bt_reply_t *reply,
-                    int64_t now_ms,
-                    bt_delivery_actions_t *actions)
+handle_keyed_refusal (bt_context_t *ctx,
+                      bt_delivery_t *delivery,
+                      const bt_reply_t *reply,
+                      int64_t now_ms,
+                      bt_delivery_actions_t *actions)
 {
   if (reply->has_grant)
     {
       follow_grant (ctx, delivery, &reply->grant, now_ms, actions);
       return;
     }
-  if (reply->outcome == BT_OUTCOME_UNKNOWN || delivery->begun)
+  if (reply->outcome == BT_OUTCOME_UNKNOWN || delivery->head_forwarded)
     {
       bt_end_delivery_unknown (ctx, delivery, reply->reason, actions);
       return;
@@ -77,52 +78,52 @@
       return;
     }
   if (reply->reason == BT_REASON_KEY_TOMBSTONED)
-    delivery->grant_buried = true;
+    delivery->grant_tombstoned = true;
   if (delivery->giving_up || reply->reason == BT_REASON_NO_RUN)
     bt_give_up_delivery (ctx, delivery, reply->reason, reply->retry_after_ms, now_ms, actions);
   else
-    bt_ask_budget (ctx, delivery, to_retry (reply->reason), actions);
+    bt_ask_budget (ctx, delivery, map_reason_to_retry (reply->reason), actions);
 }
 
 static void
-take_unkeyed_refusal (bt_context_t *ctx,
-                      bt_delivery_t *delivery,
-                      const bt_reply_t *reply,
-                      bt_delivery_actions_t *actions)
+handle_unkeyed_refusal (bt_context_t *ctx,
+                        bt_delivery_t *delivery,
+                        const bt_reply_t *reply,
+                        bt_delivery_actions_t *actions)
 {
   bool may_rerun = reply->outcome == BT_OUTCOME_NOT_RUN || delivery->options.idempotent;
 
-  if (reply->outcome == BT_OUTCOME_NOT_RUN && delivery->unsettled > 0)
-    delivery->unsettled--;
+  if (reply->outcome == BT_OUTCOME_NOT_RUN && delivery->unconfirmed_dispatches > 0)
+    delivery->unconfirmed_dispatches--;
   delivery->path.link = 0;
-  if (delivery->begun || !may_rerun)
+  if (delivery->head_forwarded || !may_rerun)
     {
       bt_end_delivery_unknown (ctx, delivery, reply->reason, actions);
       return;
     }
   bt_reset_answer (ctx, delivery);
-  bt_ask_budget (ctx, delivery, to_retry (reply->reason), actions);
+  bt_ask_budget (ctx, delivery, map_reason_to_retry (reply->reason), actions);
 }
 
 static void
-take_refusal (bt_context_t *ctx,
-              bt_delivery_t *delivery,
-              const bt_reply_t *reply,
-              int64_t now_ms,
-              bt_delivery_actions_t *actions)
+handle_refusal (bt_context_t *ctx,
+                bt_delivery_t *delivery,
+                const bt_reply_t *reply,
+                int64_t now_ms,
+                bt_delivery_actions_t *actions)
 {
   if (delivery->options.has_ticket)
-    take_keyed_refusal (ctx, delivery, reply, now_ms, actions);
+    handle_keyed_refusal (ctx, delivery, reply, now_ms, actions);
   else
-    take_unkeyed_refusal (ctx, delivery, reply, actions);
+    handle_unkeyed_refusal (ctx, delivery, reply, actions);
 }
 
 static void
-take_grant_reply (bt_context_t *ctx,
-                  bt_delivery_t *delivery,
-                  const bt_reply_t *reply,
-                  int64_t now_ms,
-                  bt_delivery_actions_t *actions)
+handle_grant_reply (bt_context_t *ctx,
+                    bt_delivery_t *delivery,
+                    const bt_reply_t *reply,
+                    int64_t now_ms,
+                    bt_delivery_actions_t *actions)
 {
   if (reply->granted)
     follow_grant (ctx, delivery, &reply->grant, now_ms, actions);
@@ -139,13 +140,13 @@
     bt_give_up_delivery (ctx, delivery, reply->reason, reply->retry_after_ms, now_ms, actions);
 }
 
-/* A tombstone that can't be set, by what stands in its way. */
+/* Handles a refused tombstone, by the state of the key that prevents it. */
 static void
-take_tombstone_denial (bt_context_t *ctx,
-                       bt_delivery_t *delivery,
-                       const bt_reply_t *reply,
-                       int64_t now_ms,
-                       bt_delivery_actions_t *actions)
+handle_tombstone_denial (bt_context_t *ctx,
+                         bt_delivery_t *delivery,
+                         const bt_reply_t *reply,
+                         int64_t now_ms,
+                         bt_delivery_actions_t *actions)
 {
   bool at_home = delivery->message == BT_MESSAGE_TOMBSTONE_HOME;
 
@@ -175,20 +176,20 @@
 }
 
 static void
-take_tombstone_reply (bt_context_t *ctx,
-                      bt_delivery_t *delivery,
-                      const bt_reply_t *reply,
-                      int64_t now_ms,
-                      bt_delivery_actions_t *actions)
+handle_tombstone_reply (bt_context_t *ctx,
+                        bt_delivery_t *delivery,
+                        const bt_reply_t *reply,
+                        int64_t now_ms,
+                        bt_delivery_actions_t *actions)
 {
   if (!reply->tombstoned)
-    take_tombstone_denial (ctx, delivery, reply, now_ms, actions);
+    handle_tombstone_denial (ctx, delivery, reply, now_ms, actions);
   else if (delivery->message == BT_MESSAGE_TOMBSTONE_HOME)
     bt_end_delivery (ctx, delivery, delivery->reason, BT_OUTCOME_NOT_RUN, delivery->retry_after_ms,
                      actions);
   else
     {
-      delivery->grant_buried = true;
+      delivery->grant_tombstoned = true;
       if (delivery->giving_up)
         bt_give_up_delivery (ctx, delivery, delivery->reason, delivery->retry_after_ms, now_ms,
                              actions);
@@ -198,11 +199,11 @@
 }
 
 void
-bt_take_reply (bt_context_t *ctx,
-               bt_delivery_t *delivery,
-               const bt_reply_t *reply,
-               int64_t now_ms,
-               bt_delivery_actions_t *actions)
+bt_handle_reply (bt_context_t *ctx,
+                 bt_delivery_t *delivery,
+                 const bt_reply_t *reply,
+                 int64_t now_ms,
+                 bt_delivery_actions_t *actions)
 {
   bool dispatched = delivery->message == BT_MESSAGE_DISPATCH;
   bool asking = delivery->phase == BT_PHASE_ASKING;
@@ -210,16 +211,16 @@
   if (reply->kind == BT_REPLY_ACCEPTED && dispatched)
     delivery->phase = BT_PHASE_RUNNING;
   else if (reply->kind == BT_REPLY_REFUSED && dispatched)
-    take_refusal (ctx, delivery, reply, now_ms, actions);
+    handle_refusal (ctx, delivery, reply, now_ms, actions);
   else if (reply->kind == BT_REPLY_GRANT && asking && delivery->message == BT_MESSAGE_GRANT)
-    take_grant_reply (ctx, delivery, reply, now_ms, actions);
+    handle_grant_reply (ctx, delivery, reply, now_ms, actions);
   else if (reply->kind == BT_REPLY_TOMBSTONE && asking
            && delivery->message >= BT_MESSAGE_TOMBSTONE_GRANTEE)
-    take_tombstone_reply (ctx, delivery, reply, now_ms, actions);
+    handle_tombstone_reply (ctx, delivery, reply, now_ms, actions);
 }
 
 static void
-hold_head (bt_context_t *ctx, bt_delivery_t *delivery, const bt_reply_t *reply)
+store_head (bt_context_t *ctx, bt_delivery_t *delivery, const bt_reply_t *reply)
 {
   if (delivery->has_head)
     return;
@@ -230,39 +231,39 @@
 }
 
 static void
-give_head (bt_context_t *ctx, bt_delivery_t *delivery, bt_delivery_actions_t *actions)
+forward_head (bt_context_t *ctx, bt_delivery_t *delivery, bt_delivery_actions_t *actions)
 {
   bt_delivery_action_t *action;
 
-  if (delivery->begun)
+  if (delivery->head_forwarded)
     return;
-  delivery->begun = true;
+  delivery->head_forwarded = true;
   action = bt_add_delivery_action (ctx, actions, BT_DELIVERY_GIVE_HEAD);
   action->status = delivery->status;
   action->data = delivery->head;
   action->data_bytes = delivery->head_bytes;
 }
 
-/* Something of the stream is missing. Only the same run may fill the gap, so what was given and
- * what comes are parts of one answer; where that can't be had the answer is cut. */
+/* Handles a missing head or piece of the answer. Only the same run may supply it, so that
+ * everything forwarded belongs to one answer. When that is not possible, the answer is aborted. */
 static void
-mend_gap (bt_context_t *ctx,
-          bt_delivery_t *delivery,
-          int64_t now_ms,
-          bt_delivery_actions_t *actions)
+recover_gap (bt_context_t *ctx,
+             bt_delivery_t *delivery,
+             int64_t now_ms,
+             bt_delivery_actions_t *actions)
 {
   if (delivery->options.has_ticket && delivery->resends >= delivery->options.max_resends)
     bt_end_delivery_unknown (ctx, delivery, BT_REASON_ANSWER_DROPPED, actions);
   else
-    bt_lose_message (ctx, delivery, true, now_ms, actions);
+    bt_handle_lost_message (ctx, delivery, true, now_ms, actions);
 }
 
 static void
-take_piece (bt_context_t *ctx,
-            bt_delivery_t *delivery,
-            const bt_reply_t *reply,
-            int64_t now_ms,
-            bt_delivery_actions_t *actions)
+handle_piece (bt_context_t *ctx,
+              bt_delivery_t *delivery,
+              const bt_reply_t *reply,
+              int64_t now_ms,
+              bt_delivery_actions_t *actions)
 {
   bt_delivery_action_t *action;
 
@@ -270,10 +271,10 @@
     return;
   if (reply->sequence > delivery->next_sequence || !delivery->has_head)
     {
-      mend_gap (ctx, delivery, now_ms, actions);
+      recover_gap (ctx, delivery, now_ms, actions);
       return;
     }
-  give_head (ctx, delivery, actions);
+  forward_head (ctx, delivery, actions);
   action = bt_add_delivery_action (ctx, actions, BT_DELIVERY_GIVE_PIECE);
   action->data = reply->data;
   action->data_bytes = reply->data_bytes;
@@ -282,15 +283,15 @@
 }
 
 static void
-take_end (bt_context_t *ctx,
-          bt_delivery_t *delivery,
-          const bt_reply_t *reply,
-          int64_t now_ms,
-          bt_delivery_actions_t *actions)
+handle_end (bt_context_t *ctx,
+            bt_delivery_t *delivery,
+            const bt_reply_t *reply,
+            int64_t now_ms,
+            bt_delivery_actions_t *actions)
 {
   if (reply->pieces > delivery->next_sequence || !delivery->has_head)
     {
-      mend_gap (ctx, delivery, now_ms, actions);
+      recover_gap (ctx, delivery, now_ms, actions);
       return;
     }
   if (reply->pieces < delivery->next_sequence || reply->total_bytes != delivery->bytes)
@@ -298,25 +299,25 @@
       bt_end_delivery_unknown (ctx, delivery, BT_REASON_ANSWER_DROPPED, actions);
       return;
     }
-  give_head (ctx, delivery, actions);
+  forward_head (ctx, delivery, actions);
   bt_add_delivery_action (ctx, actions, BT_DELIVERY_FINISH_WHOLE);
   delivery->phase = BT_PHASE_FINISHED;
 }
 
 void
-bt_take_answer (bt_context_t *ctx,
-                bt_delivery_t *delivery,
-                const bt_reply_t *reply,
-                int64_t now_ms,
-                bt_delivery_actions_t *actions)
+bt_handle_answer (bt_context_t *ctx,
+                  bt_delivery_t *delivery,
+                  const bt_reply_t *reply,
+                  int64_t now_ms,
+                  bt_delivery_actions_t *actions)
 {
   if (delivery->message != BT_MESSAGE_DISPATCH)
     return;
   delivery->phase = BT_PHASE_RUNNING;
   if (reply->kind == BT_REPLY_HEAD)
-    hold_head (ctx, delivery, reply);
+    store_head (ctx, delivery, reply);
   else if (reply->kind == BT_REPLY_PIECE)
-    take_piece (ctx, delivery, reply, now_ms, actions);
+    handle_piece (ctx, delivery, reply, now_ms, actions);
   else
-    take_end (ctx, delivery, reply, now_ms, actions);
+    handle_end (ctx, delivery, reply, now_ms, actions);
 }
--- a/source/requests/event_stream.c
+++ b/source/requests/event_stream.c
@@ -5,10 +5,11 @@
 
 enum
 {
-  BASE_TEN = 10,
+  DECIMAL_BASE = 10,
 };
 
-/* The length of the first event with the blank line that ends it; 0 while it is not whole. */
+/* Returns the length of the first event including the blank line that ends it; 0 while it is
+ * incomplete. */
 static size_t
 find_event_end (const char *data, size_t bytes)
 {
@@ -28,7 +29,7 @@
   return 0;
 }
 
-/* Reads the id of an event; false when it has none. */
+/* Reads the id of an event; false when it has none or it is too long. */
 static bool
 read_event_id (const char *data, size_t bytes, char id[BT_EVENT_ID_BYTES])
 {
@@ -66,15 +67,16 @@
 parse_number (const char *id)
 {
   char *end;
-  long long number = strtoll (id, &end, BASE_TEN);
+  long long number = strtoll (id, &end, DECIMAL_BASE);
 
   return end != id && *end == '\0' ? number : -1;
 }
 
-/* Notes an event. False when its id shows that events before it are missing, or that it was
- * delivered already: an endpoint that goes on in the wrong place must not reach the caller. */
+/* Records an event as delivered. Sets the gap flag and returns false when its id shows that events
+ * before it are missing or that it was delivered already: an endpoint that resumed the stream at
+ * the wrong position. Such events must not reach the caller. */
 static bool
-note_event (bt_event_stream_t *stream, const char *id)
+record_event (bt_event_stream_t *stream, const char *id)
 {
   const int64_t number = parse_number (id);
 
@@ -93,18 +95,18 @@
 size_t
 bt_take_events (bt_event_stream_t *stream, const char *data, size_t bytes)
 {
-  size_t taken = 0;
+  size_t consumed = 0;
 
   while (!stream->gap)
     {
-      size_t length = find_event_end (data + taken, bytes - taken);
+      size_t length = find_event_end (data + consumed, bytes - consumed);
       char id[BT_EVENT_ID_BYTES];
 
       if (length == 0)
-        return taken;
-      if (read_event_id (data + taken, length, id) && !note_event (stream, id))
-        return taken;
-      taken += length;
+        return consumed;
+      if (read_event_id (data + consumed, length, id) && !record_event (stream, id))
+        return consumed;
+      consumed += length;
     }
-  return taken;
+  return consumed;
 }
--- a/source/requests/fingerprint.c
+++ b/source/requests/fingerprint.c
@@ -11,7 +11,8 @@
   bt_derive_key (secret, "bilberrytray request fingerprint", key->bytes, sizeof key->bytes);
 }
 
-/* The length goes first: else the end of one part could be taken for the start of the next. */
+/* Hashes the length before the content. Otherwise different parts whose concatenation is equal
+ * would have the same fingerprint. */
 static void
 add_part (crypto_generichash_state *state, const void *part, size_t bytes)
 {
--- a/source/requests/record.c
+++ b/source/requests/record.c
@@ -6,10 +6,10 @@
 {
   MIN_BUCKETS = 16,
   MAX_BUCKETS = 1 << 20,
-  SWEEP_BUCKETS = 4096,
-  FIRST_DATA_ROOM = 1024,
-  FIRST_PIECE_ROOM = 16,
-  FIRST_WATCHER_ROOM = 2,
+  BUCKETS_PER_SWEEP = 4096,
+  INITIAL_DATA_CAPACITY = 1024,
+  INITIAL_PIECE_CAPACITY = 16,
+  INITIAL_WATCHER_CAPACITY = 2,
 };
 
 struct bt_record_table
@@ -17,9 +17,9 @@
   bt_record_limits_t limits;
   bt_record_t **buckets;
   uint64_t bucket_count;
-  uint64_t sweep_at;
-  uint64_t records; /* with a key, tombstones in the reserve apart */
-  uint64_t tombstones;
+  uint64_t next_sweep_bucket;
+  uint64_t records;            /* with a key, without the tombstones in the reserve */
+  uint64_t reserve_tombstones; /* tombstones counted against the reserve */
   uint64_t bytes;
   bt_record_t *active;
 };
@@ -54,7 +54,7 @@
 }
 
 static bool
-has_room (const bt_record_table_t *table)
+has_free_space (const bt_record_table_t *table)
 {
   return table->records < table->limits.max_records
          && table->bytes + sizeof (bt_record_t) <= table->limits.max_bytes;
@@ -69,24 +69,24 @@
 {
   bt_record_t **bucket = find_bucket (table, key);
   bt_record_t *record;
-  bool reserve = false;
+  bool uses_reserve = false;
 
-  if (!has_room (table))
+  if (!has_free_space (table))
     {
-      if (!tombstone || table->tombstones >= table->limits.tombstone_reserve)
+      if (!tombstone || table->reserve_tombstones >= table->limits.tombstone_reserve)
         return NULL;
-      reserve = true;
+      uses_reserve = true;
     }
   record = bt_calloc (ctx, 1, sizeof *record);
   record->keyed = true;
-  record->tombstone = reserve;
+  record->in_reserve = uses_reserve;
   record->state = BT_RECORD_OPEN;
   record->key = *key;
   record->expires_ms = expires_ms;
   record->next_in_bucket = *bucket;
   *bucket = record;
-  if (reserve)
-    table->tombstones++;
+  if (uses_reserve)
+    table->reserve_tombstones++;
   else
     table->records++;
   table->bytes += sizeof *record;
@@ -106,19 +106,19 @@
 void
 bt_remove_record (bt_context_t *ctx, bt_record_table_t *table, bt_record_t *record)
 {
-  bt_record_t **at;
+  bt_record_t **slot;
 
   bt_set_record_active (table, record, false);
   bt_set_record_grant (ctx, table, record, NULL);
   bt_drop_answer (ctx, table, record);
   if (record->keyed)
     {
-      at = find_bucket (table, &record->key);
-      while (*at != record)
-        at = &(*at)->next_in_bucket;
-      *at = record->next_in_bucket;
-      if (record->tombstone)
-        table->tombstones--;
+      slot = find_bucket (table, &record->key);
+      while (*slot != record)
+        slot = &(*slot)->next_in_bucket;
+      *slot = record->next_in_bucket;
+      if (record->in_reserve)
+        table->reserve_tombstones--;
       else
         table->records--;
     }
@@ -231,7 +231,7 @@
 static uint64_t
 count_kept_bytes (const bt_answer_t *answer)
 {
-  return answer->data_room + answer->piece_room * sizeof *answer->piece_ends;
+  return answer->data_capacity + answer->piece_capacity * sizeof *answer->piece_ends;
 }
 
 void
@@ -245,8 +245,8 @@
   bt_free (ctx, answer->piece_ends);
   answer->data = NULL;
   answer->piece_ends = NULL;
-  answer->data_room = 0;
-  answer->piece_room = 0;
+  answer->data_capacity = 0;
+  answer->piece_capacity = 0;
 }
 
 void
@@ -262,13 +262,13 @@
 }
 
 static uint64_t
-grow_room (uint64_t room, uint64_t first, uint64_t needed)
+grow_capacity (uint64_t capacity, uint64_t first, uint64_t needed)
 {
-  if (room == 0)
-    room = first;
-  while (room < needed)
-    room *= 2;
-  return room;
+  if (capacity == 0)
+    capacity = first;
+  while (capacity < needed)
+    capacity *= 2;
+  return capacity;
 }
 
 static void
@@ -279,11 +279,13 @@
             uint64_t bytes)
 {
   table->bytes -= count_kept_bytes (answer);
-  answer->data_room = grow_room (answer->data_room, FIRST_DATA_ROOM, answer->bytes + bytes);
-  answer->piece_room = grow_room (answer->piece_room, FIRST_PIECE_ROOM, answer->pieces + 1);
-  answer->data = bt_realloc (ctx, answer->data, answer->data_room, 1);
+  answer->data_capacity =
+      grow_capacity (answer->data_capacity, INITIAL_DATA_CAPACITY, answer->bytes + bytes);
+  answer->piece_capacity =
+      grow_capacity (answer->piece_capacity, INITIAL_PIECE_CAPACITY, answer->pieces + 1);
+  answer->data = bt_realloc (ctx, answer->data, answer->data_capacity, 1);
   answer->piece_ends =
-      bt_realloc (ctx, answer->piece_ends, answer->piece_room, sizeof *answer->piece_ends);
+      bt_realloc (ctx, answer->piece_ends, answer->piece_capacity, sizeof *answer->piece_ends);
   table->bytes += count_kept_bytes (answer);
   memcpy (answer->data + answer->bytes, data, bytes);
   answer->piece_ends[answer->pieces] = answer->bytes + bytes;
@@ -309,7 +311,7 @@
 }
 
 static bool
-same_path (const bt_reply_path_t *left, const bt_reply_path_t *right)
+is_same_path (const bt_reply_path_t *left, const bt_reply_path_t *right)
 {
   return left->link == right->link && left->call == right->call && left->attempt == right->attempt;
 }
@@ -318,13 +320,13 @@
 bt_add_watcher (bt_context_t *ctx, bt_record_t *record, const bt_watcher_t *watcher)
 {
   for (int32_t i = 0; i < record->watcher_count; i++)
-    if (same_path (&record->watchers[i].path, &watcher->path))
+    if (is_same_path (&record->watchers[i].path, &watcher->path))
       return false;
-  if (record->watcher_count == record->watcher_room)
+  if (record->watcher_count == record->watcher_capacity)
     {
-      record->watcher_room =
-          record->watcher_room == 0 ? FIRST_WATCHER_ROOM : record->watcher_room * 2;
-      record->watchers = bt_realloc (ctx, record->watchers, (size_t)record->watcher_room,
+      record->watcher_capacity =
+          record->watcher_capacity == 0 ? INITIAL_WATCHER_CAPACITY : record->watcher_capacity * 2;
+      record->watchers = bt_realloc (ctx, record->watchers, (size_t)record->watcher_capacity,
                                      sizeof *record->watchers);
     }
   record->watchers[record->watcher_count++] = *watcher;
@@ -357,17 +359,17 @@
 void
 bt_sweep_records (bt_context_t *ctx, bt_record_table_t *table, int64_t now_ms)
 {
-  for (int32_t i = 0; i < SWEEP_BUCKETS && (uint64_t)i < table->bucket_count; i++)
+  for (int32_t i = 0; i < BUCKETS_PER_SWEEP && (uint64_t)i < table->bucket_count; i++)
     {
-      sweep_bucket (ctx, table, table->buckets[table->sweep_at], now_ms);
-      table->sweep_at = (table->sweep_at + 1) & (table->bucket_count - 1);
+      sweep_bucket (ctx, table, table->buckets[table->next_sweep_bucket], now_ms);
+      table->next_sweep_bucket = (table->next_sweep_bucket + 1) & (table->bucket_count - 1);
     }
 }
 
 uint64_t
 bt_count_table_records (const bt_record_table_t *table)
 {
-  return table->records + table->tombstones;
+  return table->records + table->reserve_tombstones;
 }
 
 uint64_t
@@ -377,12 +379,12 @@
 }
 
 uint64_t
-bt_count_table_room (const bt_record_table_t *table)
+bt_count_table_free_records (const bt_record_table_t *table)
 {
   uint64_t by_bytes = table->bytes >= table->limits.max_bytes
                           ? 0
                           : (table->limits.max_bytes - table->bytes) / sizeof (bt_record_t);
-  uint64_t by_number = table->limits.max_records - table->records;
+  uint64_t by_count = table->limits.max_records - table->records;
 
-  return by_bytes < by_number ? by_bytes : by_number;
+  return by_bytes < by_count ? by_bytes : by_count;
 }
--- a/source/requests/ticket.c
+++ b/source/requests/ticket.c
@@ -5,15 +5,16 @@
 
 #include "bilberrytray/base/derived_key.h"
 
-/* Layout before base64url: version, signing key's id, expiry, incarnation, key, account, the home's
- * name of NAME_LENGTH bytes, then the signature over all of that. Numbers are big endian. */
+/* Binary layout of a ticket, before base64url encoding: version, id of the signing key, expiry,
+ * incarnation of the home, key, account hash, length of the home's name (1 byte), the name, then
+ * the HMAC over all of that. Integers are big endian. The *_AT constants are byte offsets. */
 enum
 {
   TICKET_VERSION = 1,
   DERIVED_KEY_ID = 1,
   ACCOUNT_SEED = 1,
   VERSION_AT = 0,
-  SIGNER_AT = 1,
+  SIGNING_KEY_ID_AT = 1,
   EXPIRES_AT = 5,
   INCARNATION_AT = 13,
   KEY_AT = 21,
@@ -23,7 +24,7 @@
   MAC_BYTES = crypto_auth_hmacsha256_BYTES,
   RAW_MIN_BYTES = NAME_AT + 1 + MAC_BYTES,
   RAW_MAX_BYTES = NAME_AT + BT_NAME_BYTES - 1 + MAC_BYTES,
-  BITS_OF_BYTE = 8,
+  BITS_PER_BYTE = 8,
 };
 
 _Static_assert(sodium_base64_ENCODED_LEN (RAW_MAX_BYTES, sodium_base64_VARIANT_URLSAFE_NO_PADDING)
@@ -37,7 +38,7 @@
   uint8_t secret[BT_TICKET_SECRET_BYTES];
 } signing_key_t;
 
-/* Sorted by id, the highest first. */
+/* The keys are sorted by id, highest first. */
 struct bt_ticket_ring
 {
   signing_key_t keys[BT_TICKET_RING_KEYS];
@@ -79,7 +80,8 @@
   while (at < ring->count && ring->keys[at].id > id)
     at++;
   if (at == BT_TICKET_RING_KEYS)
-    return bt_set_error (error, BT_ERROR_USAGE, "Ticket key %u is older than a full ring.", id);
+    return bt_set_error (error, BT_ERROR_USAGE,
+                         "The key ring is full and ticket key %u is older than all its keys.", id);
   if (at == ring->count || ring->keys[at].id != id)
     {
       if (ring->count < BT_TICKET_RING_KEYS)
@@ -109,22 +111,22 @@
 }
 
 static void
-put_number (uint8_t *at, uint64_t value, int32_t bytes)
+write_big_endian (uint8_t *at, uint64_t value, int32_t bytes)
 {
   for (int32_t i = bytes - 1; i >= 0; i--)
     {
       at[i] = (uint8_t)value;
-      value >>= BITS_OF_BYTE;
+      value >>= BITS_PER_BYTE;
     }
 }
 
 static uint64_t
-get_number (const uint8_t *at, int32_t bytes)
+read_big_endian (const uint8_t *at, int32_t bytes)
 {
   uint64_t value = 0;
 
   for (int32_t i = 0; i < bytes; i++)
-    value = (value << BITS_OF_BYTE) | at[i];
+    value = (value << BITS_PER_BYTE) | at[i];
   return value;
 }
 
@@ -139,15 +141,17 @@
   size_t signed_bytes = NAME_AT + name_bytes;
 
   if (ring->count == 0)
-    return bt_set_error (error, BT_ERROR_NOT_FOUND, "There is no key to sign tickets with.");
+    return bt_set_error (error, BT_ERROR_NOT_FOUND,
+                         "The key ring has no key to sign tickets with.");
   if (name_bytes == 0 || name_bytes == BT_NAME_BYTES)
-    return bt_set_error (error, BT_ERROR_USAGE, "A ticket's home needs a name.");
+    return bt_set_error (error, BT_ERROR_USAGE,
+                         "The name of the ticket's home instance is empty or too long.");
   raw[VERSION_AT] = TICKET_VERSION;
-  put_number (raw + SIGNER_AT, ring->keys[0].id, sizeof (uint32_t));
-  put_number (raw + EXPIRES_AT, (uint64_t)ticket->expires_ms, sizeof (uint64_t));
-  put_number (raw + INCARNATION_AT, ticket->home.incarnation, sizeof (uint64_t));
+  write_big_endian (raw + SIGNING_KEY_ID_AT, ring->keys[0].id, sizeof (uint32_t));
+  write_big_endian (raw + EXPIRES_AT, (uint64_t)ticket->expires_ms, sizeof (uint64_t));
+  write_big_endian (raw + INCARNATION_AT, ticket->home.incarnation, sizeof (uint64_t));
   memcpy (raw + KEY_AT, ticket->key.bytes, BT_KEY_BYTES);
-  put_number (raw + ACCOUNT_AT, ticket->account, sizeof (uint64_t));
+  write_big_endian (raw + ACCOUNT_AT, ticket->account, sizeof (uint64_t));
   raw[NAME_LENGTH_AT] = (uint8_t)name_bytes;
   memcpy (raw + NAME_AT, ticket->home.instance, name_bytes);
   crypto_auth_hmacsha256 (raw + signed_bytes, raw, signed_bytes, ring->keys[0].secret);
@@ -157,7 +161,7 @@
 }
 
 static bool
-check_raw (const bt_ticket_ring_t *ring, const uint8_t *raw, size_t bytes, bt_error_t *error)
+verify_raw (const bt_ticket_ring_t *ring, const uint8_t *raw, size_t bytes, bt_error_t *error)
 {
   const signing_key_t *key;
   size_t signed_bytes;
@@ -167,7 +171,7 @@
   signed_bytes = NAME_AT + (size_t)raw[NAME_LENGTH_AT];
   if (raw[NAME_LENGTH_AT] == 0 || signed_bytes + MAC_BYTES != bytes)
     return bt_set_error (error, BT_ERROR_FORMAT, "The ticket's length is wrong.");
-  key = find_key (ring, (uint32_t)get_number (raw + SIGNER_AT, sizeof (uint32_t)));
+  key = find_key (ring, (uint32_t)read_big_endian (raw + SIGNING_KEY_ID_AT, sizeof (uint32_t)));
   if (key == NULL)
     return bt_set_error (error, BT_ERROR_NOT_FOUND, "The ticket's signing key is not known here.");
   if (crypto_auth_hmacsha256_verify (raw + signed_bytes, raw, signed_bytes, key->secret) != 0)
@@ -175,15 +179,17 @@
   return true;
 }
 
-/* The library reads bytes above 127 like an underscore, so two texts could name one ticket. Only
- * the text that signing would write is taken: the rest is damaged, whatever its signature says. */
+/* libsodium decodes bytes above 127 like an underscore, so several texts could decode to one
+ * ticket. Only the text that bt_sign_ticket writes is accepted; any other is damaged, even if its
+ * signature is valid. */
 static bool
 is_canonical (const uint8_t *raw, size_t bytes, const char *text)
 {
-  char again[BT_TICKET_TEXT_BYTES];
+  char canonical[BT_TICKET_TEXT_BYTES];
 
-  sodium_bin2base64 (again, sizeof again, raw, bytes, sodium_base64_VARIANT_URLSAFE_NO_PADDING);
-  return strcmp (again, text) == 0;
+  sodium_bin2base64 (canonical, sizeof canonical, raw, bytes,
+                     sodium_base64_VARIANT_URLSAFE_NO_PADDING);
+  return strcmp (canonical, text) == 0;
 }
 
 bool
@@ -203,13 +209,13 @@
           != 0
       || !is_canonical (raw, bytes, text))
     return bt_set_error (error, BT_ERROR_FORMAT, "The key is not a ticket's text.");
-  if (!check_raw (ring, raw, bytes, error))
+  if (!verify_raw (ring, raw, bytes, error))
     return false;
   memset (ticket, 0, sizeof *ticket);
-  ticket->expires_ms = (int64_t)get_number (raw + EXPIRES_AT, sizeof (uint64_t));
-  ticket->home.incarnation = get_number (raw + INCARNATION_AT, sizeof (uint64_t));
+  ticket->expires_ms = (int64_t)read_big_endian (raw + EXPIRES_AT, sizeof (uint64_t));
+  ticket->home.incarnation = read_big_endian (raw + INCARNATION_AT, sizeof (uint64_t));
   memcpy (ticket->key.bytes, raw + KEY_AT, BT_KEY_BYTES);
-  ticket->account = get_number (raw + ACCOUNT_AT, sizeof (uint64_t));
+  ticket->account = read_big_endian (raw + ACCOUNT_AT, sizeof (uint64_t));
   memcpy (ticket->home.instance, raw + NAME_AT, raw[NAME_LENGTH_AT]);
   return true;
 }
--- a/test/requests/test_crash_table.c
+++ b/test/requests/test_crash_table.c
@@ -28,9 +28,9 @@
   bt_crash_options_t options;
 
   bt_default_crash_options (&options);
-  options.proof_ms = PROOF_MS;
+  options.match_window_ms = PROOF_MS;
   options.keep_ms = KEEP_MS;
-  options.room = ROOM;
+  options.max_crashes = ROOM;
   options.seed = seed;
   return bt_new_crash_table (ctx, &options);
 }
