--- a/source/requests/arbiter.c
+++ b/source/requests/arbiter.c
@@ -88,7 +88,7 @@
 }
 
 bool
-bt_is_arbiter (const bt_arbiter_t *arbiter, const bt_identity_t *identity)
+bt_is_this_agent (const bt_arbiter_t *arbiter, const bt_identity_t *identity)
 {
   if (strcmp (arbiter->options.self.instance, identity->instance) != 0)
     return false;
@@ -101,7 +101,7 @@
                     const bt_identity_t *identity,
                     bt_reason_t restarted)
 {
-  if (bt_is_arbiter (arbiter, identity))
+  if (bt_is_this_agent (arbiter, identity))
     return BT_REASON_NONE;
   if (strcmp (arbiter->options.self.instance, identity->instance) == 0)
     return restarted;
@@ -109,7 +109,7 @@
 }
 
 int64_t
-bt_advance_arbiter (bt_arbiter_t *arbiter, int64_t now_ms)
+bt_advance_arbiter_clock (bt_arbiter_t *arbiter, int64_t now_ms)
 {
   if (now_ms > arbiter->now_ms)
     arbiter->now_ms = now_ms;
@@ -117,7 +117,7 @@
 }
 
 bool
-bt_is_past (int64_t expires_ms, int64_t now_ms)
+bt_has_expired (int64_t expires_ms, int64_t now_ms)
 {
   return now_ms >= expires_ms;
 }
@@ -441,7 +441,7 @@
 void
 bt_tick_arbiter (bt_context_t *ctx, bt_arbiter_t *arbiter, int64_t now_ms)
 {
-  bt_sweep_records (ctx, arbiter->table, bt_advance_arbiter (arbiter, now_ms));
+  bt_sweep_records (ctx, arbiter->table, bt_advance_arbiter_clock (arbiter, now_ms));
 }
 
 bool
--- a/source/requests/arbiter_keys.c
+++ b/source/requests/arbiter_keys.c
@@ -9,7 +9,7 @@
 static int64_t
 get_dispatch_expiry (const bt_arbiter_t *arbiter, const bt_dispatch_t *dispatch)
 {
-  if (dispatch->has_grant && !bt_is_arbiter (arbiter, &dispatch->ticket.home))
+  if (dispatch->has_grant && !bt_is_this_agent (arbiter, &dispatch->ticket.home))
     return dispatch->grant.expires_ms;
   return dispatch->ticket.expires_ms;
 }
@@ -17,12 +17,12 @@
 /* Uses this agent's own clock. The same clock decides when a record is removed, so a message that
  * arrives after its record was removed is always found expired. */
 static bool
-is_dispatch_past (const bt_arbiter_t *arbiter, const bt_dispatch_t *dispatch, int64_t now_ms)
+is_dispatch_expired (const bt_arbiter_t *arbiter, const bt_dispatch_t *dispatch, int64_t now_ms)
 {
 
   if ((arbiter->options.faults & BT_FAULT_FOREIGN_CLOCK) != 0)
     now_ms = dispatch->sender_now_ms;
-  return bt_is_past (get_dispatch_expiry (arbiter, dispatch), now_ms);
+  return bt_has_expired (get_dispatch_expiry (arbiter, dispatch), now_ms);
 }
 
 /* Keeps a record until every message that it answered has expired. A tombstone set under one grant
@@ -42,8 +42,8 @@
 static int64_t *
 find_floor (bt_arbiter_t *arbiter, const bt_ticket_t *ticket)
 {
-  return bt_is_arbiter (arbiter, &ticket->home) ? &arbiter->home_floor_ms
-                                                : &arbiter->grant_floor_ms;
+  return bt_is_this_agent (arbiter, &ticket->home) ? &arbiter->home_floor_ms
+                                                   : &arbiter->grant_floor_ms;
 }
 
 static void
@@ -79,7 +79,7 @@
     return BT_REASON_NO_RUN;
   if (arbiter->leaving)
     return BT_REASON_ENDPOINT_LEAVING;
-  if (bt_is_past (dispatch->deadline_ms, now_ms))
+  if (bt_has_expired (dispatch->deadline_ms, now_ms))
     return BT_REASON_DEADLINE_UNREACHABLE;
   return dispatch->admission;
 }
@@ -161,7 +161,7 @@
                  const bt_record_t *record,
                  const bt_dispatch_t *dispatch)
 {
-  return bt_is_arbiter (arbiter, &record->grant->agent) && dispatch->has_grant
+  return bt_is_this_agent (arbiter, &record->grant->agent) && dispatch->has_grant
          && dispatch->grant.number == record->grant->number;
 }
 
@@ -194,12 +194,12 @@
 }
 
 static void
-dispatch_recorded (bt_context_t *ctx,
-                   bt_arbiter_t *arbiter,
-                   bt_record_t *record,
-                   const bt_dispatch_t *dispatch,
-                   int64_t now_ms,
-                   bt_arbiter_actions_t *actions)
+dispatch_known_key (bt_context_t *ctx,
+                    bt_arbiter_t *arbiter,
+                    bt_record_t *record,
+                    const bt_dispatch_t *dispatch,
+                    int64_t now_ms,
+                    bt_arbiter_actions_t *actions)
 {
   if (record->has_digest && record->body_digest != dispatch->body_digest)
     {
@@ -252,12 +252,12 @@
   bt_record_t *record;
   bt_reason_t reason;
 
-  now_ms = bt_advance_arbiter (arbiter, now_ms);
+  now_ms = bt_advance_arbiter_clock (arbiter, now_ms);
   if (!dispatch->has_ticket)
     {
       /* Only the target can run a request without a key, so a wrong target proves that it did not
        * run. */
-      if (bt_is_arbiter (arbiter, &dispatch->target))
+      if (bt_is_this_agent (arbiter, &dispatch->target))
         dispatch_unkeyed (ctx, arbiter, dispatch, now_ms, actions);
       else
         bt_add_refusal (ctx, actions, &dispatch->path, BT_REASON_WRONG_INSTANCE);
@@ -272,11 +272,11 @@
   record = bt_find_record (arbiter->table, &dispatch->ticket.key);
   extend_record (record, get_dispatch_expiry (arbiter, dispatch));
   if (record != NULL && (record->state == BT_RECORD_RUNNING || record->state == BT_RECORD_DONE))
-    dispatch_recorded (ctx, arbiter, record, dispatch, now_ms, actions);
-  else if (is_dispatch_past (arbiter, dispatch, now_ms))
+    dispatch_known_key (ctx, arbiter, record, dispatch, now_ms, actions);
+  else if (is_dispatch_expired (arbiter, dispatch, now_ms))
     bt_add_refusal (ctx, actions, &dispatch->path, BT_REASON_KEY_EXPIRED);
   else if (record != NULL)
-    dispatch_recorded (ctx, arbiter, record, dispatch, now_ms, actions);
+    dispatch_known_key (ctx, arbiter, record, dispatch, now_ms, actions);
   else if (get_dispatch_expiry (arbiter, dispatch) <= *find_floor (arbiter, &dispatch->ticket))
     bt_add_refusal (ctx, actions, &dispatch->path, BT_REASON_KEY_TOMBSTONED);
   else
@@ -342,11 +342,11 @@
 }
 
 static void
-grant_recorded (bt_context_t *ctx,
-                bt_arbiter_t *arbiter,
-                bt_record_t *record,
-                const bt_grant_request_t *request,
-                bt_arbiter_actions_t *actions)
+grant_known_key (bt_context_t *ctx,
+                 bt_arbiter_t *arbiter,
+                 bt_record_t *record,
+                 const bt_grant_request_t *request,
+                 bt_arbiter_actions_t *actions)
 {
   bool no_grant_record = (arbiter->options.faults & BT_FAULT_NO_GRANT_RECORD) != 0;
 
@@ -381,8 +381,8 @@
       bt_check_addressee (arbiter, &request->ticket.home, BT_REASON_HOME_RESTARTED);
   bt_record_t *record;
 
-  now_ms = bt_advance_arbiter (arbiter, now_ms);
-  if (reason == BT_REASON_NONE && bt_is_past (request->ticket.expires_ms, now_ms))
+  now_ms = bt_advance_arbiter_clock (arbiter, now_ms);
+  if (reason == BT_REASON_NONE && bt_has_expired (request->ticket.expires_ms, now_ms))
     reason = BT_REASON_KEY_EXPIRED;
   if (reason != BT_REASON_NONE)
     {
@@ -395,7 +395,7 @@
   else if (record == NULL)
     grant_key (ctx, arbiter, NULL, request, actions);
   else
-    grant_recorded (ctx, arbiter, record, request, actions);
+    grant_known_key (ctx, arbiter, record, request, actions);
 }
 
 static bt_record_state_t
@@ -416,7 +416,7 @@
     return BT_RECORD_UNSEEN;
   if (record->state != BT_RECORD_GRANTED)
     return record->state;
-  if (bt_is_arbiter (arbiter, &record->grant->agent))
+  if (bt_is_this_agent (arbiter, &record->grant->agent))
     return BT_RECORD_OPEN;
   if (is_home && request->has_grant && request->grant.number == record->grant_number)
     return BT_RECORD_OPEN;
@@ -456,13 +456,13 @@
                              bt_arbiter_actions_t *actions)
 {
   bt_reply_t *reply = bt_add_reply (ctx, actions, BT_REPLY_TOMBSTONE, &request->path);
-  bool is_home = bt_is_arbiter (arbiter, &request->ticket.home);
+  bool is_home = bt_is_this_agent (arbiter, &request->ticket.home);
   const bt_identity_t *addressee =
       is_home || !request->has_grant ? &request->ticket.home : &request->grant.agent;
   int64_t expires_ms = is_home ? request->ticket.expires_ms : request->grant.expires_ms;
   bt_record_t *record = bt_find_record (arbiter->table, &request->ticket.key);
 
-  now_ms = bt_advance_arbiter (arbiter, now_ms);
+  now_ms = bt_advance_arbiter_clock (arbiter, now_ms);
   reply->state = map_addressee_state (
       bt_check_addressee (arbiter, &request->target, BT_REASON_AGENT_RESTARTED));
   if (reply->state == BT_RECORD_UNSEEN)
@@ -472,7 +472,7 @@
     return;
   extend_record (record, expires_ms);
   reply->state = check_tombstone (arbiter, record, request, is_home);
-  if (reply->state == BT_RECORD_UNSEEN && bt_is_past (expires_ms, now_ms))
+  if (reply->state == BT_RECORD_UNSEEN && bt_has_expired (expires_ms, now_ms))
     reply->state = BT_RECORD_EXPIRED;
   if (reply->state == BT_RECORD_UNSEEN || reply->state == BT_RECORD_OPEN)
     {
--- a/source/requests/arbiter_private.h
+++ b/source/requests/arbiter_private.h
@@ -40,7 +40,7 @@
                             bt_reason_t reason);
 
 /** True when @p identity is this agent and its current incarnation. */
-bool bt_is_arbiter (const bt_arbiter_t *arbiter, const bt_identity_t *identity);
+bool bt_is_this_agent (const bt_arbiter_t *arbiter, const bt_identity_t *identity);
 
 /** Checks whether a message to @p identity is for this agent.
  * @return BT_REASON_NONE when it is, @p restarted when it is for another incarnation of this agent,
@@ -51,10 +51,10 @@
 
 /** Returns the time to use for expiry checks: the latest one passed in, so that it never goes back.
  */
-int64_t bt_advance_arbiter (bt_arbiter_t *arbiter, int64_t now_ms);
+int64_t bt_advance_arbiter_clock (bt_arbiter_t *arbiter, int64_t now_ms);
 
 /** True when @p now_ms has reached @p expires_ms; both in this agent's clock. */
-bool bt_is_past (int64_t expires_ms, int64_t now_ms);
+bool bt_has_expired (int64_t expires_ms, int64_t now_ms);
 
 /** Sends a watcher the part of the answer received so far; refuses when pieces that it needs were
  * dropped.
--- a/source/requests/delivery.c
+++ b/source/requests/delivery.c
@@ -69,7 +69,7 @@
 bool
 bt_is_delivery_waiting_for (const bt_delivery_t *delivery, const bt_identity_t *identity)
 {
-  return delivery->phase == BT_PHASE_WAITING
+  return delivery->phase == BT_PHASE_AWAITING_LINK
          && strcmp (delivery->target.instance, identity->instance) == 0;
 }
 
@@ -87,7 +87,7 @@
 {
   if (delivery->message != BT_MESSAGE_DISPATCH || delivery->path.link == 0)
     return;
-  if (delivery->phase == BT_PHASE_ASKING || delivery->phase == BT_PHASE_RUNNING)
+  if (delivery->phase == BT_PHASE_AWAITING_REPLY || delivery->phase == BT_PHASE_RUNNING)
     bt_add_delivery_action (ctx, actions, BT_DELIVERY_SEND_CANCEL)->path = delivery->path;
 }
 
@@ -167,7 +167,7 @@
 
   delivery->path.attempt++;
   delivery->path.link = 0;
-  enter_phase (delivery, BT_PHASE_ASKING, now_ms);
+  enter_phase (delivery, BT_PHASE_AWAITING_REPLY, now_ms);
   switch (delivery->message)
     {
     case BT_MESSAGE_DISPATCH:
@@ -269,7 +269,7 @@
 
   action->excluded = delivery->excluded;
   action->excluded_count = delivery->excluded_count;
-  enter_phase (delivery, BT_PHASE_CHOOSING, now_ms);
+  enter_phase (delivery, BT_PHASE_AWAITING_CANDIDATE, now_ms);
 }
 
 static void
@@ -294,7 +294,7 @@
   exclude (ctx, delivery, &delivery->target);
   cancel_dispatch (ctx, delivery, actions);
   bt_add_delivery_action (ctx, actions, BT_DELIVERY_ASK_BUDGET)->retry = retry;
-  delivery->phase = BT_PHASE_BUDGETING;
+  delivery->phase = BT_PHASE_AWAITING_BUDGET;
 }
 
 static void
@@ -382,7 +382,7 @@
       bt_send_delivery_message (ctx, delivery, now_ms, actions);
       return;
     }
-  enter_phase (delivery, BT_PHASE_WAITING, now_ms);
+  enter_phase (delivery, BT_PHASE_AWAITING_LINK, now_ms);
 }
 
 static void
@@ -428,8 +428,9 @@
 {
   int64_t left_ms = delivery->options.deadline_ms - now_ms;
   int64_t phase_ms = now_ms - delivery->phase_start_ms;
-  bool unanswered = delivery->phase == BT_PHASE_ASKING || delivery->phase == BT_PHASE_CHOOSING
-                    || delivery->phase == BT_PHASE_BUDGETING || delivery->phase == BT_PHASE_NEW;
+  bool unanswered =
+      delivery->phase == BT_PHASE_AWAITING_REPLY || delivery->phase == BT_PHASE_AWAITING_CANDIDATE
+      || delivery->phase == BT_PHASE_AWAITING_BUDGET || delivery->phase == BT_PHASE_NEW;
 
   if (left_ms <= 0 && !delivery->options.has_ticket && delivery->unconfirmed_dispatches == 0)
     bt_end_delivery (ctx, delivery, BT_REASON_DEADLINE_UNREACHABLE, BT_OUTCOME_NOT_RUN, 0, actions);
@@ -438,9 +439,11 @@
   else if (delivery->options.has_ticket && left_ms <= delivery->options.give_up_margin_ms
            && unanswered && !delivery->giving_up)
     bt_give_up_delivery (ctx, delivery, BT_REASON_DEADLINE_UNREACHABLE, 0, now_ms, actions);
-  else if (delivery->phase == BT_PHASE_ASKING && phase_ms >= delivery->options.reply_limit_ms)
+  else if (delivery->phase == BT_PHASE_AWAITING_REPLY
+           && phase_ms >= delivery->options.reply_limit_ms)
     bt_handle_lost_message (ctx, delivery, true, now_ms, actions);
-  else if (delivery->phase == BT_PHASE_WAITING && phase_ms >= delivery->options.reconnect_limit_ms)
+  else if (delivery->phase == BT_PHASE_AWAITING_LINK
+           && phase_ms >= delivery->options.reconnect_limit_ms)
     bt_end_delivery_unknown (ctx, delivery,
                              bt_same_identity (&delivery->target, &delivery->options.ticket.home)
                                  ? BT_REASON_HOME_UNREACHABLE
@@ -468,7 +471,7 @@
 {
   if (!is_reply_to_last_message (delivery, &reply->path))
     return;
-  if (delivery->phase != BT_PHASE_ASKING && delivery->phase != BT_PHASE_RUNNING)
+  if (delivery->phase != BT_PHASE_AWAITING_REPLY && delivery->phase != BT_PHASE_RUNNING)
     return;
   if (reply->kind >= BT_REPLY_HEAD)
     bt_handle_answer (ctx, delivery, reply, now_ms, actions);
@@ -483,7 +486,8 @@
                   int64_t now_ms,
                   bt_delivery_actions_t *actions)
 {
-  bool awaits_reply = delivery->phase == BT_PHASE_ASKING || delivery->phase == BT_PHASE_RUNNING;
+  bool awaits_reply =
+      delivery->phase == BT_PHASE_AWAITING_REPLY || delivery->phase == BT_PHASE_RUNNING;
 
   if (awaits_reply && delivery->path.link != 0 && delivery->path.link == event->link)
     bt_handle_lost_message (ctx, delivery, false, now_ms, actions);
@@ -504,15 +508,15 @@
       bt_ask_candidate (ctx, delivery, now_ms, actions);
       break;
     case BT_DELIVERY_CANDIDATE:
-      if (delivery->phase == BT_PHASE_CHOOSING)
+      if (delivery->phase == BT_PHASE_AWAITING_CANDIDATE)
         handle_candidate (ctx, delivery, event, now_ms, actions);
       break;
     case BT_DELIVERY_NO_CANDIDATE:
-      if (delivery->phase == BT_PHASE_CHOOSING)
+      if (delivery->phase == BT_PHASE_AWAITING_CANDIDATE)
         bt_give_up_delivery (ctx, delivery, event->reason, event->retry_after_ms, now_ms, actions);
       break;
     case BT_DELIVERY_BUDGET:
-      if (delivery->phase == BT_PHASE_BUDGETING)
+      if (delivery->phase == BT_PHASE_AWAITING_BUDGET)
         handle_budget (ctx, delivery, event, now_ms, actions);
       break;
     case BT_DELIVERY_SENT:
--- a/source/requests/delivery_private.h
+++ b/source/requests/delivery_private.h
@@ -10,11 +10,11 @@
 typedef enum bt_delivery_phase
 {
   BT_PHASE_NEW = 0,
-  BT_PHASE_CHOOSING,  /**< The policy was asked for a candidate. */
-  BT_PHASE_BUDGETING, /**< The policy was asked whether a further attempt is allowed. */
-  BT_PHASE_ASKING,    /**< A message was sent; waits for its reply. */
-  BT_PHASE_RUNNING,   /**< The dispatch was accepted. */
-  BT_PHASE_WAITING,   /**< Waits for a link, to send the message again. */
+  BT_PHASE_AWAITING_CANDIDATE, /**< The policy was asked for an agent. */
+  BT_PHASE_AWAITING_BUDGET,    /**< The policy was asked whether a further attempt is allowed. */
+  BT_PHASE_AWAITING_REPLY,     /**< A message was sent; waits for its reply. */
+  BT_PHASE_RUNNING,            /**< The dispatch was accepted. */
+  BT_PHASE_AWAITING_LINK,      /**< Waits for a link, to send the message again. */
   BT_PHASE_FINISHED,
 } bt_delivery_phase_t;
 
@@ -35,11 +35,11 @@
   bt_reply_path_t path;          /**< Path that its replies have; link 0 when it was not sent. */
   int64_t phase_start_ms;        /**< When the phase began. */
   int32_t resends;
-  int32_t hops;
+  int32_t followed_grants;
   bt_identity_t candidate; /**< Proposed in the last grant request. */
   int64_t candidate_expires_ms;
   bool has_grant;
-  bool grant_tombstoned; /**< The agent of the grant has tombstoned the key, or needs not
+  bool grant_tombstoned; /**< The agent of the grant has tombstoned the key, or is the home agent
                              (see handle_budget). */
   bt_grant_t grant;
   bool attach_only;
@@ -51,8 +51,8 @@
   bt_identity_t *excluded;
   int32_t excluded_count;
   int32_t excluded_capacity;
-  bool has_head; /**< The head is held back until the first piece, so that the request can still
-                    run again elsewhere. */
+  bool has_head; /**< The head was received. It is held back until the first piece, so that the
+                    request can still run again elsewhere. */
   uint32_t status;
   void *head;
   uint64_t head_bytes;
--- a/source/requests/delivery_replies.c
+++ b/source/requests/delivery_replies.c
@@ -17,7 +17,7 @@
               int64_t now_ms,
               bt_delivery_actions_t *actions)
 {
-  if (++delivery->hops > delivery->options.max_hops)
+  if (++delivery->followed_grants > delivery->options.max_hops)
     {
       bt_end_delivery_unknown (ctx, delivery, BT_REASON_RETRY_BUDGET, actions);
       return;
@@ -206,15 +206,15 @@
                  bt_delivery_actions_t *actions)
 {
   bool dispatched = delivery->message == BT_MESSAGE_DISPATCH;
-  bool asking = delivery->phase == BT_PHASE_ASKING;
+  bool awaiting_reply = delivery->phase == BT_PHASE_AWAITING_REPLY;
 
   if (reply->kind == BT_REPLY_ACCEPTED && dispatched)
     delivery->phase = BT_PHASE_RUNNING;
   else if (reply->kind == BT_REPLY_REFUSED && dispatched)
     handle_refusal (ctx, delivery, reply, now_ms, actions);
-  else if (reply->kind == BT_REPLY_GRANT && asking && delivery->message == BT_MESSAGE_GRANT)
+  else if (reply->kind == BT_REPLY_GRANT && awaiting_reply && delivery->message == BT_MESSAGE_GRANT)
     handle_grant_reply (ctx, delivery, reply, now_ms, actions);
-  else if (reply->kind == BT_REPLY_TOMBSTONE && asking
+  else if (reply->kind == BT_REPLY_TOMBSTONE && awaiting_reply
            && delivery->message >= BT_MESSAGE_TOMBSTONE_GRANTEE)
     handle_tombstone_reply (ctx, delivery, reply, now_ms, actions);
 }
--- a/source/requests/record.h
+++ b/source/requests/record.h
@@ -14,8 +14,8 @@
   uint32_t status;
   uint8_t *head;
   uint64_t head_bytes;
-  bool kept;            /**< False: the pieces exceeded a limit, were dropped, or have no key. */
-  uint8_t *data;        /**< All pieces concatenated, when kept. */
+  bool kept;     /**< False: the pieces exceeded a limit or expired, or the record has no key. */
+  uint8_t *data; /**< All pieces concatenated, when kept. */
   uint64_t *piece_ends; /**< End offset of each piece in data, when kept. */
   uint64_t pieces;
   uint64_t bytes;
--- a/test/requests/request_processes.h
+++ b/test/requests/request_processes.h
@@ -8,65 +8,65 @@
 #include "request_world.h"
 
 static void
-start_agent (world_t *world, int32_t agent)
+start_agent (simulation_t *sim, int32_t agent)
 {
-  agent_t *it = &world->agents[agent];
-  bool small_table = chance (world, 20);
+  agent_t *it = &sim->agents[agent];
+  bool small_table = chance (sim, 20);
   bt_arbiter_options_t options = {
     .max_records = small_table ? 2 : 100,
     .tombstone_reserve = small_table ? 1 : 100,
     .max_bytes = 1 << 20,
-    .max_answer_bytes = chance (world, 20) ? 20 : 10000,
-    .keep_answer_ms = chance (world, 20) ? 50 : 5000,
+    .max_answer_bytes = chance (sim, 20) ? 20 : 10000,
+    .keep_answer_ms = chance (sim, 20) ? 50 : 5000,
     .grace_ms = 100,
     .ticket_life_ms = TICKET_LIFE_MS,
     .retry_after_ms = 100,
     .max_resumes = 2,
-    .faults = world->faults,
+    .faults = sim->faults,
   };
 
-  bt_drop_arbiter (world->ctx, it->arbiter);
+  bt_drop_arbiter (sim->ctx, it->arbiter);
   snprintf (it->self.instance, sizeof it->self.instance, "agent-%d", agent);
-  it->self.incarnation = ++world->last_incarnation;
+  it->self.incarnation = ++sim->last_incarnation;
   options.self = it->self;
-  it->arbiter = bt_new_arbiter (world->ctx, &options);
-  it->clock_offset = pick (world, CLOCK_SPREAD_MS);
+  it->arbiter = bt_new_arbiter (sim->ctx, &options);
+  it->clock_offset = pick (sim, CLOCK_SPREAD_MS);
 }
 
 static void
-open_link (world_t *world, int32_t entry, int32_t agent)
+open_link (simulation_t *sim, int32_t entry, int32_t agent)
 {
-  entry_t *it = &world->entries[entry];
+  entry_t *it = &sim->entries[entry];
 
-  it->links[agent] = ++world->last_link * ENTRIES + (uint64_t)entry;
-  it->incarnations[agent] = world->agents[agent].self.incarnation;
+  it->links[agent] = ++sim->last_link * ENTRIES + (uint64_t)entry;
+  it->incarnations[agent] = sim->agents[agent].self.incarnation;
 }
 
 static void
-step_delivery (world_t *world, submission_t *submission, const bt_delivery_event_t *event);
+step_delivery (simulation_t *sim, submission_t *submission, const bt_delivery_event_t *event);
 
 static void
-answer_candidate (world_t *world, submission_t *submission, const bt_delivery_action_t *action)
+answer_candidate (simulation_t *sim, submission_t *submission, const bt_delivery_action_t *action)
 {
   bt_delivery_event_t event = { .kind = BT_DELIVERY_NO_CANDIDATE, .reason = BT_REASON_NO_ENDPOINT };
-  int32_t first = pick (world, AGENTS);
+  int32_t first = pick (sim, AGENTS);
 
-  for (int32_t i = 0; i < AGENTS && !chance (world, 5); i++)
+  for (int32_t i = 0; i < AGENTS && !chance (sim, 5); i++)
     {
       int32_t agent = (first + i) % AGENTS;
-      bool excluded = world->entries[submission->entry].links[agent] == 0;
+      bool excluded = sim->entries[submission->entry].links[agent] == 0;
 
-      event.identity = world->agents[agent].self;
-      event.identity.incarnation = world->entries[submission->entry].incarnations[agent];
+      event.identity = sim->agents[agent].self;
+      event.identity.incarnation = sim->entries[submission->entry].incarnations[agent];
       for (int32_t k = 0; k < action->excluded_count; k++)
         excluded = excluded || bt_same_identity (&action->excluded[k], &event.identity);
       if (excluded)
         continue;
       event.kind = BT_DELIVERY_CANDIDATE;
-      event.grant_expires_ms = agent_now (world, agent) + TICKET_LIFE_MS - pick (world, 500);
+      event.grant_expires_ms = agent_now (sim, agent) + TICKET_LIFE_MS - pick (sim, 500);
       break;
     }
-  step_delivery (world, submission, &event);
+  step_delivery (sim, submission, &event);
 }
 
 static int32_t
@@ -76,42 +76,42 @@
 }
 
 static void
-send_action (world_t *world, submission_t *submission, const bt_delivery_action_t *action)
+send_action (simulation_t *sim, submission_t *submission, const bt_delivery_action_t *action)
 {
-  entry_t *entry = &world->entries[submission->entry];
+  entry_t *entry = &sim->entries[submission->entry];
   int32_t agent = find_agent (&action->identity);
   bt_delivery_event_t sent = { .kind = BT_DELIVERY_SENT };
   bt_delivery_event_t up = { .kind = BT_DELIVERY_LINK_UP, .identity = action->identity };
   bool same = entry->incarnations[agent] == action->identity.incarnation
-              || (world->faults & BT_FAULT_NO_INCARNATION) != 0;
+              || (sim->faults & BT_FAULT_NO_INCARNATION) != 0;
   event_t *event;
 
   up.identity.incarnation = entry->incarnations[agent];
   if (entry->links[agent] == 0 || !same)
     {
-      step_delivery (world, submission, &sent);
+      step_delivery (sim, submission, &sent);
       if (entry->links[agent] != 0)
-        step_delivery (world, submission, &up);
+        step_delivery (sim, submission, &up);
       return;
     }
   sent.link = entry->links[agent];
-  event = add_event (world, (event_kind_t)(action->kind - BT_DELIVERY_SEND_DISPATCH), 0);
+  event = add_event (sim, (event_kind_t)(action->kind - BT_DELIVERY_SEND_DISPATCH), 0);
   event->agent = agent;
   event->entry = submission->entry;
   event->link = sent.link;
   event->dispatch = action->dispatch;
   event->dispatch.path.link = sent.link;
-  event->dispatch.sender_now_ms = entry_now (world, submission->entry);
+  event->dispatch.sender_now_ms = entry_now (sim, submission->entry);
   event->grant_request = action->grant_request;
   event->grant_request.path.link = sent.link;
   event->tombstone_request = action->tombstone_request;
   event->tombstone_request.path.link = sent.link;
-  send_message (world, event, world->requests[submission->request].keyed);
-  step_delivery (world, submission, &sent);
+  send_message (sim, event, sim->requests[submission->request].keyed);
+  step_delivery (sim, submission, &sent);
 }
 
 static void
-finish (world_t *world, submission_t *submission, const bt_delivery_action_t *action)
+finish (simulation_t *sim, submission_t *submission, const bt_delivery_action_t *action)
 {
   submission->finished = true;
   submission->whole = action->kind == BT_DELIVERY_FINISH_WHOLE;
@@ -120,15 +120,15 @@
   submission->reason = action->reason;
   if (action->kind == BT_DELIVERY_FINISH_REFUSED
       && (action->reason == BT_REASON_NONE || action->outcome == BT_OUTCOME_ANSWERED))
-    snprintf (world->violation, sizeof world->violation, "a refusal without a reason");
+    snprintf (sim->violation, sizeof sim->violation, "a refusal without a reason");
   if (action->outcome == BT_OUTCOME_NOT_RUN
       && bt_get_reason_outcome (action->reason) != BT_OUTCOME_NOT_RUN)
-    snprintf (world->violation, sizeof world->violation, "%s told as not-run",
+    snprintf (sim->violation, sizeof sim->violation, "%s told as not-run",
               bt_name_reason (action->reason));
 }
 
 static void
-carry_out_action (world_t *world, submission_t *submission, const bt_delivery_action_t *action)
+carry_out_action (simulation_t *sim, submission_t *submission, const bt_delivery_action_t *action)
 {
   bt_delivery_event_t event = { .kind = BT_DELIVERY_BUDGET };
   size_t used = strlen (submission->text);
@@ -136,27 +136,27 @@
   switch (action->kind)
     {
     case BT_DELIVERY_ASK_CANDIDATE:
-      answer_candidate (world, submission, action);
+      answer_candidate (sim, submission, action);
       break;
     case BT_DELIVERY_ASK_BUDGET:
       event.allowed = submission->retries++ < MAX_BUDGET;
-      step_delivery (world, submission, &event);
+      step_delivery (sim, submission, &event);
       break;
     case BT_DELIVERY_SEND_DISPATCH:
     case BT_DELIVERY_SEND_GRANT:
     case BT_DELIVERY_SEND_TOMBSTONE:
-      send_action (world, submission, action);
+      send_action (sim, submission, action);
       break;
     case BT_DELIVERY_SEND_CANCEL:
       for (int32_t i = 0; i < AGENTS; i++)
-        if (world->entries[submission->entry].links[i] == action->path.link)
+        if (sim->entries[submission->entry].links[i] == action->path.link)
           {
-            event_t *cancel = add_event (world, TO_AGENT_CANCEL, 0);
+            event_t *cancel = add_event (sim, TO_AGENT_CANCEL, 0);
 
             cancel->agent = i;
             cancel->entry = submission->entry;
             cancel->path = action->path;
-            send_message (world, cancel, true);
+            send_message (sim, cancel, true);
           }
       break;
     case BT_DELIVERY_GIVE_HEAD:
@@ -165,50 +165,50 @@
                 (const char *)action->data);
       break;
     default:
-      finish (world, submission, action);
+      finish (sim, submission, action);
       break;
     }
 }
 
 static void
-step_delivery (world_t *world, submission_t *submission, const bt_delivery_event_t *event)
+step_delivery (simulation_t *sim, submission_t *submission, const bt_delivery_event_t *event)
 {
   bt_delivery_actions_t actions = { 0 };
 
   if (submission->call == NULL)
     return;
-  bt_step_delivery (world->ctx, submission->call, event, entry_now (world, submission->entry),
+  bt_step_delivery (sim->ctx, submission->call, event, entry_now (sim, submission->entry),
                     &actions);
   for (int32_t i = 0; i < actions.count; i++)
-    carry_out_action (world, submission, &actions.items[i]);
-  bt_free_delivery_actions (world->ctx, &actions);
+    carry_out_action (sim, submission, &actions.items[i]);
+  bt_free_delivery_actions (sim->ctx, &actions);
 }
 
 static void
-handle_submission (world_t *world, event_t *cause)
+handle_submission (simulation_t *sim, event_t *cause)
 {
-  submission_t *submission = &world->submissions[cause->index];
-  request_t *request = &world->requests[submission->request];
+  submission_t *submission = &sim->submissions[cause->index];
+  request_t *request = &sim->requests[submission->request];
   bt_delivery_event_t event = { .kind = BT_DELIVERY_SUBMIT };
   bt_delivery_options_t options = {
-    .call = ++world->entries[submission->entry].last_call,
+    .call = ++sim->entries[submission->entry].last_call,
     .has_ticket = request->keyed,
     .ticket = request->ticket,
     .idempotent = request->idempotent,
     .body_digest = (uint64_t)submission->request,
-    .deadline_ms = entry_now (world, submission->entry) + DEADLINE_MS,
+    .deadline_ms = entry_now (sim, submission->entry) + DEADLINE_MS,
     .give_up_margin_ms = 200,
     .reply_limit_ms = 150,
     .reconnect_limit_ms = 300,
     .retry_after_ms = 100,
     .max_resends = 2,
     .max_hops = 4,
-    .faults = world->faults,
+    .faults = sim->faults,
   };
 
   submission->call_id = options.call;
-  submission->call = bt_new_delivery (world->ctx, &options);
-  step_delivery (world, submission, &event);
+  submission->call = bt_new_delivery (sim->ctx, &options);
+  step_delivery (sim, submission, &event);
 }
 
 static int32_t
@@ -220,26 +220,26 @@
 /* Schedules the events of an endpoint's answer from a byte offset on. The text differs for each run
  * of a request. */
 static void
-stream_answer (world_t *world, int32_t run_index, uint64_t from_bytes)
+stream_answer (simulation_t *sim, int32_t run_index, uint64_t from_bytes)
 {
-  run_t *run = &world->runs[run_index];
-  request_t *request = &world->requests[run->request];
+  run_t *run = &sim->runs[run_index];
+  request_t *request = &sim->requests[run->request];
   uint64_t offset = 0;
   int64_t at = 1;
-  bool breaks = chance (world, 15);
-  int32_t break_at = pick (world, request->pieces + 1);
-  bool fails = chance (world, 40);
-  event_t *event = add_event (world, RUN_EVENT, at);
+  bool breaks = chance (sim, 15);
+  int32_t break_at = pick (sim, request->pieces + 1);
+  bool fails = chance (sim, 40);
+  event_t *event = add_event (sim, RUN_EVENT, at);
 
   event->run_event.kind = BT_RUN_HEAD;
   event->run_event.status = 200;
   event->index = run_index;
   for (int32_t i = 0; i <= request->pieces; i++)
     {
-      at += 1 + pick (world, chance (world, 10) ? 200 : 20);
-      event = add_event (world, RUN_EVENT, at);
+      at += 1 + pick (sim, chance (sim, 10) ? 200 : 20);
+      event = add_event (sim, RUN_EVENT, at);
       event->index = run_index;
-      event->run_event.resumable = chance (world, 80);
+      event->run_event.resumable = chance (sim, 80);
       event->run_event.may_have_run = true;
       event->run_event.reason = BT_REASON_ENGINE_FAILED;
       if (breaks && i == break_at)
@@ -262,252 +262,252 @@
 }
 
 static void
-handle_run_begin (world_t *world, event_t *event)
+handle_run_begin (simulation_t *sim, event_t *event)
 {
-  run_t *run = &world->runs[event->index];
+  run_t *run = &sim->runs[event->index];
 
   if (run->cancelled)
     return;
-  run->generation = ++world->requests[run->request].runs;
-  stream_answer (world, event->index, 0);
+  run->generation = ++sim->requests[run->request].runs;
+  stream_answer (sim, event->index, 0);
 }
 
 static void
-start_run (world_t *world, int32_t agent, const bt_arbiter_action_t *action)
+start_run (simulation_t *sim, int32_t agent, const bt_arbiter_action_t *action)
 {
-  run_t *run = &world->runs[world->run_count];
+  run_t *run = &sim->runs[sim->run_count];
   event_t *event;
 
-  if (world->run_count == MAX_RUNS)
+  if (sim->run_count == MAX_RUNS)
     abort ();
   run->agent = agent;
-  run->incarnation = world->agents[agent].self.incarnation;
+  run->incarnation = sim->agents[agent].self.incarnation;
   run->id = action->run;
   run->request = (int32_t)action->dispatch->body_digest;
-  event = add_event (world, RUN_BEGINS, 1 + pick (world, chance (world, 10) ? 300 : 5));
-  event->index = world->run_count++;
-  if (chance (world, 90))
+  event = add_event (sim, RUN_BEGINS, 1 + pick (sim, chance (sim, 10) ? 300 : 5));
+  event->index = sim->run_count++;
+  if (chance (sim, 90))
     return;
   event->kind = RUN_EVENT;
   event->run_event.kind = BT_RUN_FAILED;
-  event->run_event.may_have_run = chance (world, 50);
+  event->run_event.may_have_run = chance (sim, 50);
   event->run_event.reason =
       event->run_event.may_have_run ? BT_REASON_ENGINE_FAILED : BT_REASON_ENGINE_UNREACHABLE;
 }
 
 static run_t *
-find_world_run (world_t *world, int32_t agent, uint64_t id)
+find_simulated_run (simulation_t *sim, int32_t agent, uint64_t id)
 {
-  for (int32_t i = 0; i < world->run_count; i++)
-    if (world->runs[i].agent == agent && world->runs[i].id == id
-        && world->runs[i].incarnation == world->agents[agent].self.incarnation)
-      return &world->runs[i];
+  for (int32_t i = 0; i < sim->run_count; i++)
+    if (sim->runs[i].agent == agent && sim->runs[i].id == id
+        && sim->runs[i].incarnation == sim->agents[agent].self.incarnation)
+      return &sim->runs[i];
   abort ();
 }
 
 static void
-post_reply (world_t *world, int32_t agent, const bt_reply_t *reply)
+post_reply (simulation_t *sim, int32_t agent, const bt_reply_t *reply)
 {
-  event_t *event = add_event (world, TO_ENTRY, 0);
+  event_t *event = add_event (sim, TO_ENTRY, 0);
 
   event->agent = agent;
   event->entry = (int32_t)(reply->path.link % ENTRIES);
   event->reply = *reply;
   if (reply->data_bytes > 0)
     memcpy (event->data, reply->data, reply->data_bytes);
-  send_message (world, event, true);
+  send_message (sim, event, true);
 }
 
 static void
-carry_out_arbiter_actions (world_t *world, int32_t agent, bt_arbiter_actions_t *actions)
+carry_out_arbiter_actions (simulation_t *sim, int32_t agent, bt_arbiter_actions_t *actions)
 {
   for (int32_t i = 0; i < actions->count; i++)
     {
       const bt_arbiter_action_t *action = &actions->items[i];
 
       if (action->kind == BT_ARBITER_START_RUN)
-        start_run (world, agent, action);
+        start_run (sim, agent, action);
       else if (action->kind == BT_ARBITER_RESUME_RUN)
-        stream_answer (world, (int32_t)(find_world_run (world, agent, action->run) - world->runs),
+        stream_answer (sim, (int32_t)(find_simulated_run (sim, agent, action->run) - sim->runs),
                        action->from_bytes);
       else if (action->kind == BT_ARBITER_CANCEL_RUN)
-        find_world_run (world, agent, action->run)->cancelled = true;
+        find_simulated_run (sim, agent, action->run)->cancelled = true;
       else
-        post_reply (world, agent, &action->reply);
+        post_reply (sim, agent, &action->reply);
     }
-  bt_free_arbiter_actions (world->ctx, actions);
+  bt_free_arbiter_actions (sim->ctx, actions);
 }
 
 static void
-handle_agent_event (world_t *world, event_t *event)
+handle_agent_event (simulation_t *sim, event_t *event)
 {
-  int32_t agent = event->kind == RUN_EVENT ? world->runs[event->index].agent : event->agent;
-  agent_t *it = &world->agents[agent];
-  int64_t now_ms = agent_now (world, agent);
+  int32_t agent = event->kind == RUN_EVENT ? sim->runs[event->index].agent : event->agent;
+  agent_t *it = &sim->agents[agent];
+  int64_t now_ms = agent_now (sim, agent);
   bt_arbiter_actions_t actions = { 0 };
 
-  if (event->kind == RUN_EVENT && world->runs[event->index].incarnation != it->self.incarnation)
+  if (event->kind == RUN_EVENT && sim->runs[event->index].incarnation != it->self.incarnation)
     return;
-  event->dispatch.admission = chance (world, 10) ? BT_REASON_ENDPOINT_FULL : BT_REASON_NONE;
+  event->dispatch.admission = chance (sim, 10) ? BT_REASON_ENDPOINT_FULL : BT_REASON_NONE;
   event->dispatch.deadline_ms = now_ms + DEADLINE_MS;
-  event->run_event.run = world->runs[event->index].id;
+  event->run_event.run = sim->runs[event->index].id;
   event->run_event.data = event->data;
   if (event->kind == TO_AGENT_DISPATCH)
-    bt_handle_dispatch (world->ctx, it->arbiter, &event->dispatch, now_ms, &actions);
+    bt_handle_dispatch (sim->ctx, it->arbiter, &event->dispatch, now_ms, &actions);
   else if (event->kind == TO_AGENT_GRANT)
-    bt_handle_grant_request (world->ctx, it->arbiter, &event->grant_request, now_ms, &actions);
+    bt_handle_grant_request (sim->ctx, it->arbiter, &event->grant_request, now_ms, &actions);
   else if (event->kind == TO_AGENT_TOMBSTONE)
-    bt_handle_tombstone_request (world->ctx, it->arbiter, &event->tombstone_request, now_ms,
+    bt_handle_tombstone_request (sim->ctx, it->arbiter, &event->tombstone_request, now_ms,
                                  &actions);
   else if (event->kind == TO_AGENT_CANCEL)
-    bt_handle_cancel (world->ctx, it->arbiter, &event->path, &actions);
+    bt_handle_cancel (sim->ctx, it->arbiter, &event->path, &actions);
   else if (event->kind == LINK_DOWN_AT_AGENT)
-    bt_handle_link_down (world->ctx, it->arbiter, event->link, &actions);
+    bt_handle_link_down (sim->ctx, it->arbiter, event->link, &actions);
   else if (event->kind == AGENT_LEAVES)
     bt_set_arbiter_leaving (it->arbiter, now_ms);
   else
-    bt_handle_run_event (world->ctx, it->arbiter, &event->run_event, now_ms, &actions);
-  carry_out_arbiter_actions (world, agent, &actions);
+    bt_handle_run_event (sim->ctx, it->arbiter, &event->run_event, now_ms, &actions);
+  carry_out_arbiter_actions (sim, agent, &actions);
 }
 
 /* Passes a reply to all calls with its call id, whatever its link and attempt, so that only the
  * delivery's own check rejects replies to other messages. */
 static void
-handle_entry_reply (world_t *world, event_t *event)
+handle_entry_reply (simulation_t *sim, event_t *event)
 {
   bt_delivery_event_t delivery_event = { .kind = BT_DELIVERY_REPLY, .reply = &event->reply };
 
   event->reply.data = event->data;
-  for (int32_t i = 0; i < world->submission_count; i++)
-    if (world->submissions[i].entry == event->entry
-        && world->submissions[i].call_id == event->reply.path.call)
-      step_delivery (world, &world->submissions[i], &delivery_event);
+  for (int32_t i = 0; i < sim->submission_count; i++)
+    if (sim->submissions[i].entry == event->entry
+        && sim->submissions[i].call_id == event->reply.path.call)
+      step_delivery (sim, &sim->submissions[i], &delivery_event);
 }
 
 static void
-step_all_deliveries (world_t *world, int32_t entry, const bt_delivery_event_t *event)
+step_all_deliveries (simulation_t *sim, int32_t entry, const bt_delivery_event_t *event)
 {
-  for (int32_t i = 0; i < world->submission_count; i++)
-    if (world->submissions[i].entry == entry && !world->submissions[i].finished)
-      step_delivery (world, &world->submissions[i], event);
+  for (int32_t i = 0; i < sim->submission_count; i++)
+    if (sim->submissions[i].entry == entry && !sim->submissions[i].finished)
+      step_delivery (sim, &sim->submissions[i], event);
 }
 
 static void
-break_link (world_t *world, int32_t entry, int32_t agent)
+break_link (simulation_t *sim, int32_t entry, int32_t agent)
 {
-  uint64_t link = world->entries[entry].links[agent];
+  uint64_t link = sim->entries[entry].links[agent];
   event_t *event;
 
   if (link == 0)
     return;
-  event = add_event (world, LINK_DOWN_AT_ENTRY, 1 + pick (world, 100));
+  event = add_event (sim, LINK_DOWN_AT_ENTRY, 1 + pick (sim, 100));
   event->entry = entry;
   event->agent = agent;
   event->link = link;
-  event = add_event (world, LINK_DOWN_AT_AGENT, 1 + pick (world, 100));
+  event = add_event (sim, LINK_DOWN_AT_AGENT, 1 + pick (sim, 100));
   event->agent = agent;
   event->link = link;
 }
 
 static void
-handle_link_down (world_t *world, event_t *cause)
+handle_link_down (simulation_t *sim, event_t *cause)
 {
   bt_delivery_event_t down = { .kind = BT_DELIVERY_LINK_DOWN, .link = cause->link };
   event_t *event;
 
-  if (world->entries[cause->entry].links[cause->agent] != cause->link)
+  if (sim->entries[cause->entry].links[cause->agent] != cause->link)
     return;
-  world->entries[cause->entry].links[cause->agent] = 0;
-  step_all_deliveries (world, cause->entry, &down);
-  event = add_event (world, LINK_UP, 5 + pick (world, 400));
+  sim->entries[cause->entry].links[cause->agent] = 0;
+  step_all_deliveries (sim, cause->entry, &down);
+  event = add_event (sim, LINK_UP, 5 + pick (sim, 400));
   event->entry = cause->entry;
   event->agent = cause->agent;
 }
 
 static void
-handle_link_up (world_t *world, event_t *cause)
+handle_link_up (simulation_t *sim, event_t *cause)
 {
   bt_delivery_event_t up = { .kind = BT_DELIVERY_LINK_UP };
 
-  if (world->entries[cause->entry].links[cause->agent] != 0)
+  if (sim->entries[cause->entry].links[cause->agent] != 0)
     return;
-  open_link (world, cause->entry, cause->agent);
-  up.identity = world->agents[cause->agent].self;
-  step_all_deliveries (world, cause->entry, &up);
+  open_link (sim, cause->entry, cause->agent);
+  up.identity = sim->agents[cause->agent].self;
+  step_all_deliveries (sim, cause->entry, &up);
 }
 
 /* Restarts an entry instance. Its callers' connections break, so they get no outcome. The new
  * process numbers its calls from 0 again. */
 static void
-restart_entry (world_t *world, event_t *event)
+restart_entry (simulation_t *sim, event_t *event)
 {
   int32_t entry = event->entry;
 
-  for (int32_t i = 0; i < world->submission_count; i++)
-    if (world->submissions[i].entry == entry && !world->submissions[i].finished)
+  for (int32_t i = 0; i < sim->submission_count; i++)
+    if (sim->submissions[i].entry == entry && !sim->submissions[i].finished)
       {
-        bt_drop_delivery (world->ctx, world->submissions[i].call);
-        world->submissions[i].call = NULL;
+        bt_drop_delivery (sim->ctx, sim->submissions[i].call);
+        sim->submissions[i].call = NULL;
       }
-  world->entries[entry].last_call = 0;
+  sim->entries[entry].last_call = 0;
   for (int32_t i = 0; i < AGENTS; i++)
     {
-      event_t link_down = { .entry = entry, .agent = i, .link = world->entries[entry].links[i] };
+      event_t link_down = { .entry = entry, .agent = i, .link = sim->entries[entry].links[i] };
 
       if (link_down.link == 0)
         continue;
-      break_link (world, entry, i);
-      handle_link_down (world, &link_down);
+      break_link (sim, entry, i);
+      handle_link_down (sim, &link_down);
     }
 }
 
 static void
-restart_agent (world_t *world, event_t *event)
+restart_agent (simulation_t *sim, event_t *event)
 {
-  start_agent (world, event->agent);
+  start_agent (sim, event->agent);
   for (int32_t i = 0; i < ENTRIES; i++)
-    break_link (world, i, event->agent);
+    break_link (sim, i, event->agent);
 }
 
 static void
-handle_tick (world_t *world, event_t *cause)
+handle_tick (simulation_t *sim, event_t *cause)
 {
   bt_delivery_event_t event = { .kind = BT_DELIVERY_TICK };
 
-  if (world->now + TICK_MS < SCHEDULE_MS)
-    add_event (world, TICK, TICK_MS);
+  if (sim->now + TICK_MS < SCHEDULE_MS)
+    add_event (sim, TICK, TICK_MS);
   for (int32_t i = 0; i < AGENTS; i++)
-    if (world->now >= world->agents[i].paused_until)
-      bt_tick_arbiter (world->ctx, world->agents[i].arbiter, agent_now (world, i));
+    if (sim->now >= sim->agents[i].paused_until)
+      bt_tick_arbiter (sim->ctx, sim->agents[i].arbiter, agent_now (sim, i));
   for (int32_t i = 0; i < ENTRIES; i++)
-    if (world->now >= world->entries[i].paused_until)
-      step_all_deliveries (world, i, &event);
+    if (sim->now >= sim->entries[i].paused_until)
+      step_all_deliveries (sim, i, &event);
 }
 
 static void
-pause_entry (world_t *world, event_t *event)
+pause_entry (simulation_t *sim, event_t *event)
 {
-  world->entries[event->entry].paused_until = world->now + pick (world, 1500);
+  sim->entries[event->entry].paused_until = sim->now + pick (sim, 1500);
 }
 
 static void
-pause_agent (world_t *world, event_t *event)
+pause_agent (simulation_t *sim, event_t *event)
 {
-  world->agents[event->agent].paused_until = world->now + pick (world, 2500);
+  sim->agents[event->agent].paused_until = sim->now + pick (sim, 2500);
 }
 
 static void
-disconnect_caller (world_t *world, event_t *event)
+disconnect_caller (simulation_t *sim, event_t *event)
 {
   bt_delivery_event_t gone = { .kind = BT_DELIVERY_CALLER_GONE };
 
-  step_delivery (world, &world->submissions[event->index], &gone);
+  step_delivery (sim, &sim->submissions[event->index], &gone);
 }
 
 /* Function that handles an event, and the process whose pause defers it. */
 typedef struct handler
 {
-  void (*handle) (world_t *world, event_t *event);
+  void (*handle) (simulation_t *sim, event_t *event);
   enum
   {
     DEFERRED_BY_NONE,
@@ -539,16 +539,16 @@
 };
 
 static int64_t
-deferred_until (const world_t *world, const event_t *event)
+deferred_until (const simulation_t *sim, const event_t *event)
 {
   switch (handlers[event->kind].deferred_by)
     {
     case DEFERRED_BY_AGENT:
-      return world->agents[event->agent].paused_until;
+      return sim->agents[event->agent].paused_until;
     case DEFERRED_BY_AGENT_OF_RUN:
-      return world->agents[world->runs[event->index].agent].paused_until;
+      return sim->agents[sim->runs[event->index].agent].paused_until;
     case DEFERRED_BY_ENTRY:
-      return world->entries[event->entry].paused_until;
+      return sim->entries[event->entry].paused_until;
     default:
       return 0;
     }
--- a/test/requests/request_world.h
+++ b/test/requests/request_world.h
@@ -122,7 +122,7 @@
   bool cancelled;
 } run_t;
 
-typedef struct world
+typedef struct sim
 {
   bt_context_t *ctx;
   bt_random_t random;
@@ -147,7 +147,7 @@
   int64_t last_to_entry[ENTRIES][AGENTS];
   int64_t last_to_agent[ENTRIES][AGENTS];
   char violation[MAX_TEXT];
-} world_t;
+} simulation_t;
 
 /** Totals over many schedules. */
 typedef struct tally
@@ -176,65 +176,65 @@
 };
 
 static bool
-chance (world_t *world, uint64_t percent)
+chance (simulation_t *sim, uint64_t percent)
 {
-  return bt_random_below (&world->random, PERCENT) < percent;
+  return bt_random_below (&sim->random, PERCENT) < percent;
 }
 
 static int32_t
-pick (world_t *world, int32_t bound)
+pick (simulation_t *sim, int32_t bound)
 {
-  return (int32_t)bt_random_below (&world->random, (uint64_t)bound);
+  return (int32_t)bt_random_below (&sim->random, (uint64_t)bound);
 }
 
 static event_t *
-add_event (world_t *world, event_kind_t kind, int64_t delay_ms)
+add_event (simulation_t *sim, event_kind_t kind, int64_t delay_ms)
 {
   event_t *event;
 
-  if (world->event_count == MAX_MESSAGES)
+  if (sim->event_count == MAX_MESSAGES)
     abort ();
-  event = bt_calloc (world->ctx, 1, sizeof *event);
+  event = bt_calloc (sim->ctx, 1, sizeof *event);
   event->kind = kind;
-  event->at = world->now + delay_ms;
-  event->order = ++world->last_order;
-  world->events[world->event_count++] = event;
+  event->at = sim->now + delay_ms;
+  event->order = ++sim->last_order;
+  sim->events[sim->event_count++] = event;
   return event;
 }
 
 static event_t *
-take_next_event (world_t *world)
+take_next_event (simulation_t *sim)
 {
   int32_t best = 0;
   event_t *event;
 
-  for (int32_t i = 1; i < world->event_count; i++)
-    if (world->events[i]->at < world->events[best]->at
-        || (world->events[i]->at == world->events[best]->at
-            && world->events[i]->order < world->events[best]->order))
+  for (int32_t i = 1; i < sim->event_count; i++)
+    if (sim->events[i]->at < sim->events[best]->at
+        || (sim->events[i]->at == sim->events[best]->at
+            && sim->events[i]->order < sim->events[best]->order))
       best = i;
-  event = world->events[best];
-  world->events[best] = world->events[--world->event_count];
+  event = sim->events[best];
+  sim->events[best] = sim->events[--sim->event_count];
   return event;
 }
 
 /* Most messages arrive quickly; some are delayed by more than the time limits of the protocol. */
 static int64_t
-draw_delay (world_t *world)
+draw_delay (simulation_t *sim)
 {
-  if (chance (world, world->slow_percent))
-    return 100 + pick (world, 3000);
-  return 1 + pick (world, chance (world, 15) ? 120 : 6);
+  if (chance (sim, sim->slow_percent))
+    return 100 + pick (sim, 3000);
+  return 1 + pick (sim, chance (sim, 15) ? 120 : 6);
 }
 
 /* Keeps messages of one connection in order, except in schedules that shuffle all messages. */
 static void
-keep_order (world_t *world, event_t *event)
+keep_order (simulation_t *sim, event_t *event)
 {
-  int64_t *last = event->kind == TO_ENTRY ? &world->last_to_entry[event->entry][event->agent]
-                                          : &world->last_to_agent[event->entry][event->agent];
+  int64_t *last = event->kind == TO_ENTRY ? &sim->last_to_entry[event->entry][event->agent]
+                                          : &sim->last_to_agent[event->entry][event->agent];
 
-  if (world->reorders_messages)
+  if (sim->reorders_messages)
     return;
   if (event->at < *last)
     event->at = *last;
@@ -244,33 +244,33 @@
 /* Delivers, loses or duplicates a message. A request without a key is never duplicated: a
  * connection does not deliver a message twice, and a request without a key is never resent. */
 static void
-send_message (world_t *world, event_t *event, bool may_duplicate)
+send_message (simulation_t *sim, event_t *event, bool may_duplicate)
 {
   event_t *duplicate;
 
-  event->at = world->now + draw_delay (world);
-  if (chance (world, world->loss_percent))
+  event->at = sim->now + draw_delay (sim);
+  if (chance (sim, sim->loss_percent))
     event->at = NEVER_MS;
   else
-    keep_order (world, event);
-  if (!may_duplicate || !chance (world, 5))
+    keep_order (sim, event);
+  if (!may_duplicate || !chance (sim, 5))
     return;
-  duplicate = add_event (world, event->kind, 0);
+  duplicate = add_event (sim, event->kind, 0);
   *duplicate = *event;
-  duplicate->order = ++world->last_order;
-  duplicate->at = world->now + draw_delay (world);
+  duplicate->order = ++sim->last_order;
+  duplicate->at = sim->now + draw_delay (sim);
 }
 
 static int64_t
-agent_now (const world_t *world, int32_t agent)
+agent_now (const simulation_t *sim, int32_t agent)
 {
-  return world->now + world->agents[agent].clock_offset;
+  return sim->now + sim->agents[agent].clock_offset;
 }
 
 static int64_t
-entry_now (const world_t *world, int32_t entry)
+entry_now (const simulation_t *sim, int32_t entry)
 {
-  return world->now + world->entries[entry].clock_offset;
+  return sim->now + sim->entries[entry].clock_offset;
 }
 
 #endif
--- a/test/requests/test_request_schedules.c
+++ b/test/requests/test_request_schedules.c
@@ -6,74 +6,73 @@
 
 /* Resends race with the first submission, or arrive before or after the ticket's expiry. */
 static int64_t
-draw_submit_delay (world_t *world, int32_t attempt)
+draw_submit_delay (simulation_t *sim, int32_t attempt)
 {
-  if (attempt == 0 || chance (world, 40))
-    return pick (world, 300);
-  return pick (world, chance (world, 70) ? TICKET_LIFE_MS : 3 * TICKET_LIFE_MS);
+  if (attempt == 0 || chance (sim, 40))
+    return pick (sim, 300);
+  return pick (sim, chance (sim, 70) ? TICKET_LIFE_MS : 3 * TICKET_LIFE_MS);
 }
 
 static void
-plan_requests (world_t *world)
+plan_requests (simulation_t *sim)
 {
-  int32_t count = 2 + pick (world, MAX_REQUESTS - 1);
+  int32_t count = 2 + pick (sim, MAX_REQUESTS - 1);
 
-  world->request_count = count;
+  sim->request_count = count;
   for (int32_t i = 0; i < count; i++)
     {
-      request_t *request = &world->requests[i];
-      int32_t home = pick (world, AGENTS);
+      request_t *request = &sim->requests[i];
+      int32_t home = pick (sim, AGENTS);
       int32_t copies = 1;
 
-      request->keyed = chance (world, 75);
-      request->idempotent = !request->keyed && chance (world, 70);
-      request->pieces = pick (world, 5);
-      request->ticket.home = world->agents[home].self;
-      request->ticket.expires_ms = agent_now (world, home) + TICKET_LIFE_MS;
+      request->keyed = chance (sim, 75);
+      request->idempotent = !request->keyed && chance (sim, 70);
+      request->pieces = pick (sim, 5);
+      request->ticket.home = sim->agents[home].self;
+      request->ticket.expires_ms = agent_now (sim, home) + TICKET_LIFE_MS;
       request->ticket.key.bytes[0] = (uint8_t)(i + 1);
       if (request->keyed)
-        copies += pick (world, 3);
-      for (int32_t k = 0; k < copies && world->submission_count < MAX_SUBMISSIONS; k++)
+        copies += pick (sim, 3);
+      for (int32_t k = 0; k < copies && sim->submission_count < MAX_SUBMISSIONS; k++)
         {
-          submission_t *submission = &world->submissions[world->submission_count];
+          submission_t *submission = &sim->submissions[sim->submission_count];
 
           submission->request = i;
-          submission->entry = pick (world, ENTRIES);
-          add_event (world, SUBMISSION, draw_submit_delay (world, k))->index =
-              world->submission_count++;
+          submission->entry = pick (sim, ENTRIES);
+          add_event (sim, SUBMISSION, draw_submit_delay (sim, k))->index = sim->submission_count++;
         }
     }
 }
 
 static void
-plan_faults (world_t *world)
+plan_faults (simulation_t *sim)
 {
-  int32_t count = pick (world, 6);
+  int32_t count = pick (sim, 6);
 
   for (int32_t i = 0; i < count; i++)
     {
-      event_kind_t kind = (event_kind_t)(CALLER_LEAVES + pick (world, TICK - CALLER_LEAVES));
-      event_t *event = add_event (world, kind, pick (world, FAULT_PERIOD_MS));
+      event_kind_t kind = (event_kind_t)(CALLER_LEAVES + pick (sim, TICK - CALLER_LEAVES));
+      event_t *event = add_event (sim, kind, pick (sim, FAULT_PERIOD_MS));
 
-      event->entry = pick (world, ENTRIES);
-      event->agent = pick (world, AGENTS);
-      event->index = pick (world, world->submission_count);
+      event->entry = pick (sim, ENTRIES);
+      event->agent = pick (sim, AGENTS);
+      event->index = pick (sim, sim->submission_count);
     }
   for (int32_t i = 0; i < 3; i++)
     {
-      event_t *event = add_event (world, LINK_DOWN_AT_ENTRY, pick (world, FAULT_PERIOD_MS));
+      event_t *event = add_event (sim, LINK_DOWN_AT_ENTRY, pick (sim, FAULT_PERIOD_MS));
 
-      event->entry = pick (world, ENTRIES);
-      event->agent = pick (world, AGENTS);
-      event->link = world->entries[event->entry].links[event->agent];
+      event->entry = pick (sim, ENTRIES);
+      event->agent = pick (sim, AGENTS);
+      event->link = sim->entries[event->entry].links[event->agent];
     }
-  add_event (world, TICK, TICK_MS);
+  add_event (sim, TICK, TICK_MS);
 }
 
 static bool
-is_complete_answer_of_a_run (const world_t *world, const submission_t *submission)
+is_complete_answer_of_a_run (const simulation_t *sim, const submission_t *submission)
 {
-  const request_t *request = &world->requests[submission->request];
+  const request_t *request = &sim->requests[submission->request];
 
   for (int32_t generation = 1; generation <= request->runs; generation++)
     {
@@ -91,9 +90,9 @@
 /* Compares the runs of a request with the outcome that this caller was given. Returns the violated
  * guarantee, or NULL. */
 static const char *
-check_submission (const world_t *world, const submission_t *submission)
+check_submission (const simulation_t *sim, const submission_t *submission)
 {
-  const request_t *request = &world->requests[submission->request];
+  const request_t *request = &sim->requests[submission->request];
 
   if (!request->idempotent && request->runs > 1)
     return "run twice";
@@ -101,7 +100,7 @@
     return NULL;
   if (!submission->finished)
     return "no final answer";
-  if (submission->whole && !is_complete_answer_of_a_run (world, submission))
+  if (submission->whole && !is_complete_answer_of_a_run (sim, submission))
     return "not the whole answer of one run of its own request";
   if (!submission->whole && submission->outcome == BT_OUTCOME_NOT_RUN && request->runs > 0)
     return "told not-run, but it ran";
@@ -111,15 +110,15 @@
 }
 
 static void
-check_world (world_t *world, tally_t *tally)
+check_simulation (simulation_t *sim, tally_t *tally)
 {
-  for (int32_t i = 0; i < world->submission_count; i++)
+  for (int32_t i = 0; i < sim->submission_count; i++)
     {
-      const submission_t *submission = &world->submissions[i];
-      const char *fault = check_submission (world, submission);
+      const submission_t *submission = &sim->submissions[i];
+      const char *fault = check_submission (sim, submission);
 
       if (fault != NULL)
-        snprintf (world->violation, sizeof world->violation, "submission %d of request %d: %s", i,
+        snprintf (sim->violation, sizeof sim->violation, "submission %d of request %d: %s", i,
                   submission->request, fault);
       tally->submissions++;
       if (submission->call == NULL)
@@ -131,65 +130,65 @@
       tally->reasons[submission->reason]++;
       tally->cut += submission->cut ? 1 : 0;
     }
-  for (int32_t i = 0; i < world->request_count; i++)
-    tally->runs += (uint64_t)world->requests[i].runs;
+  for (int32_t i = 0; i < sim->request_count; i++)
+    tally->runs += (uint64_t)sim->requests[i].runs;
 }
 
 static void
-run_events (world_t *world)
+run_events (simulation_t *sim)
 {
-  while (world->event_count > 0)
+  while (sim->event_count > 0)
     {
-      event_t *event = take_next_event (world);
-      int64_t until = deferred_until (world, event);
+      event_t *event = take_next_event (sim);
+      int64_t until = deferred_until (sim, event);
 
       if (event->at <= SCHEDULE_MS && until > event->at)
         {
           event->at = until;
-          event->order = ++world->last_order;
-          world->events[world->event_count++] = event;
+          event->order = ++sim->last_order;
+          sim->events[sim->event_count++] = event;
           continue;
         }
       if (event->at <= SCHEDULE_MS)
         {
-          world->now = event->at;
-          handlers[event->kind].handle (world, event);
+          sim->now = event->at;
+          handlers[event->kind].handle (sim, event);
         }
-      bt_free (world->ctx, event);
+      bt_free (sim->ctx, event);
     }
 }
 
 static bool
-run_schedule (world_t *world, uint64_t seed, uint32_t faults, tally_t *tally)
+run_schedule (simulation_t *sim, uint64_t seed, uint32_t faults, tally_t *tally)
 {
-  memset (world, 0, sizeof *world);
-  world->ctx = bt_new_context ();
-  world->faults = faults;
-  bt_seed_random (&world->random, seed);
-  world->reorders_messages = chance (world, 25);
-  world->loss_percent = chance (world, 50) ? 3 : 0;
-  world->slow_percent = chance (world, 50) ? 4 : 1;
+  memset (sim, 0, sizeof *sim);
+  sim->ctx = bt_new_context ();
+  sim->faults = faults;
+  bt_seed_random (&sim->random, seed);
+  sim->reorders_messages = chance (sim, 25);
+  sim->loss_percent = chance (sim, 50) ? 3 : 0;
+  sim->slow_percent = chance (sim, 50) ? 4 : 1;
   for (int32_t i = 0; i < AGENTS; i++)
-    start_agent (world, i);
+    start_agent (sim, i);
   for (int32_t i = 0; i < ENTRIES; i++)
     {
-      world->entries[i].clock_offset = pick (world, CLOCK_SPREAD_MS);
+      sim->entries[i].clock_offset = pick (sim, CLOCK_SPREAD_MS);
       for (int32_t k = 0; k < AGENTS; k++)
-        open_link (world, i, k);
+        open_link (sim, i, k);
     }
-  plan_requests (world);
-  plan_faults (world);
-  run_events (world);
-  check_world (world, tally);
-  for (int32_t i = 0; i < world->submission_count; i++)
-    bt_drop_delivery (world->ctx, world->submissions[i].call);
+  plan_requests (sim);
+  plan_faults (sim);
+  run_events (sim);
+  check_simulation (sim, tally);
+  for (int32_t i = 0; i < sim->submission_count; i++)
+    bt_drop_delivery (sim->ctx, sim->submissions[i].call);
   for (int32_t i = 0; i < AGENTS; i++)
-    bt_drop_arbiter (world->ctx, world->agents[i].arbiter);
-  bt_drop_context (world->ctx);
-  return world->violation[0] == '\0';
+    bt_drop_arbiter (sim->ctx, sim->agents[i].arbiter);
+  bt_drop_context (sim->ctx);
+  return sim->violation[0] == '\0';
 }
 
-static world_t world;
+static simulation_t sim;
 
 static void
 print_tally (const tally_t *tally)
@@ -212,9 +211,9 @@
   tally_t tally = { 0 };
 
   for (uint64_t seed = 1; seed <= GUARDED_SEEDS; seed++)
-    if (!run_schedule (&world, seed, 0, &tally))
+    if (!run_schedule (&sim, seed, 0, &tally))
       {
-        printf ("\n    seed %d: %s", (int)seed, world.violation);
+        printf ("\n    seed %d: %s", (int)seed, sim.violation);
         CU_FAIL ("a schedule violated a guarantee");
       }
   print_tally (&tally);
@@ -232,7 +231,7 @@
   tally_t tally = { 0 };
 
   for (size_t i = 0; i < sizeof seeds / sizeof seeds[0]; i++)
-    CU_ASSERT_TRUE (run_schedule (&world, seeds[i], 0, &tally));
+    CU_ASSERT_TRUE (run_schedule (&sim, seeds[i], 0, &tally));
 }
 
 static void
@@ -241,9 +240,9 @@
   tally_t tally = { 0 };
 
   for (uint64_t seed = 1; seed <= FAULT_SEEDS; seed++)
-    if (!run_schedule (&world, seed, fault, &tally))
+    if (!run_schedule (&sim, seed, fault, &tally))
       {
-        printf ("\n    without %s: seed %d: %s", name, (int)seed, world.violation);
+        printf ("\n    without %s: seed %d: %s", name, (int)seed, sim.violation);
         return;
       }
   printf ("\n    without %s: nothing found", name);
