--- a/include/bilberrytray/requests/arbiter.h
+++ b/include/bilberrytray/requests/arbiter.h
@@ -25,7 +25,7 @@
   int64_t keep_answer_ms;     /**< How long a complete answer is kept after its end. */
   int64_t grace_ms;           /**< How long a record is kept after its expiry. */
   int64_t ticket_life_ms;     /**< Longest life of tickets and grants; see bt_can_arbiter_exit. */
-  int64_t retry_after_ms;     /**< Sent with refusals because the records are full. */
+  int64_t retry_after_ms;     /**< Retry-after time of refusals because the records are full. */
   uint32_t max_resumes;       /**< Most times that the stream of one run is resumed. */
   uint32_t faults;            /**< Bits of bt_fault_t; 0 outside tests. */
 } bt_arbiter_options_t;
--- a/include/bilberrytray/requests/delivery.h
+++ b/include/bilberrytray/requests/delivery.h
@@ -26,7 +26,7 @@
                                    unanswered request gives up and asks for tombstones. */
   int64_t reply_limit_ms;     /**< Time limit for the reply to one message. */
   int64_t reconnect_limit_ms; /**< Time limit for reconnecting to a lost agent. */
-  int64_t retry_after_ms;     /**< Sent where the refusal itself has no retry time. */
+  int64_t retry_after_ms;     /**< Retry-after time when the refusal itself has none. */
   int32_t max_resends;        /**< Most resends of one message, including those that resume a
                                    stream. */
   int32_t max_hops;           /**< Most grants followed, to limit redirects between agents. */
@@ -38,7 +38,7 @@
   BT_DELIVERY_SUBMIT = 0,   /**< The request was admitted. */
   BT_DELIVERY_CANDIDATE,    /**< identity, grant_expires_ms: the agent that the policy chose. */
   BT_DELIVERY_NO_CANDIDATE, /**< reason, retry_after_ms */
-  BT_DELIVERY_BUDGET,       /**< allowed, retry_after_ms: whether a further attempt may be made. */
+  BT_DELIVERY_BUDGET,       /**< allowed, retry_after_ms: whether a retry is allowed. */
   BT_DELIVERY_SENT,         /**< link: the connection used, 0 when there was none. */
   BT_DELIVERY_LINK_UP,      /**< identity: a connection to it is open. */
   BT_DELIVERY_LINK_DOWN,    /**< link */
@@ -63,7 +63,7 @@
 typedef enum bt_delivery_action_kind
 {
   BT_DELIVERY_ASK_CANDIDATE = 0, /**< excluded, excluded_count: agents already tried. */
-  BT_DELIVERY_ASK_BUDGET,        /**< retry: why a further attempt is needed. */
+  BT_DELIVERY_ASK_BUDGET,        /**< retry: reason for the retry. */
   BT_DELIVERY_SEND_DISPATCH,     /**< identity, dispatch; without path.link and deadline */
   BT_DELIVERY_SEND_GRANT,        /**< identity, grant_request */
   BT_DELIVERY_SEND_TOMBSTONE,    /**< identity, tombstone_request */
--- a/source/requests/delivery_private.h
+++ b/source/requests/delivery_private.h
@@ -11,7 +11,7 @@
 {
   BT_PHASE_NEW = 0,
   BT_PHASE_AWAITING_CANDIDATE, /**< The policy was asked for an agent. */
-  BT_PHASE_AWAITING_BUDGET,    /**< The policy was asked whether a further attempt is allowed. */
+  BT_PHASE_AWAITING_BUDGET,    /**< The policy was asked whether a retry is allowed. */
   BT_PHASE_AWAITING_REPLY,     /**< A message was sent; waits for its reply. */
   BT_PHASE_RUNNING,            /**< The dispatch was accepted. */
   BT_PHASE_AWAITING_LINK,      /**< Waits for a link, to send the message again. */
@@ -107,7 +107,7 @@
                        int64_t now_ms,
                        bt_delivery_actions_t *actions);
 
-/** Excludes the current target and asks the policy whether a further attempt is allowed. */
+/** Excludes the current target and asks the policy whether a retry is allowed. */
 void bt_ask_budget (bt_context_t *ctx,
                     bt_delivery_t *delivery,
                     bt_retry_t retry,
