--- a/source/requests/arbiter_keys.c
+++ b/source/requests/arbiter_keys.c
@@ -1,31 +1,33 @@
-/* How an arbiter answers the three messages of entries: dispatch, grant and tombstone requests. */
+/* Handling of the three messages that entry instances send to an arbiter: dispatch, grant and
+ * tombstone requests. */
 
 #include "arbiter_private.h"
 
-/* At home the ticket alone tells, also for a grant to home itself: home keeps its record by the
- * ticket, so a longer grant would let a late copy run after the tombstone was dropped. */
+/* At the home agent the ticket's expiry applies, even under a grant to the home itself. The home
+ * keeps a record as long as the ticket, so with a longer grant a delayed copy of the dispatch could
+ * run after the tombstone was removed. */
 static int64_t
 get_dispatch_expiry (const bt_arbiter_t *arbiter, const bt_dispatch_t *dispatch)
 {
-  if (dispatch->has_grant && !bt_is_arbiter (arbiter, &dispatch->ticket.home))
+  if (dispatch->has_grant && !bt_is_this_agent (arbiter, &dispatch->ticket.home))
     return dispatch->grant.expires_ms;
   return dispatch->ticket.expires_ms;
 }
 
-/* Judged by this agent's own clock: that same clock tells when the record is dropped, so a message
- * that outlived its record is always seen to be too late. */
+/* Uses this agent's own clock. The same clock decides when a record is removed, so a message that
+ * arrives after its record was removed is always found expired. */
 static bool
-is_dispatch_past (const bt_arbiter_t *arbiter, const bt_dispatch_t *dispatch, int64_t now_ms)
+is_dispatch_expired (const bt_arbiter_t *arbiter, const bt_dispatch_t *dispatch, int64_t now_ms)
 {
 
   if ((arbiter->options.faults & BT_FAULT_FOREIGN_CLOCK) != 0)
     now_ms = dispatch->sender_now_ms;
-  return bt_is_past (get_dispatch_expiry (arbiter, dispatch), now_ms);
+  return bt_has_expired (get_dispatch_expiry (arbiter, dispatch), now_ms);
 }
 
-/* A record must outlive every message that it has answered: a tombstone set under one grant also
- * speaks for a later grant to the same agent, whose late copy would else arrive after the record
- * was dropped and before that grant expires, and run. */
+/* Keeps a record until every message that it answered has expired. A tombstone set under one grant
+ * also answers for a later grant to the same agent. If it were removed before that grant expires, a
+ * delayed dispatch under that grant would run. */
 static void
 extend_record (bt_record_t *record, int64_t expires_ms)
 {
@@ -33,14 +35,15 @@
     record->expires_ms = expires_ms;
 }
 
-/* When there is no room left for tombstones, one floor stands for all: it refuses other keys as
- * well that have no record yet and expire no later, and their callers take new tickets. Without it
- * a refusal in a full table could not be proved, or a late copy would run once there is room. */
+/* Returns the expiry floor that applies to a ticket. It is raised when the table has no space for a
+ * tombstone. It also refuses other keys that have no record and expire no later; their callers need
+ * new tickets. Without it a full table could not confirm that a request will not run, or a delayed
+ * copy would run once there is space again. */
 static int64_t *
 find_floor (bt_arbiter_t *arbiter, const bt_ticket_t *ticket)
 {
-  return bt_is_arbiter (arbiter, &ticket->home) ? &arbiter->home_floor_ms
-                                                : &arbiter->grant_floor_ms;
+  return bt_is_this_agent (arbiter, &ticket->home) ? &arbiter->home_floor_ms
+                                                   : &arbiter->grant_floor_ms;
 }
 
 static void
@@ -68,7 +71,7 @@
   action->dispatch = dispatch;
 }
 
-/* Why a new run is refused, BT_REASON_NONE when it may start. */
+/* Returns why a new run is refused, or BT_REASON_NONE when it may start. */
 static bt_reason_t
 check_admission (const bt_arbiter_t *arbiter, const bt_dispatch_t *dispatch, int64_t now_ms)
 {
@@ -76,7 +79,7 @@
     return BT_REASON_NO_RUN;
   if (arbiter->leaving)
     return BT_REASON_ENDPOINT_LEAVING;
-  if (bt_is_past (dispatch->deadline_ms, now_ms))
+  if (bt_has_expired (dispatch->deadline_ms, now_ms))
     return BT_REASON_DEADLINE_UNREACHABLE;
   return dispatch->admission;
 }
@@ -93,8 +96,9 @@
   reply->retry_after_ms = dispatch->admission_retry_ms;
 }
 
+/* True when this very dispatch already runs, so that a duplicate is ignored. */
 static bool
-has_transient (const bt_arbiter_t *arbiter, const bt_reply_path_t *path)
+has_unkeyed_run (const bt_arbiter_t *arbiter, const bt_reply_path_t *path)
 {
   const bt_record_t *record = bt_first_active_record (arbiter->table);
 
@@ -115,7 +119,7 @@
 {
   bt_reason_t reason = check_admission (arbiter, dispatch, now_ms);
 
-  if (has_transient (arbiter, &dispatch->path))
+  if (has_unkeyed_run (arbiter, &dispatch->path))
     return;
   if (reason != BT_REASON_NONE)
     refuse_run (ctx, dispatch, reason, actions);
@@ -151,13 +155,13 @@
   reply->grant = *record->grant;
 }
 
-/* True when the dispatch carries the live grant of a key that its home granted to itself. */
+/* True when the home granted the key to itself and the dispatch carries that current grant. */
 static bool
 is_granted_here (const bt_arbiter_t *arbiter,
                  const bt_record_t *record,
                  const bt_dispatch_t *dispatch)
 {
-  return bt_is_arbiter (arbiter, &record->grant->agent) && dispatch->has_grant
+  return bt_is_this_agent (arbiter, &record->grant->agent) && dispatch->has_grant
          && dispatch->grant.number == record->grant->number;
 }
 
@@ -190,12 +194,12 @@
 }
 
 static void
-dispatch_recorded (bt_context_t *ctx,
-                   bt_arbiter_t *arbiter,
-                   bt_record_t *record,
-                   const bt_dispatch_t *dispatch,
-                   int64_t now_ms,
-                   bt_arbiter_actions_t *actions)
+dispatch_known_key (bt_context_t *ctx,
+                    bt_arbiter_t *arbiter,
+                    bt_record_t *record,
+                    const bt_dispatch_t *dispatch,
+                    int64_t now_ms,
+                    bt_arbiter_actions_t *actions)
 {
   if (record->has_digest && record->body_digest != dispatch->body_digest)
     {
@@ -248,11 +252,12 @@
   bt_record_t *record;
   bt_reason_t reason;
 
-  now_ms = bt_advance_arbiter (arbiter, now_ms);
+  now_ms = bt_advance_arbiter_clock (arbiter, now_ms);
   if (!dispatch->has_ticket)
     {
-      /* Without a key nothing else can have run it, so a wrong addressee proves not-run. */
-      if (bt_is_arbiter (arbiter, &dispatch->target))
+      /* Only the target can run a request without a key, so a wrong target proves that it did not
+       * run. */
+      if (bt_is_this_agent (arbiter, &dispatch->target))
         dispatch_unkeyed (ctx, arbiter, dispatch, now_ms, actions);
       else
         bt_add_refusal (ctx, actions, &dispatch->path, BT_REASON_WRONG_INSTANCE);
@@ -267,11 +272,11 @@
   record = bt_find_record (arbiter->table, &dispatch->ticket.key);
   extend_record (record, get_dispatch_expiry (arbiter, dispatch));
   if (record != NULL && (record->state == BT_RECORD_RUNNING || record->state == BT_RECORD_DONE))
-    dispatch_recorded (ctx, arbiter, record, dispatch, now_ms, actions);
-  else if (is_dispatch_past (arbiter, dispatch, now_ms))
+    dispatch_known_key (ctx, arbiter, record, dispatch, now_ms, actions);
+  else if (is_dispatch_expired (arbiter, dispatch, now_ms))
     bt_add_refusal (ctx, actions, &dispatch->path, BT_REASON_KEY_EXPIRED);
   else if (record != NULL)
-    dispatch_recorded (ctx, arbiter, record, dispatch, now_ms, actions);
+    dispatch_known_key (ctx, arbiter, record, dispatch, now_ms, actions);
   else if (get_dispatch_expiry (arbiter, dispatch) <= *find_floor (arbiter, &dispatch->ticket))
     bt_add_refusal (ctx, actions, &dispatch->path, BT_REASON_KEY_TOMBSTONED);
   else
@@ -304,8 +309,8 @@
   reply->grant = *grant;
 }
 
-/* The grant is on record before the reply leaves. So whichever entry asks next, and however often,
- * it is sent to this one agent, until that agent has promised never to run the key. */
+/* Records the grant before the reply is sent. Every entry instance that asks later is referred to
+ * the same agent, until that agent has tombstoned the key. */
 static void
 grant_key (bt_context_t *ctx,
            bt_arbiter_t *arbiter,
@@ -337,13 +342,13 @@
 }
 
 static void
-grant_recorded (bt_context_t *ctx,
-                bt_arbiter_t *arbiter,
-                bt_record_t *record,
-                const bt_grant_request_t *request,
-                bt_arbiter_actions_t *actions)
+grant_known_key (bt_context_t *ctx,
+                 bt_arbiter_t *arbiter,
+                 bt_record_t *record,
+                 const bt_grant_request_t *request,
+                 bt_arbiter_actions_t *actions)
 {
-  bool forgets = (arbiter->options.faults & BT_FAULT_NO_GRANT_RECORD) != 0;
+  bool no_grant_record = (arbiter->options.faults & BT_FAULT_NO_GRANT_RECORD) != 0;
 
   switch (record->state)
     {
@@ -351,7 +356,7 @@
       grant_key (ctx, arbiter, record, request, actions);
       break;
     case BT_RECORD_GRANTED:
-      if (request->after_number == record->grant_number || forgets)
+      if (request->after_number == record->grant_number || no_grant_record)
         grant_key (ctx, arbiter, record, request, actions);
       else
         reply_grant (ctx, &request->path, record->grant, actions);
@@ -376,8 +381,8 @@
       bt_check_addressee (arbiter, &request->ticket.home, BT_REASON_HOME_RESTARTED);
   bt_record_t *record;
 
-  now_ms = bt_advance_arbiter (arbiter, now_ms);
-  if (reason == BT_REASON_NONE && bt_is_past (request->ticket.expires_ms, now_ms))
+  now_ms = bt_advance_arbiter_clock (arbiter, now_ms);
+  if (reason == BT_REASON_NONE && bt_has_expired (request->ticket.expires_ms, now_ms))
     reason = BT_REASON_KEY_EXPIRED;
   if (reason != BT_REASON_NONE)
     {
@@ -390,18 +395,19 @@
   else if (record == NULL)
     grant_key (ctx, arbiter, NULL, request, actions);
   else
-    grant_recorded (ctx, arbiter, record, request, actions);
+    grant_known_key (ctx, arbiter, record, request, actions);
 }
 
 static bt_record_state_t
-to_foreign_state (bt_reason_t reason)
+map_addressee_state (bt_reason_t reason)
 {
   return reason == BT_REASON_NONE ? BT_RECORD_UNSEEN : BT_RECORD_FOREIGN;
 }
 
-/* What a tombstone would be set over, or why it can't be set. */
+/* Returns the state that a tombstone would replace (BT_RECORD_UNSEEN or BT_RECORD_OPEN), or the
+ * state that prevents it. */
 static bt_record_state_t
-judge_tombstone (const bt_arbiter_t *arbiter,
+check_tombstone (const bt_arbiter_t *arbiter,
                  const bt_record_t *record,
                  const bt_tombstone_request_t *request,
                  bool is_home)
@@ -410,15 +416,15 @@
     return BT_RECORD_UNSEEN;
   if (record->state != BT_RECORD_GRANTED)
     return record->state;
-  if (bt_is_arbiter (arbiter, &record->grant->agent))
+  if (bt_is_this_agent (arbiter, &record->grant->agent))
     return BT_RECORD_OPEN;
   if (is_home && request->has_grant && request->grant.number == record->grant_number)
     return BT_RECORD_OPEN;
   return BT_RECORD_GRANTED;
 }
 
-/* The promise "never ran here and never will" is on record before the reply leaves, so a dispatch
- * that arrives later, however late, meets it, the floor or its own expiry. */
+/* Records that the key never ran here and never will, before the reply is sent. Any dispatch that
+ * arrives later is refused by the tombstone, by the expiry floor or because it has expired. */
 static void
 set_tombstone (bt_context_t *ctx,
                bt_arbiter_t *arbiter,
@@ -450,22 +456,23 @@
                              bt_arbiter_actions_t *actions)
 {
   bt_reply_t *reply = bt_add_reply (ctx, actions, BT_REPLY_TOMBSTONE, &request->path);
-  bool is_home = bt_is_arbiter (arbiter, &request->ticket.home);
-  const bt_identity_t *role =
+  bool is_home = bt_is_this_agent (arbiter, &request->ticket.home);
+  const bt_identity_t *addressee =
       is_home || !request->has_grant ? &request->ticket.home : &request->grant.agent;
   int64_t expires_ms = is_home ? request->ticket.expires_ms : request->grant.expires_ms;
   bt_record_t *record = bt_find_record (arbiter->table, &request->ticket.key);
 
-  now_ms = bt_advance_arbiter (arbiter, now_ms);
-  reply->state =
-      to_foreign_state (bt_check_addressee (arbiter, &request->target, BT_REASON_AGENT_RESTARTED));
+  now_ms = bt_advance_arbiter_clock (arbiter, now_ms);
+  reply->state = map_addressee_state (
+      bt_check_addressee (arbiter, &request->target, BT_REASON_AGENT_RESTARTED));
   if (reply->state == BT_RECORD_UNSEEN)
-    reply->state = to_foreign_state (bt_check_addressee (arbiter, role, BT_REASON_HOME_RESTARTED));
+    reply->state =
+        map_addressee_state (bt_check_addressee (arbiter, addressee, BT_REASON_HOME_RESTARTED));
   if (reply->state == BT_RECORD_FOREIGN)
     return;
   extend_record (record, expires_ms);
-  reply->state = judge_tombstone (arbiter, record, request, is_home);
-  if (reply->state == BT_RECORD_UNSEEN && bt_is_past (expires_ms, now_ms))
+  reply->state = check_tombstone (arbiter, record, request, is_home);
+  if (reply->state == BT_RECORD_UNSEEN && bt_has_expired (expires_ms, now_ms))
     reply->state = BT_RECORD_EXPIRED;
   if (reply->state == BT_RECORD_UNSEEN || reply->state == BT_RECORD_OPEN)
     {
