--- a/bench/bench_crashes.c
+++ b/bench/bench_crashes.c
@@ -66,7 +66,7 @@
     listed[i] = make_crash (i);
   begun_us = bt_read_cpu_us ();
   for (int32_t i = 0; i < LISTS; i++)
-    bt_take_listed_crashes (ctx, table, listed, crashes, i);
+    bt_apply_listed_crashes (ctx, table, listed, crashes, i);
   list_us = (bt_read_cpu_us () - begun_us) / LISTS;
   begun_us = bt_read_cpu_us ();
   for (int32_t i = 0; i < REPEATS; i++)
--- a/bench/bench_experiment.c
+++ b/bench/bench_experiment.c
@@ -119,9 +119,9 @@
   way->maps.keep_past = keep_past != 0;
   way->known = known != 0;
   if (strcmp (planner, "paying") == 0)
-    way->maps.planner = bt_paying_map_planner ();
+    way->maps.planner = bt_get_cost_benefit_planner ();
   else if (strcmp (planner, "static") == 0)
-    way->maps.planner = bt_static_map_planner ();
+    way->maps.planner = bt_get_static_planner ();
 }
 
 static void
--- a/bench/bench_leader.c
+++ b/bench/bench_leader.c
@@ -133,7 +133,7 @@
       if (led->shape.ranks > led->shape.experts)
         for (int32_t set = 0; set < led->shape.sets; set++)
           places[count++] = (uint32_t)set << SET_SHIFT | (uint32_t)(rank % led->shape.experts);
-      bt_take_rank_places (led->ctx, led->maps, rank, EPOCH, 0, places, count);
+      bt_record_rank_places (led->ctx, led->maps, rank, EPOCH, 0, places, count);
       bt_free (led->ctx, places);
     }
 }
@@ -170,7 +170,7 @@
   if (led->maps == NULL)
     return false;
   led->rounds = bt_new_group_rounds (led->ctx, &rounds);
-  bt_lead_group (led->rounds, 1);
+  bt_start_leading_group (led->rounds, 1);
   for (int32_t rank = 0; rank < led->shape.ranks; rank++)
     {
       led->engines[rank].epoch = EPOCH;
@@ -210,7 +210,7 @@
   for (int32_t i = 0; i < count_cells (led); i++)
     led->counts[i] = (uint32_t)(led->popularity[i] * picks + bt_random_unit (&led->random));
   bt_write_engine_report (&report, &message);
-  if ((now_ms / REPORT_MS + rank) % bt_get_picks_every (led->shape.ranks) == 0)
+  if ((now_ms / REPORT_MS + rank) % bt_get_picks_interval (led->shape.ranks) == 0)
     {
       message.picks = led->counts;
       message.n_picks = (size_t)count_cells (led);
@@ -230,9 +230,9 @@
 
   bt_read_engine_report (message, &report);
   bt_set_rank_pace (led->maps, report.rank, report.pace);
-  bt_take_rank_running (led->maps, report.rank, report.running, 10, now_ms);
-  bt_take_rank_picks (led->maps, message->picks, (int32_t)message->n_picks, now_ms);
-  bt_take_rank_report (led->rounds, report.rank, &report.maps, now_ms);
+  bt_record_group_rank_running (led->maps, report.rank, report.running, 10, now_ms);
+  bt_record_rank_picks (led->maps, message->picks, (int32_t)message->n_picks, now_ms);
+  bt_handle_rank_report (led->rounds, report.rank, &report.maps, now_ms);
   bt_drop_frame (frame);
 }
 
@@ -276,8 +276,8 @@
       engine->armed_version = order->version;
       engine->armed_step = order->step;
     }
-  bt_take_group_order_result (led->rounds, order->via, order->id, BT_ORDER_DONE,
-                              &led->engines[order->via], now_ms);
+  bt_handle_group_order_result (led->rounds, order->via, order->id, BT_ORDER_DONE,
+                                &led->engines[order->via], now_ms);
 }
 
 /* Writes one order; a map is encoded once for all ranks. */
@@ -337,7 +337,7 @@
   if (bt_get_group_phase (led->rounds) != BT_GROUP_CALM)
     return;
   if (led->target != 0)
-    bt_use_next_group_map (led->ctx, led->maps, led->target);
+    bt_activate_next_group_map (led->ctx, led->maps, led->target);
   led->target = 0;
   if (bt_take_group_jump (led->maps, now_ms))
     led->next_plan_ms = now_ms;
@@ -387,7 +387,7 @@
       if (now_ms % PASS_MS == 0)
         begin_step (led);
       for (int32_t rank = 0; rank < led->shape.ranks; rank++)
-        if (bt_take_group_ask (led->rounds) || (now_ms / TICK_MS + rank) % ticks_a_report == 0)
+        if (bt_poll_report_request (led->rounds) || (now_ms / TICK_MS + rank) % ticks_a_report == 0)
           report_rank (led, rank, now_ms);
       plan (led, now_ms);
       give_orders (led, now_ms);
--- a/bench/bench_maps.c
+++ b/bench/bench_maps.c
@@ -118,7 +118,7 @@
   input.current = bt_new_block_expert_map (run->ctx, group->shape, NULL);
   input.load = load;
   input.limits = get_limits (group);
-  plan = bt_plan_map (run->ctx, bt_full_map_planner (), &input);
+  plan = bt_plan_map (run->ctx, bt_get_full_planner (), &input);
   map = bt_copy_expert_map (run->ctx, plan->next);
   bt_drop_map_plan (run->ctx, plan);
   bt_drop_expert_map (run->ctx, (bt_expert_map_t *)input.current);
@@ -295,10 +295,10 @@
 static void
 print_drift_tables (bt_context_t *ctx)
 {
-  const bt_map_planner_t *full = bt_full_map_planner ();
-  const bt_map_planner_t *paying = bt_paying_map_planner ();
+  const bt_map_planner_t *full = bt_get_full_planner ();
+  const bt_map_planner_t *paying = bt_get_cost_benefit_planner ();
   const way_t ways[] = {
-    { "static", bt_static_map_planner (), no_weights, HALF_LIFE_MS, INTERVAL_MS, false },
+    { "static", bt_get_static_planner (), no_weights, HALF_LIFE_MS, INTERVAL_MS, false },
     { "full, 30 s", full, no_weights, HALF_LIFE_MS, LONG_INTERVAL_MS, false },
     { "full, 10 s", full, no_weights, HALF_LIFE_MS, INTERVAL_MS, false },
     { "full, no staging", full, no_weights, HALF_LIFE_MS, INTERVAL_MS, true },
@@ -365,7 +365,7 @@
 print_plan_time (bt_context_t *ctx)
 {
   group_t group = { "", { PLAN_LAYERS, 256, 32 }, 10, 44040192 };
-  way_t way = { "", bt_paying_map_planner (), haiyun, HALF_LIFE_MS, INTERVAL_MS, true };
+  way_t way = { "", bt_get_cost_benefit_planner (), haiyun, HALF_LIFE_MS, INTERVAL_MS, true };
   static result_t result;
   run_t run = { ctx, &group, &way };
   int64_t first_us;
--- a/bench/harness_group.c
+++ b/bench/harness_group.c
@@ -5,7 +5,7 @@
 #include <string.h>
 
 #include "bilberrytray/base/random.h"
-#include "bilberrytray/load/pass_pace.h"
+#include "bilberrytray/load/pass_limiter.h"
 #include "bilberrytray/maps/group_rounds.h"
 #include "harness_deviates.h"
 
@@ -61,7 +61,7 @@
   double reported_ms[BT_MAX_RANKS];
   bt_group_maps_t *maps;
   bt_expert_map_t *map;
-  bt_pass_pace_t *pace;
+  bt_pass_limiter_t *pace;
   int64_t version;
   int64_t step;
   double next_plan_ms;
@@ -186,7 +186,7 @@
 
           for (int32_t expert = rank; expert < engine->experts; expert += ranks)
             places[count++] = (uint32_t)set << SET_SHIFT | (uint32_t)expert;
-          bt_take_rank_places (group->ctx, group->maps, rank, EPOCH, 0, places, count);
+          bt_record_rank_places (group->ctx, group->maps, rank, EPOCH, 0, places, count);
         }
     }
   group->map =
@@ -198,10 +198,10 @@
 {
   const bt_group_load_t *load = group->load;
   bt_context_t *ctx = group->ctx;
-  bt_pass_pace_settings_t pace = {
+  bt_pass_limiter_settings_t pace = {
     .ranks = load->ranks,
-    .least_pass_ms = load->engine.step_ms * load->engine.stride,
-    .aim_pass_ms = group->way->pass_part * (double)load->pause_ms,
+    .min_pass_ms = load->engine.step_ms * load->engine.stride,
+    .target_pass_ms = group->way->pass_part * (double)load->pause_ms,
     .pause_ms = (double)load->pause_ms,
     .slots = load->engine.slots,
   };
@@ -213,7 +213,7 @@
   group->untold =
       bt_calloc (ctx, (size_t)count_cells (group) * (size_t)load->ranks, sizeof (double));
   group->maps = bt_new_group_maps (ctx, &load->engine, load->ranks, &group->way->maps);
-  group->pace = bt_new_pass_pace (ctx, &pace);
+  group->pace = bt_new_pass_limiter (ctx, &pace);
   group->next_shift_ms = (double)load->shift_ms;
   for (int32_t rank = 0; rank < load->ranks; rank++)
     group->reported_ms[rank] = (double)(rank * REPORT_MS) / load->ranks;
@@ -230,7 +230,7 @@
   bt_free (group->ctx, group->untold);
   bt_drop_group_maps (group->ctx, group->maps);
   bt_drop_expert_map (group->ctx, group->map);
-  bt_drop_pass_pace (group->ctx, group->pace);
+  bt_drop_pass_limiter (group->ctx, group->pace);
 }
 
 static void
@@ -305,7 +305,7 @@
 static void
 admit (group_t *group)
 {
-  int32_t limit = bt_get_pass_limit (group->pace);
+  int32_t limit = bt_get_running_limit (group->pace);
 
   while (true)
     {
@@ -460,7 +460,7 @@
 report_ranks (group_t *group)
 {
   int32_t cells = count_cells (group);
-  int32_t limit = bt_get_pass_limit (group->pace);
+  int32_t limit = bt_get_running_limit (group->pace);
   uint32_t *counts = bt_calloc (group->ctx, (size_t)cells, sizeof *counts);
 
   for (int32_t rank = 0; rank < group->load->ranks; rank++)
@@ -477,8 +477,8 @@
           untold[i] -= counts[i];
         }
       bt_record_pass (group->pace, rank, group->step, group->running[rank], now_ms);
-      bt_take_rank_running (group->maps, rank, group->running[rank], limit, now_ms);
-      bt_take_rank_picks (group->maps, counts, cells, now_ms);
+      bt_record_group_rank_running (group->maps, rank, group->running[rank], limit, now_ms);
+      bt_record_rank_picks (group->maps, counts, cells, now_ms);
     }
   bt_free (group->ctx, counts);
 }
@@ -534,7 +534,7 @@
   group->copied_ms = 0;
   bt_drop_expert_map (group->ctx, group->map);
   group->map = bt_copy_expert_map (group->ctx, bt_get_next_group_map (group->maps));
-  bt_use_next_group_map (group->ctx, group->maps, ++group->version);
+  bt_activate_next_group_map (group->ctx, group->maps, ++group->version);
 }
 
 /* The map for demand as it is, in use at once. */
@@ -552,7 +552,7 @@
 
   for (int32_t i = 0; i < count_cells (group); i++)
     bt_add_expert_load (truth, i / engine->experts, i % engine->experts, group->popularity[i]);
-  plan = bt_plan_map (group->ctx, bt_full_map_planner (), &input);
+  plan = bt_plan_map (group->ctx, bt_get_full_planner (), &input);
   bt_drop_expert_map (group->ctx, group->map);
   group->map = bt_copy_expert_map (group->ctx, plan->next);
   bt_drop_map_plan (group->ctx, plan);
--- a/bench/harness_kept.c
+++ b/bench/harness_kept.c
@@ -61,7 +61,7 @@
       snprintf (listed[i].failure_domain, BT_NAME_BYTES, "domain-%d", (int)i % 4);
       snprintf (listed[i].address, BT_ADDRESS_BYTES, "10.0.0.1:7000");
     }
-  bt_take_member_list (ctx, membership, 1, listed, count, 0);
+  bt_apply_member_list (ctx, membership, 1, listed, count, 0);
   bt_free (ctx, listed);
   return membership;
 }
--- a/bench/rounds.h
+++ b/bench/rounds.h
@@ -72,7 +72,7 @@
 
       message.action = rounds->actions.items[i];
       if (message.action.kind == BT_MAP_READ_FLOOR)
-        bt_take_map_floor (rounds->agents[rank], 1);
+        bt_handle_map_floor (rounds->agents[rank], 1);
       else if (message.action.kind == BT_MAP_ENGINE_ORDER)
         {
           message.answer = true;
@@ -95,7 +95,7 @@
 
   if (message->to_controller)
     {
-      bt_take_map_report (rounds->controller, &action->report, rounds->now_ms);
+      bt_handle_map_report (rounds->controller, &action->report, rounds->now_ms);
       return;
     }
   if (message->answer)
@@ -103,12 +103,12 @@
       bool accepted = (action->order.kind == BT_MAP_QUERY && action->order.fence == 0)
                       || lockstep_order (&rounds->group, message->rank, &action->order);
 
-      bt_take_engine_answer (rounds->ctx, agent, action->call, accepted,
-                             &rounds->group.ranks[message->rank].state, rounds->now_ms,
-                             &rounds->actions);
+      bt_handle_engine_answer (rounds->ctx, agent, action->call, accepted,
+                               &rounds->group.ranks[message->rank].state, rounds->now_ms,
+                               &rounds->actions);
     }
   else
-    bt_take_map_order (rounds->ctx, agent, &action->order, rounds->now_ms, &rounds->actions);
+    bt_handle_map_order (rounds->ctx, agent, &action->order, rounds->now_ms, &rounds->actions);
   carry_out_rank (rounds, message->rank);
 }
 
--- a/include/bilberrytray/core/membership.h
+++ b/include/bilberrytray/core/membership.h
@@ -57,12 +57,12 @@
 } bt_member_hello_t;
 
 /** Result of opening a link. */
-typedef enum bt_link_verdict
+typedef enum bt_link_result
 {
   BT_LINK_NEW = 0,
   BT_LINK_REPLACES, /**< The instance restarted; its earlier incarnation has ended for good. */
   BT_LINK_REFUSED, /**< The peer is an incarnation that a later one has replaced: close the link. */
-} bt_link_verdict_t;
+} bt_link_result_t;
 
 /** State of one instance. */
 typedef struct bt_member
@@ -92,20 +92,20 @@
 void bt_drop_membership (bt_context_t *ctx, bt_membership_t *membership);
 
 /** Replaces the list. Returns false and rejects the list if it is older than one seen before. */
-bool bt_take_member_list (bt_context_t *ctx,
-                          bt_membership_t *membership,
-                          int64_t revision,
-                          const bt_listed_instance_t *listed,
-                          int32_t count,
-                          int64_t now_ms);
+bool bt_apply_member_list (bt_context_t *ctx,
+                           bt_membership_t *membership,
+                           int64_t revision,
+                           const bt_listed_instance_t *listed,
+                           int32_t count,
+                           int64_t now_ms);
 
 /** Records that a link opened. On BT_LINK_REPLACES, @p replaced is set to the incarnation that has
  * ended. */
-bt_link_verdict_t bt_open_member_link (bt_context_t *ctx,
-                                       bt_membership_t *membership,
-                                       const bt_member_hello_t *hello,
-                                       int64_t now_ms,
-                                       uint64_t *replaced);
+bt_link_result_t bt_open_member_link (bt_context_t *ctx,
+                                      bt_membership_t *membership,
+                                      const bt_member_hello_t *hello,
+                                      int64_t now_ms,
+                                      uint64_t *replaced);
 
 void bt_close_member_link (bt_context_t *ctx,
                            bt_membership_t *membership,
@@ -115,11 +115,11 @@
 void bt_note_wrong_instance (bt_membership_t *membership, const char *instance);
 
 /** Records a heartbeat of the linked incarnation; heartbeats of other incarnations are ignored. */
-void bt_take_member_heartbeat (bt_membership_t *membership,
-                               const bt_identity_t *identity,
-                               bool leaving,
-                               bool admitting,
-                               int64_t now_ms);
+void bt_handle_member_heartbeat (bt_membership_t *membership,
+                                 const bt_identity_t *identity,
+                                 bool leaving,
+                                 bool admitting,
+                                 int64_t now_ms);
 
 /** Sets whether this instance itself may act on its configuration; initially false. */
 void bt_set_self_admitting (bt_membership_t *membership, bool admitting);
--- a/include/bilberrytray/gateway/platform.h
+++ b/include/bilberrytray/gateway/platform.h
@@ -20,7 +20,7 @@
   /** Size of a request id, including the terminating zero, in bytes. */
   BT_REQUEST_ID_BYTES = 80,
   /** Maximum number of addresses in one answer to a caller. */
-  BT_MAX_TOLD_ADDRESSES = 64,
+  BT_MAX_ADVERTISED_ADDRESSES = 64,
 };
 
 /** An endpoint as registered in the platform's store. */
@@ -38,18 +38,18 @@
 } bt_listed_endpoint_t;
 
 /** Information about a request, decoded from the caller's headers. */
-typedef struct bt_call_facts
+typedef struct bt_request_info
 {
   char request_id[BT_REQUEST_ID_BYTES]; /**< Sent by the caller; "" if none was sent. */
   int64_t deadline_ms;                  /**< How long the caller waits, from arrival; 0: unknown. */
   int32_t prompt_tokens;                /**< 0: unknown. */
   int32_t answer_tokens;                /**< Upper bound; 0: unknown. */
-  int32_t likely_answer_tokens;         /**< The caller's estimate, often far off; 0: unknown. */
-} bt_call_facts_t;
+  int32_t expected_answer_tokens;       /**< The caller's estimate, often far off; 0: unknown. */
+} bt_request_info_t;
 
 /** Information about an attempt that the gateway sends to the endpoint in addition to the caller's
  * own headers. */
-typedef struct bt_send_facts
+typedef struct bt_attempt_info
 {
   const char *endpoint; /**< The intended endpoint's id; any other endpoint refuses the request
                              without running it. */
@@ -57,10 +57,10 @@
   int64_t deadline_left_ms;
   const char *last_event; /**< Id of the event after which to resume a stream; NULL: the caller's
                              own header applies. */
-} bt_send_facts_t;
+} bt_attempt_info_t;
 
 /** Information about an answer, decoded from the endpoint's headers. */
-typedef struct bt_answer_facts
+typedef struct bt_answer_info
 {
   char request_id[BT_REQUEST_ID_BYTES]; /**< The request that it answers; "" if unknown. */
   bool marked;                          /**< A header shows that the endpoint itself sent it. */
@@ -68,7 +68,7 @@
   bool encoded;                         /**< The body was re-encoded in transit. */
   bool has_load;
   bt_load_t load;
-} bt_answer_facts_t;
+} bt_answer_info_t;
 
 /** Adds one header to a request that is to be sent. */
 typedef void (*bt_put_header_t) (void *data, const char *name, const char *value);
@@ -96,18 +96,18 @@
 
   /** Decodes a header of a caller's request. Returns true if the header is forwarded unchanged to
    * the endpoint. */
-  bool (*read_call_header) (const char *name, const char *value, bt_call_facts_t *info);
+  bool (*read_request_header) (const char *name, const char *value, bt_request_info_t *info);
 
   /** Passes the headers that the gateway itself sets on an attempt to @p put. */
-  void (*write_send_headers) (const bt_send_facts_t *info, bt_put_header_t put, void *data);
+  void (*write_attempt_headers) (const bt_attempt_info_t *info, bt_put_header_t put, void *data);
 
   /** Decodes a header of an endpoint's answer. Returns true if the header is forwarded unchanged to
    * the caller. */
-  bool (*read_answer_header) (const char *name, const char *value, bt_answer_facts_t *info);
+  bool (*read_answer_header) (const char *name, const char *value, bt_answer_info_t *info);
 
   /** Reads the failure domain of a caller from the target of its request for addresses; "" if the
    * target does not name one. */
-  void (*read_asker_domain) (const char *target, char domain[BT_NAME_BYTES]);
+  void (*read_caller_domain) (const char *target, char domain[BT_NAME_BYTES]);
 
   /** Encodes the addresses to which callers may connect, valid for @p life_ms, as the body of an
    * answer; the caller frees it with bt_free. */
--- a/include/bilberrytray/load/admission.h
+++ b/include/bilberrytray/load/admission.h
@@ -33,9 +33,9 @@
   int32_t share;    /**< Weight of the account in fair sharing; 0 counts as 1. */
   int32_t priority; /**< A higher priority is served first. */
   int64_t deadline_left_ms;
-  int64_t aim_left_ms; /**< Time left until the caller expects the first part of the answer; 0: no
-                          expectation. */
-  const char *rule;    /**< Name of the matching rule; NULL for none. */
+  int64_t target_left_ms;  /**< Time left until the caller expects the first part of the answer; 0:
+                           no  expectation. */
+  const char *rule;        /**< Name of the matching rule; NULL for none. */
   int32_t rule_per_second; /**< The rule's limit in requests per second; 0: none. */
   int32_t rule_burst;      /**< Requests that may pass at once; 0: the requests of one second. */
   bool again;              /**< A retry: exempt from the rule's limit and not counted as demand. */
--- a/include/bilberrytray/load/pass_pace.h
+++ b/include/bilberrytray/load/pass_limiter.h
@@ -1,5 +1,5 @@
-#ifndef BILBERRYTRAY_LOAD_PASS_PACE_H
-#define BILBERRYTRAY_LOAD_PASS_PACE_H
+#ifndef BILBERRYTRAY_LOAD_PASS_LIMITER_H
+#define BILBERRYTRAY_LOAD_PASS_LIMITER_H
 
 /** @file
  * Limits how many requests an engine of a group may run, so that the forward passes of the group
@@ -23,35 +23,36 @@
 
 #include "bilberrytray/base/context.h"
 
-typedef struct bt_pass_pace bt_pass_pace_t;
+typedef struct bt_pass_limiter bt_pass_limiter_t;
 
 /** Properties of a group's engines. */
-typedef struct bt_pass_pace_settings
+typedef struct bt_pass_limiter_settings
 {
   int32_t ranks;
-  double least_pass_ms; /**< Time of a pass with almost no requests. */
-  double aim_pass_ms;   /**< Target: passes should take no longer. */
-  double pause_ms;      /**< A stream with a longer pass in it counts as late as a whole. */
-  int32_t slots;        /**< Requests that one engine can run. */
-} bt_pass_pace_settings_t;
+  double min_pass_ms;    /**< Time of a pass with almost no requests. */
+  double target_pass_ms; /**< Target: passes should take no longer. */
+  double pause_ms;       /**< A stream with a longer pass in it counts as late as a whole. */
+  int32_t slots;         /**< Requests that one engine can run. */
+} bt_pass_limiter_settings_t;
 
-bt_pass_pace_t *bt_new_pass_pace (bt_context_t *ctx, const bt_pass_pace_settings_t *settings);
+bt_pass_limiter_t *bt_new_pass_limiter (bt_context_t *ctx,
+                                        const bt_pass_limiter_settings_t *settings);
 
 /** Frees the limiter; NULL is allowed. */
-void bt_drop_pass_pace (bt_context_t *ctx, bt_pass_pace_t *limiter);
+void bt_drop_pass_limiter (bt_context_t *ctx, bt_pass_limiter_t *limiter);
 
 /** Records a report of one rank: the step that it began last and the number of requests that it
  * runs. */
 void bt_record_pass (
-    bt_pass_pace_t *limiter, int32_t rank, int64_t step, int32_t running, int64_t now_ms);
+    bt_pass_limiter_t *limiter, int32_t rank, int64_t step, int32_t running, int64_t now_ms);
 
 /** Returns the number of requests that each engine may run now, from 1 to its slots. */
-int32_t bt_get_pass_limit (const bt_pass_pace_t *limiter);
+int32_t bt_get_running_limit (const bt_pass_limiter_t *limiter);
 
 /** Returns true while demand jumps so often that the limit reserves capacity for the next jump. */
-bool bt_are_demand_jumps_frequent (const bt_pass_pace_t *limiter, int64_t now_ms);
+bool bt_are_demand_jumps_frequent (const bt_pass_limiter_t *limiter, int64_t now_ms);
 
 /** Returns the mean time of the latest passes in ms; 0 if it is not known. */
-double bt_get_pass_ms (const bt_pass_pace_t *limiter);
+double bt_get_pass_ms (const bt_pass_limiter_t *limiter);
 
 #endif
--- a/include/bilberrytray/load/retry_budget.h
+++ b/include/bilberrytray/load/retry_budget.h
@@ -31,7 +31,7 @@
 /** Returns the reserve of each of @p instances instances, at least 1, if all of them together may
  * spend @p total retries beyond their share. It is half of an equal part: the other half covers
  * instances that restart with a new budget. */
-int32_t bt_get_retry_part (int64_t total, int32_t instances);
+int32_t bt_divide_retry_reserve (int64_t total, int32_t instances);
 
 /** Records the first attempt of a request, which adds its share of a retry. */
 void bt_record_attempt (bt_retry_budget_t *budget);
--- a/include/bilberrytray/load/router.h
+++ b/include/bilberrytray/load/router.h
@@ -128,7 +128,7 @@
 
 /** Marks an endpoint as paused while its group is being formed, or as accepting requests again.
  * Returns false if it does not exist. */
-bool bt_set_endpoint_shut (bt_router_t *router, const bt_identity_t *identity, bool paused);
+bool bt_set_endpoint_paused (bt_router_t *router, const bt_identity_t *identity, bool paused);
 
 /** Records a load report from a heartbeat or a refusal. Returns false if the endpoint does not
  * exist or has no link. */
@@ -162,7 +162,7 @@
  * slots. The current load is not used, since tickets are redeemed later and all tickets of one
  * moment would get the same home agent. */
 bt_reason_t
-bt_choose_home (bt_router_t *router, const char *app, int64_t now_ms, bt_identity_t *home);
+bt_choose_home_agent (bt_router_t *router, const char *app, int64_t now_ms, bt_identity_t *home);
 
 /** Records that an attempt was sent on a route; @p prefix as in the request. */
 void
--- a/include/bilberrytray/maps/group_rounds.h
+++ b/include/bilberrytray/maps/group_rounds.h
@@ -129,7 +129,7 @@
 
 /** Starts leading with a fencing number that nobody has used before. Discards all known rank state,
  * since it may have been read before the last orders of the previous leader. */
-void bt_lead_group (bt_group_rounds_t *rounds, uint64_t fence);
+void bt_start_leading_group (bt_group_rounds_t *rounds, uint64_t fence);
 
 /** Sets the time from which the leader starts no more holds; rounds that already hold the group
  * continue. The caller sets it before the end of the leader's lease and moves it with each
@@ -137,24 +137,24 @@
 void bt_limit_group_holds (bt_group_rounds_t *rounds, int64_t until_ms);
 
 /** Stops leading; no more orders are produced. */
-void bt_leave_group (bt_group_rounds_t *rounds);
+void bt_stop_leading_group (bt_group_rounds_t *rounds);
 
 /** Processes the report of a rank. Pass the reports of a rank in the order in which they were read.
  * A report of another start of the rank's engine discards the order pending for that rank and
  * abandons the round in progress. */
-void bt_take_rank_report (bt_group_rounds_t *rounds,
-                          int32_t rank,
-                          const bt_rank_report_t *report,
-                          int64_t now_ms);
+void bt_handle_rank_report (bt_group_rounds_t *rounds,
+                            int32_t rank,
+                            const bt_rank_report_t *report,
+                            int64_t now_ms);
 
 /** Processes the result of an order. @p rank is the rank whose agent gave the order to the engine,
  * and @p report a report of that rank that was read after the result. */
-void bt_take_group_order_result (bt_group_rounds_t *rounds,
-                                 int32_t rank,
-                                 uint64_t id,
-                                 bt_order_result_t result,
-                                 const bt_rank_report_t *report,
-                                 int64_t now_ms);
+void bt_handle_group_order_result (bt_group_rounds_t *rounds,
+                                   int32_t rank,
+                                   uint64_t id,
+                                   bt_order_result_t result,
+                                   const bt_rank_report_t *report,
+                                   int64_t now_ms);
 
 /** Begins a round and returns the version of the new map; the caller keeps the content of that map
  * for the PREPARE orders. Returns 0 when the group is not in BT_GROUP_CALM or not every rank has
@@ -169,7 +169,7 @@
 
 /** True when the caller must request a report from all agents at once. Clears the request, so that
  * the next call returns false. */
-bool bt_take_group_ask (bt_group_rounds_t *rounds);
+bool bt_poll_report_request (bt_group_rounds_t *rounds);
 
 /** The version that the round in progress switches to; 0 when there is none. A PREPARE order of any
  * other version carries the content of the map in use. */
--- a/include/bilberrytray/maps/map_controller.h
+++ b/include/bilberrytray/maps/map_controller.h
@@ -72,8 +72,9 @@
 bool bt_begin_map_round (bt_map_controller_t *controller, uint64_t digest, int64_t now_ms);
 
 /** Processes an agent's report. */
-void
-bt_take_map_report (bt_map_controller_t *controller, const bt_map_report_t *report, int64_t now_ms);
+void bt_handle_map_report (bt_map_controller_t *controller,
+                           const bt_map_report_t *report,
+                           int64_t now_ms);
 
 /** Advances the controller to @p now_ms and appends the orders that are due. Call it periodically
  * and after reports. */
@@ -88,7 +89,7 @@
 
 /** True when every rank has reported under this lease, has joined, is not armed, and uses the same
  * map. */
-bool bt_is_map_group_whole (const bt_map_controller_t *controller);
+bool bt_is_map_group_converged (const bt_map_controller_t *controller);
 
 /** The engine state that a rank last reported; NULL when it has not reported under this lease. */
 const bt_engine_state_t *bt_get_reported_engine (const bt_map_controller_t *controller,
--- a/include/bilberrytray/maps/map_planner.h
+++ b/include/bilberrytray/maps/map_planner.h
@@ -29,15 +29,16 @@
 /** The limits and measured costs of a group. */
 typedef struct bt_map_limits
 {
-  int32_t slots;             /**< Replicas that one rank can hold in each layer. */
-  int64_t expert_bytes;      /**< Size of one expert of one layer. */
-  int64_t move_us_per_mb;    /**< Step time lost per megabyte transferred, in microseconds. */
-  int64_t round_bytes;       /**< Maximum number of bytes that one round stages; 0: no limit. */
-  double expert_share;       /**< Share of a balanced step's time spent in experts, 0 to 1. */
-  double held_steps_a_round; /**< Held steps per round, as seen in past rounds; 0 without faults. */
-  double copy_ms;            /**< Time a rank takes to copy one replica; ranks copy in parallel. */
-  double round_ms;           /**< Duration of a round without copying; above 0 for short rounds. */
-  int32_t rank_adds;         /**< Most new replicas per rank and layer in one round; 0: no limit. */
+  int32_t slots;          /**< Replicas that one rank can hold in each layer. */
+  int64_t expert_bytes;   /**< Size of one expert of one layer. */
+  int64_t move_us_per_mb; /**< Step time lost per megabyte transferred, in microseconds. */
+  int64_t round_bytes;    /**< Maximum number of bytes that one round stages; 0: no limit. */
+  double expert_share;    /**< Share of a balanced step's time spent in experts, 0 to 1. */
+  double
+      held_steps_per_round; /**< Held steps per round, as seen in past rounds; 0 without faults. */
+  double copy_ms;           /**< Time a rank takes to copy one replica; ranks copy in parallel. */
+  double round_ms;          /**< Duration of a round without copying; above 0 for short rounds. */
+  int32_t max_new_replicas; /**< Most new replicas per rank and layer in one round; 0: no limit. */
 } bt_map_limits_t;
 
 /** When the replicas of each expert last changed, for min_stay_ms. */
@@ -104,19 +105,19 @@
 
 /** The planner that changes the map only where the gain over the horizon exceeds the cost of the
  * transfers. */
-const bt_map_planner_t *bt_paying_map_planner (void);
+const bt_map_planner_t *bt_get_cost_benefit_planner (void);
 
 /** The planner for many short rounds in a row: it picks the number of copies per rank that lowers
  * the skew most per millisecond until the copies are in use. Meant for demand that shifts within
  * seconds. */
-const bt_map_planner_t *bt_round_map_planner (void);
+const bt_map_planner_t *bt_get_round_planner (void);
 
 /** Baseline planner that never changes the map. */
-const bt_map_planner_t *bt_static_map_planner (void);
+const bt_map_planner_t *bt_get_static_planner (void);
 
 /** Baseline planner that packs every layer from scratch by the loads, regardless of the current
  * placement. */
-const bt_map_planner_t *bt_full_map_planner (void);
+const bt_map_planner_t *bt_get_full_planner (void);
 
 /** Runs a planner. The same input always gives the same plan. */
 bt_map_plan_t *
--- a/include/bilberrytray/maps/map_rank.h
+++ b/include/bilberrytray/maps/map_rank.h
@@ -41,41 +41,41 @@
 
 /** Processes the service's answer to BT_MAP_READ_FLOOR: the fencing number of the newest
  * controller. */
-void bt_take_map_floor (bt_map_rank_t *rank, uint64_t fence);
+void bt_handle_map_floor (bt_map_rank_t *rank, uint64_t fence);
 
 /** Processes the engine's answer to the call @p call, with the engine's state after it. @p state is
  * NULL when the engine could not be reached or refused without reporting its state. Answers to
  * abandoned calls are ignored. */
-void bt_take_engine_answer (bt_context_t *ctx,
-                            bt_map_rank_t *rank,
-                            uint64_t call,
-                            bool accepted,
-                            const bt_engine_state_t *state,
-                            int64_t now_ms,
-                            bt_map_actions_t *actions);
+void bt_handle_engine_answer (bt_context_t *ctx,
+                              bt_map_rank_t *rank,
+                              uint64_t call,
+                              bool accepted,
+                              const bt_engine_state_t *state,
+                              int64_t now_ms,
+                              bt_map_actions_t *actions);
 
 /** Processes an order from a controller. The agent either refuses it with a report, or passes it to
  * the engine and reports when the engine has answered. */
-void bt_take_map_order (bt_context_t *ctx,
-                        bt_map_rank_t *rank,
-                        const bt_map_order_t *order,
-                        int64_t now_ms,
-                        bt_map_actions_t *actions);
+void bt_handle_map_order (bt_context_t *ctx,
+                          bt_map_rank_t *rank,
+                          const bt_map_order_t *order,
+                          int64_t now_ms,
+                          bt_map_actions_t *actions);
 
 /** Processes another agent's question. Only rank 0's agent answers, and only once there is a
  * decision. */
-void bt_take_map_ask (bt_context_t *ctx,
-                      bt_map_rank_t *rank,
-                      const bt_map_ask_t *ask,
-                      int64_t now_ms,
-                      bt_map_actions_t *actions);
+void bt_handle_map_ask (bt_context_t *ctx,
+                        bt_map_rank_t *rank,
+                        const bt_map_ask_t *ask,
+                        int64_t now_ms,
+                        bt_map_actions_t *actions);
 
 /** Processes the answer of rank 0's agent. */
-void bt_take_map_tell (bt_context_t *ctx,
-                       bt_map_rank_t *rank,
-                       const bt_map_tell_t *tell,
-                       int64_t now_ms,
-                       bt_map_actions_t *actions);
+void bt_handle_map_tell (bt_context_t *ctx,
+                         bt_map_rank_t *rank,
+                         const bt_map_tell_t *tell,
+                         int64_t now_ms,
+                         bt_map_actions_t *actions);
 
 /** True once the agent knows its floor and its engine's state, and accepts orders. */
 bool bt_is_map_rank_ready (const bt_map_rank_t *rank);
--- a/include/bilberrytray/requests/arbiter.h
+++ b/include/bilberrytray/requests/arbiter.h
@@ -153,6 +153,6 @@
 uint64_t bt_count_arbiter_bytes (const bt_arbiter_t *arbiter);
 
 /** Number of further keys that would be accepted. */
-uint64_t bt_count_arbiter_room (const bt_arbiter_t *arbiter);
+uint64_t bt_count_arbiter_free_records (const bt_arbiter_t *arbiter);
 
 #endif
--- a/include/bilberrytray/requests/attempt.h
+++ b/include/bilberrytray/requests/attempt.h
@@ -15,8 +15,8 @@
 {
   BT_ATTEMPT_UNSENT = 0, /**< No byte was sent: the endpoint could not be reached. */
   BT_ATTEMPT_NO_ANSWER,  /**< The request was sent; no response head was received. */
-  BT_ATTEMPT_CUT,        /**< The answer began but is incomplete. */
-  BT_ATTEMPT_WHOLE,      /**< The complete answer was received. */
+  BT_ATTEMPT_CUT_OFF,    /**< The answer began but is incomplete. */
+  BT_ATTEMPT_COMPLETE,   /**< The complete answer was received. */
 } bt_attempt_stage_t;
 
 /** Result of an attempt that has ended. */
@@ -25,30 +25,30 @@
   bt_attempt_stage_t stage;
   int32_t status; /**< HTTP status of the answer; 0 without one. */
   bool marked;    /**< The answer has the header by which the endpoint identifies it as its own. */
-  bool other_id;  /**< The answer belongs to another request. */
-  bool encoded;   /**< An intermediary re-encoded the answer's body. */
-  bool not_run;   /**< The endpoint states that it did not run the request. */
+  bool id_mismatch; /**< The answer belongs to another request. */
+  bool encoded;     /**< An intermediary re-encoded the answer's body. */
+  bool not_run;     /**< The endpoint states that it did not run the request. */
 } bt_attempt_result_t;
 
 /** What may still be done for a request. */
-typedef struct bt_attempt_rights
+typedef struct bt_attempt_limits
 {
-  bool repeatable;     /**< May run more than once: idempotent, or a resumable stream. */
-  int32_t runs_left;   /**< Further endpoints on which it may run. */
-  int32_t sends_left;  /**< Further attempts, whether they run or not. */
-  bool answer_started; /**< The response head was forwarded to the caller. */
-} bt_attempt_rights_t;
+  bool repeatable;       /**< May run more than once: idempotent, or a resumable stream. */
+  int32_t runs_left;     /**< Further endpoints on which it may run. */
+  int32_t attempts_left; /**< Further attempts, whether they run or not. */
+  bool answer_started;   /**< The response head was forwarded to the caller. */
+} bt_attempt_limits_t;
 
 /** What follows an attempt. */
 typedef enum bt_attempt_next
 {
-  BT_NEXT_PASS = 0, /**< Forward the endpoint's answer unchanged. */
-  BT_NEXT_RETRY,    /**< Retry at another endpoint; refuse if the retry budget forbids it. */
-  BT_NEXT_REFUSE,   /**< Answer the caller ourselves, according to the reason. */
+  BT_NEXT_FORWARD = 0, /**< Forward the endpoint's answer unchanged. */
+  BT_NEXT_RETRY,       /**< Retry at another endpoint; refuse if the retry budget forbids it. */
+  BT_NEXT_REFUSE,      /**< Answer the caller ourselves, according to the reason. */
 } bt_attempt_next_t;
 
 /** Decision after an attempt. */
-typedef struct bt_attempt_verdict
+typedef struct bt_attempt_decision
 {
   bt_attempt_next_t next;
   bt_reason_t reason;   /**< Of the refusal; also used when a retry has no budget left. */
@@ -56,11 +56,11 @@
   bool may_have_run;    /**< The attempt counts as a run. */
   bool endpoint_gone;   /**< Another process now uses the endpoint's address. */
   bt_attempt_end_t end; /**< Result reported to the router for this endpoint. */
-} bt_attempt_verdict_t;
+} bt_attempt_decision_t;
 
 /** Decides what follows an attempt that has ended; writes all of @p decision. */
-void bt_judge_attempt (const bt_attempt_result_t *result,
-                       const bt_attempt_rights_t *limits,
-                       bt_attempt_verdict_t *decision);
+void bt_decide_after_attempt (const bt_attempt_result_t *result,
+                              const bt_attempt_limits_t *limits,
+                              bt_attempt_decision_t *decision);
 
 #endif
--- a/include/bilberrytray/requests/crash_table.h
+++ b/include/bilberrytray/requests/crash_table.h
@@ -34,7 +34,7 @@
 
 typedef struct bt_crash_options
 {
-  int32_t most_ends;       /**< A request is refused once it has this many crashes. */
+  int32_t max_ends;        /**< A request is refused once it has this many crashes. */
   int64_t keep_ms;         /**< A crash expires this long after its request was last seen. */
   int64_t match_window_ms; /**< Longest time between a broken attempt and the report that its
                               endpoint ended, in either order. */
@@ -44,17 +44,17 @@
 } bt_crash_options_t;
 
 /** Kind of an update of the list that all instances share. */
-typedef enum bt_crash_order_kind
+typedef enum bt_crash_update_kind
 {
   BT_CRASH_PUBLISH = 0, /**< Add the crash, or renew it. */
   BT_CRASH_RETRACT,     /**< Remove the crash. */
-} bt_crash_order_kind_t;
+} bt_crash_update_kind_t;
 
-typedef struct bt_crash_order
+typedef struct bt_crash_update
 {
-  bt_crash_order_kind_t kind;
+  bt_crash_update_kind_t kind;
   bt_crash_t crash;
-} bt_crash_order_t;
+} bt_crash_update_t;
 
 typedef struct bt_crash_table bt_crash_table_t;
 
@@ -80,19 +80,19 @@
 
 /** Notes a complete answer to a request that was sent at @p sent_ms. It shows that the request
  * causes no crash, and that the incarnation that answered was still running at that time. */
-void bt_note_whole_answer (bt_context_t *ctx,
-                           bt_crash_table_t *table,
-                           const bt_crash_t *attempt,
-                           int64_t sent_ms);
+void bt_note_complete_answer (bt_context_t *ctx,
+                              bt_crash_table_t *table,
+                              const bt_crash_t *attempt,
+                              int64_t sent_ms);
 
 /** Applies the current list of crashes that all instances share. A crash that was listed before and
  * is missing now is removed, since another instance retracted it.
  * @return the number of crashes left out because the table was full */
-int32_t bt_take_listed_crashes (bt_context_t *ctx,
-                                bt_crash_table_t *table,
-                                const bt_listed_crash_t *listed,
-                                int32_t count,
-                                int64_t now_ms);
+int32_t bt_apply_listed_crashes (bt_context_t *ctx,
+                                 bt_crash_table_t *table,
+                                 const bt_listed_crash_t *listed,
+                                 int32_t count,
+                                 int64_t now_ms);
 
 /** Removes crashes, suspects and ended incarnations that are too old. */
 void bt_expire_crashes (bt_context_t *ctx, bt_crash_table_t *table, int64_t now_ms);
@@ -116,6 +116,6 @@
                        int64_t now_ms);
 
 /** Removes the next update for the shared list from the queue; false when the queue is empty. */
-bool bt_take_crash_order (bt_crash_table_t *table, bt_crash_order_t *order);
+bool bt_take_crash_update (bt_crash_table_t *table, bt_crash_update_t *order);
 
 #endif
--- a/include/bilberrytray/requests/delivery.h
+++ b/include/bilberrytray/requests/delivery.h
@@ -21,16 +21,16 @@
   bt_ticket_t ticket; /**< Its verified ticket. */
   bool idempotent;    /**< May be run more than once. */
   uint64_t body_digest;
-  int64_t deadline_ms;        /**< In this process's clock, like all times here. */
-  int64_t give_up_margin_ms;  /**< Time before the deadline at which the delivery of an
-                                   unanswered request gives up and asks for tombstones. */
-  int64_t reply_limit_ms;     /**< Time limit for the reply to one message. */
-  int64_t reconnect_limit_ms; /**< Time limit for reconnecting to a lost agent. */
-  int64_t retry_after_ms;     /**< Retry-after time when the refusal itself has none. */
-  int32_t max_resends;        /**< Most resends of one message, including those that resume a
-                                   stream. */
-  int32_t max_hops;           /**< Most grants followed, to limit redirects between agents. */
-  uint32_t faults;            /**< Bits of bt_fault_t; 0 outside tests. */
+  int64_t deadline_ms;         /**< In this process's clock, like all times here. */
+  int64_t give_up_margin_ms;   /**< Time before the deadline at which the delivery of an
+                                    unanswered request gives up and asks for tombstones. */
+  int64_t reply_limit_ms;      /**< Time limit for the reply to one message. */
+  int64_t reconnect_limit_ms;  /**< Time limit for reconnecting to a lost agent. */
+  int64_t retry_after_ms;      /**< Retry-after time when the refusal itself has none. */
+  int32_t max_resends;         /**< Most resends of one message, including those that resume a
+                                    stream. */
+  int32_t max_followed_grants; /**< Most grants followed, to limit redirects between agents. */
+  uint32_t faults;             /**< Bits of bt_fault_t; 0 outside tests. */
 } bt_delivery_options_t;
 
 typedef enum bt_delivery_event_kind
@@ -68,11 +68,11 @@
   BT_DELIVERY_SEND_GRANT,        /**< identity, grant_request */
   BT_DELIVERY_SEND_TOMBSTONE,    /**< identity, tombstone_request */
   BT_DELIVERY_SEND_CANCEL,       /**< path */
-  BT_DELIVERY_GIVE_HEAD,         /**< status, data */
-  BT_DELIVERY_GIVE_PIECE,        /**< data */
-  BT_DELIVERY_FINISH_WHOLE,      /**< The answer is complete. */
+  BT_DELIVERY_FORWARD_HEAD,      /**< status, data */
+  BT_DELIVERY_FORWARD_PIECE,     /**< data */
+  BT_DELIVERY_FINISH_COMPLETE,   /**< The answer is complete. */
   BT_DELIVERY_FINISH_REFUSED,    /**< reason, outcome, retry_after_ms; no answer has begun. */
-  BT_DELIVERY_CUT,               /**< reason: abort the answer that has begun, visibly. */
+  BT_DELIVERY_ABORT,             /**< reason: abort the answer that has begun, visibly. */
 } bt_delivery_action_kind_t;
 
 typedef struct bt_delivery_action
@@ -111,11 +111,11 @@
 
 /** Handles one event. Replies to earlier attempts, on other links or for other calls are ignored,
  * and so are all events after the final action. */
-void bt_step_delivery (bt_context_t *ctx,
-                       bt_delivery_t *delivery,
-                       const bt_delivery_event_t *event,
-                       int64_t now_ms,
-                       bt_delivery_actions_t *actions);
+void bt_handle_delivery_event (bt_context_t *ctx,
+                               bt_delivery_t *delivery,
+                               const bt_delivery_event_t *event,
+                               int64_t now_ms,
+                               bt_delivery_actions_t *actions);
 
 /** True after one of the three final actions (complete answer, refusal, aborted answer). */
 bool bt_is_delivery_finished (const bt_delivery_t *delivery);
--- a/include/bilberrytray/requests/event_stream.h
+++ b/include/bilberrytray/requests/event_stream.h
@@ -29,6 +29,6 @@
  * delivered.
  * @return their length in bytes; 0 while no event is complete. When an event does not follow the
  * previous one, sets @p stream->gap and returns the length up to that event. */
-size_t bt_take_events (bt_event_stream_t *stream, const char *data, size_t bytes);
+size_t bt_consume_events (bt_event_stream_t *stream, const char *data, size_t bytes);
 
 #endif
--- a/source/agent/agent.c
+++ b/source/agent/agent.c
@@ -37,7 +37,7 @@
   load.step_us = (uint32_t)agent->load.step_us;
   heartbeat.load = &load;
   heartbeat.records = bt_count_arbiter_records (agent->arbiter);
-  heartbeat.record_room = bt_count_arbiter_room (agent->arbiter);
+  heartbeat.record_room = bt_count_arbiter_free_records (agent->arbiter);
   frame.body_case = BILBERRY__FRAME__BODY_HEARTBEAT;
   frame.heartbeat = &heartbeat;
   bt_send_frame (agent->ctx, link, &frame);
--- a/source/agent/map_agent.c
+++ b/source/agent/map_agent.c
@@ -184,16 +184,16 @@
   if (frame->body_case == BILBERRY__FRAME__BODY_MAP_ASK)
     {
       bt_read_map_ask (frame->map_ask, &ask);
-      bt_take_map_ask (agent->ctx, agent->rank, &ask, now_ms, &agent->actions);
+      bt_handle_map_ask (agent->ctx, agent->rank, &ask, now_ms, &agent->actions);
     }
   else if (frame->body_case == BILBERRY__FRAME__BODY_MAP_TELL)
     {
       bt_read_map_tell (frame->map_tell, &tell);
-      bt_take_map_tell (agent->ctx, agent->rank, &tell, now_ms, &agent->actions);
+      bt_handle_map_tell (agent->ctx, agent->rank, &tell, now_ms, &agent->actions);
     }
   else if (bt_read_map_order (frame->map_order, &order)
            && keep_map (agent, &order, frame->map_order))
-    bt_take_map_order (agent->ctx, agent->rank, &order, now_ms, &agent->actions);
+    bt_handle_map_order (agent->ctx, agent->rank, &order, now_ms, &agent->actions);
 }
 
 void
@@ -221,8 +221,8 @@
     bt_log (agent->ctx, BT_LOG_WARNING, BT_PART_MAPS, "Order %s had no answer: %s",
             bt_name_map_order (call->order.kind), error.message);
   pthread_mutex_lock (&agent->lock);
-  bt_take_engine_answer (agent->ctx, agent->rank, call->call, accepted, answered ? &state : NULL,
-                         bt_now_ms (agent->ctx), &agent->actions);
+  bt_handle_engine_answer (agent->ctx, agent->rank, call->call, accepted, answered ? &state : NULL,
+                           bt_now_ms (agent->ctx), &agent->actions);
   carry_out (agent);
   pthread_mutex_unlock (&agent->lock);
 }
@@ -243,7 +243,7 @@
       return;
     }
   pthread_mutex_lock (&agent->lock);
-  bt_take_map_floor (agent->rank, range.count > 0 ? (uint64_t)range.pairs[0].mod_revision : 0);
+  bt_handle_map_floor (agent->rank, range.count > 0 ? (uint64_t)range.pairs[0].mod_revision : 0);
   pthread_mutex_unlock (&agent->lock);
   bt_drop_kv_range (agent->ctx, &range);
 }
--- a/source/core/membership.c
+++ b/source/core/membership.c
@@ -178,12 +178,12 @@
 }
 
 bool
-bt_take_member_list (bt_context_t *ctx,
-                     bt_membership_t *membership,
-                     int64_t revision,
-                     const bt_listed_instance_t *listed,
-                     int32_t count,
-                     int64_t now_ms)
+bt_apply_member_list (bt_context_t *ctx,
+                      bt_membership_t *membership,
+                      int64_t revision,
+                      const bt_listed_instance_t *listed,
+                      int32_t count,
+                      int64_t now_ms)
 {
   if (is_stale_list (membership, revision, now_ms))
     return false;
@@ -206,7 +206,7 @@
   return true;
 }
 
-bt_link_verdict_t
+bt_link_result_t
 bt_open_member_link (bt_context_t *ctx,
                      bt_membership_t *membership,
                      const bt_member_hello_t *hello,
@@ -260,11 +260,11 @@
 }
 
 void
-bt_take_member_heartbeat (bt_membership_t *membership,
-                          const bt_identity_t *identity,
-                          bool leaving,
-                          bool admitting,
-                          int64_t now_ms)
+bt_handle_member_heartbeat (bt_membership_t *membership,
+                            const bt_identity_t *identity,
+                            bool leaving,
+                            bool admitting,
+                            int64_t now_ms)
 {
   bt_member_t *member = find_member (membership, identity->instance);
 
--- a/source/entry/deliveries.c
+++ b/source/entry/deliveries.c
@@ -63,7 +63,7 @@
     .reconnect_limit_ms = RECONNECT_LIMIT_MS,
     .retry_after_ms = RETRY_AFTER_MS,
     .max_resends = MAX_RESENDS,
-    .max_hops = MAX_HOPS,
+    .max_followed_grants = MAX_HOPS,
   };
 
   if (options.give_up_margin_ms > MAX_GIVE_UP_MS)
@@ -322,14 +322,14 @@
     case BT_DELIVERY_SEND_CANCEL:
       send_cancel (entry, call, &action->path);
       break;
-    case BT_DELIVERY_GIVE_HEAD:
+    case BT_DELIVERY_FORWARD_HEAD:
       bt_begin_answer (entry->ctx, call->caller, (int32_t)action->status, action->data);
       break;
-    case BT_DELIVERY_GIVE_PIECE:
+    case BT_DELIVERY_FORWARD_PIECE:
       if (!bt_add_answer (entry->ctx, call->caller, action->data, action->data_bytes))
         add_following (following, BT_DELIVERY_CALLER_GONE);
       break;
-    case BT_DELIVERY_FINISH_WHOLE:
+    case BT_DELIVERY_FINISH_COMPLETE:
       end_attempt (entry, call, BT_ATTEMPT_ANSWERED);
       bt_end_answer (entry->ctx, call->caller);
       log_end (entry, call, BT_OUTCOME_ANSWERED, BT_REASON_NONE);
@@ -369,7 +369,8 @@
       following.first = (following.first + 1) % MAX_FOLLOWING;
       following.count--;
       actions.count = 0;
-      bt_step_delivery (entry->ctx, call->delivery, &next, bt_now_ms (entry->ctx), &actions);
+      bt_handle_delivery_event (entry->ctx, call->delivery, &next, bt_now_ms (entry->ctx),
+                                &actions);
       for (int32_t i = 0; i < actions.count && !call->finished; i++)
         do_action (entry, call, &actions.items[i], &following);
     }
--- a/source/entry/entry_links.c
+++ b/source/entry/entry_links.c
@@ -178,7 +178,7 @@
   bt_send_frame (entry->ctx, link, &frame);
 }
 
-static bt_link_verdict_t
+static bt_link_result_t
 open_member (bt_entry_t *entry, const bt_link_t *link)
 {
   bool agent = strcmp (bt_get_link_role (link), "agent") == 0;
@@ -292,8 +292,8 @@
     return;
   peer->link_leaving = heartbeat->leaving;
   peer->peer_now_ms = heartbeat->now_ms;
-  bt_take_member_heartbeat (entry->membership, &peer->identity, heartbeat->leaving,
-                            heartbeat->admitting, bt_now_ms (entry->ctx));
+  bt_handle_member_heartbeat (entry->membership, &peer->identity, heartbeat->leaving,
+                              heartbeat->admitting, bt_now_ms (entry->ctx));
   if (!peer->agent)
     {
       bt_take_config_heartbeat (entry, &peer->identity, heartbeat);
--- a/source/entry/map_control.c
+++ b/source/entry/map_control.c
@@ -83,7 +83,7 @@
   if (!bt_read_map_report (frame, &report) || report.rank >= control->settings.ranks)
     return;
   set_link (control, report.rank, link);
-  bt_take_map_report (control->controller, &report, bt_now_ms (control->ctx));
+  bt_handle_map_report (control->controller, &report, bt_now_ms (control->ctx));
 }
 
 /* Agents have no links to each other; an entry passes a question to rank 0 and an answer to the
@@ -273,7 +273,7 @@
   *in_use = 0;
   *fence = bt_get_map_fence (control->controller);
   if (bt_holds_map_lease (control->controller, bt_now_ms (control->ctx)) && decider != NULL
-      && bt_is_map_group_whole (control->controller)
+      && bt_is_map_group_converged (control->controller)
       && bt_get_round_phase (control->controller) == BT_ROUND_NONE)
     *in_use = decider->in_use_digest;
   digests[count++] = control->wanted;
--- a/source/entry/map_planning.c
+++ b/source/entry/map_planning.c
@@ -309,7 +309,7 @@
   input.weights = planning->settings.weights;
   input.limits = planning->settings.limits;
   input.now_ms = now_ms;
-  plan = bt_plan_map (planning->ctx, bt_paying_map_planner (), &input);
+  plan = bt_plan_map (planning->ctx, bt_get_cost_benefit_planner (), &input);
   bt_drop_expert_load (planning->ctx, load);
   return plan;
 }
--- a/source/entry/platform_reader.c
+++ b/source/entry/platform_reader.c
@@ -49,8 +49,8 @@
   bool taken;
 
   pthread_mutex_lock (&entry->lock);
-  taken = bt_take_member_list (reader->ctx, entry->membership, list->revision, list->instances,
-                               list->count, bt_now_ms (reader->ctx));
+  taken = bt_apply_member_list (reader->ctx, entry->membership, list->revision, list->instances,
+                                list->count, bt_now_ms (reader->ctx));
   pthread_mutex_unlock (&entry->lock);
   return taken;
 }
--- a/source/entry/tickets.c
+++ b/source/entry/tickets.c
@@ -19,7 +19,8 @@
   bt_ticket_t ticket = { 0 };
   bt_peer_t *peer;
 
-  if (bt_choose_home (entry->router, app, bt_now_ms (entry->ctx), &ticket.home) != BT_REASON_NONE)
+  if (bt_choose_home_agent (entry->router, app, bt_now_ms (entry->ctx), &ticket.home)
+      != BT_REASON_NONE)
     return false;
   peer = bt_find_peer_identity (entry, &ticket.home);
   if (peer == NULL || !peer->heard)
--- a/source/gateway/told_entries.c
+++ b/source/gateway/advertised_entries.c
@@ -1,4 +1,4 @@
-#include "told_entries.h"
+#include "advertised_entries.h"
 
 #include <stdlib.h>
 #include <string.h>
@@ -41,11 +41,11 @@
 }
 
 int32_t
-bt_choose_told_entries (bt_context_t *ctx,
-                        const bt_listed_entry_t **entries,
-                        int32_t count,
-                        const char *domain,
-                        int32_t max)
+bt_select_advertised_entries (bt_context_t *ctx,
+                              const bt_listed_entry_t **entries,
+                              int32_t count,
+                              const char *domain,
+                              int32_t max)
 {
   sort_key_t *keys;
 
--- a/source/gateway/told_entries.h
+++ b/source/gateway/advertised_entries.h
@@ -1,5 +1,5 @@
-#ifndef BILBERRYTRAY_SOURCE_GATEWAY_TOLD_ENTRIES_H
-#define BILBERRYTRAY_SOURCE_GATEWAY_TOLD_ENTRIES_H
+#ifndef BILBERRYTRAY_SOURCE_GATEWAY_ADVERTISED_ENTRIES_H
+#define BILBERRYTRAY_SOURCE_GATEWAY_ADVERTISED_ENTRIES_H
 
 /** @file
  * Selects the entry instances that are advertised to a caller if one answer can't hold all of them:
@@ -13,10 +13,10 @@
 
 /** Moves the entries to advertise to a caller in @p domain to the front of @p entries, and returns
  * their number: @p count, but at most @p max. @p domain may be one that contains no entry. */
-int32_t bt_choose_told_entries (bt_context_t *ctx,
-                                const bt_listed_entry_t **entries,
-                                int32_t count,
-                                const char *domain,
-                                int32_t max);
+int32_t bt_select_advertised_entries (bt_context_t *ctx,
+                                      const bt_listed_entry_t **entries,
+                                      int32_t count,
+                                      const char *domain,
+                                      int32_t max);
 
 #endif
--- a/source/gateway/agent_links.c
+++ b/source/gateway/agent_links.c
@@ -103,7 +103,7 @@
 }
 
 int32_t
-bt_get_picks_every (int32_t ranks)
+bt_get_picks_interval (int32_t ranks)
 {
   return ranks <= RANKS_PER_REPORT_INTERVAL
              ? 1
@@ -120,7 +120,7 @@
     return;
   follow.fence = links->fence;
   follow.places = places;
-  follow.picks_every = (uint32_t)bt_get_picks_every (row->report.ranks);
+  follow.picks_every = (uint32_t)bt_get_picks_interval (row->report.ranks);
   frame.body_case = BILBERRY__FRAME__BODY_ENGINE_FOLLOW;
   frame.engine_follow = &follow;
   bt_send_frame (links->ctx, row->link, &frame);
@@ -295,7 +295,7 @@
   links->loop = loop;
   links->port = options->port;
   links->handler.vtable = &handler_vtable;
-  links->redial_timer.on_time = redial;
+  links->redial_timer.on_expiry = redial;
   pthread_mutex_init (&links->lock, NULL);
   links->link_loop = bt_new_link_loop (ctx, &link_options, error);
   if (links->link_loop == NULL)
--- a/source/gateway/agent_links.h
+++ b/source/gateway/agent_links.h
@@ -88,6 +88,6 @@
 
 /** Returns n such that every nth report of a rank carries its picks, in a group of so many ranks.
  */
-int32_t bt_get_picks_every (int32_t ranks);
+int32_t bt_get_picks_interval (int32_t ranks);
 
 #endif
--- a/source/gateway/agent_news.c
+++ b/source/gateway/agent_updates.c
@@ -25,17 +25,17 @@
   return min_ms > 0 ? min_ms : default_pause_ms;
 }
 
-static bt_pass_pace_t *
+static bt_pass_limiter_t *
 find_pace (bt_gateway_t *gateway,
            const bt_engine_report_t *report,
            const bt_declarations_t *declarations,
            int32_t app)
 {
   const bt_engine_t *engine = &declarations->apps[app].engine;
-  bt_pass_pace_settings_t settings = {
+  bt_pass_limiter_settings_t settings = {
     .ranks = report->ranks,
-    .least_pass_ms = engine->step_ms * engine->stride,
-    .aim_pass_ms = pass_share * (double)find_min_pause_ms (declarations, app),
+    .min_pass_ms = engine->step_ms * engine->stride,
+    .target_pass_ms = pass_share * (double)find_min_pause_ms (declarations, app),
     .pause_ms = (double)find_min_pause_ms (declarations, app),
     .slots = engine->slots,
   };
@@ -48,7 +48,7 @@
                                sizeof *gateway->paces);
   row = &gateway->paces[gateway->pace_count++];
   bt_copy_name (row->group, report->group);
-  row->pace = bt_new_pass_pace (gateway->ctx, &settings);
+  row->pace = bt_new_pass_limiter (gateway->ctx, &settings);
   return row->pace;
 }
 
@@ -56,7 +56,7 @@
 bt_drop_group_paces (bt_gateway_t *gateway)
 {
   for (int32_t i = 0; i < gateway->pace_count; i++)
-    bt_drop_pass_pace (gateway->ctx, gateway->paces[i].pace);
+    bt_drop_pass_limiter (gateway->ctx, gateway->paces[i].pace);
   bt_free (gateway->ctx, gateway->paces);
 }
 
@@ -69,14 +69,14 @@
              int32_t app)
 {
   const bt_engine_report_t *report = &update->report;
-  bt_pass_pace_t *pace;
+  bt_pass_limiter_t *pace;
 
   if (report->group[0] == '\0' || report->ranks < 1 || app < 0
       || declarations->apps[app].engine.slots == 0)
     return 0;
   pace = find_pace (gateway, report, declarations, app);
   bt_record_pass (pace, report->rank, report->maps.step, report->running, update->received_ms);
-  return bt_get_pass_limit (pace);
+  return bt_get_running_limit (pace);
 }
 
 /* Returns the number of concurrent requests that this engine may run now. Every pass waits for the
@@ -137,15 +137,15 @@
       record_load (gateway, update, &identity,
                    get_slot_limit (&update->report, listed->slots, pass_limit));
     }
-  bt_set_endpoint_shut (gateway->router, &identity,
-                        update->report.group[0] != '\0' && !update->report.maps.open);
+  bt_set_endpoint_paused (gateway->router, &identity,
+                          update->report.group[0] != '\0' && !update->report.maps.open);
   if (app >= 0)
     bt_handle_group_update (gateway->groups, &declarations->apps[app].engine, update, pass_limit);
 }
 
 void
-bt_take_agents_news (bt_gateway_t *gateway)
+bt_handle_agent_updates (bt_gateway_t *gateway)
 {
   if (bt_collect_agent_updates (gateway->agents, handle_update, gateway))
-    bt_pump_forwards (gateway);
+    bt_dispatch_queued_forwards (gateway);
 }
--- a/source/gateway/crash_control.c
+++ b/source/gateway/crash_control.c
@@ -33,9 +33,9 @@
 static void
 publish_changes (bt_crash_control_t *control)
 {
-  bt_crash_order_t order;
+  bt_crash_update_t order;
 
-  while (bt_take_crash_order (control->table, &order))
+  while (bt_take_crash_update (control->table, &order))
     {
       char text[BT_FINGERPRINT_TEXT_BYTES];
 
@@ -96,7 +96,7 @@
   bt_crash_options_t table;
 
   bt_default_crash_options (&table);
-  table.most_ends = (int32_t)options->most_ends;
+  table.max_ends = (int32_t)options->max_ends;
   table.keep_ms = options->keep_ms;
   bt_fill_secure_random (&table.seed, sizeof table.seed);
   control->ctx = ctx;
@@ -113,7 +113,7 @@
                        "Ends of endpoints under requests that are known.", NULL, NULL);
   control->end_handler.on_end = handle_end;
   bt_set_endpoint_end_handler (endpoints, &control->end_handler);
-  control->expire_timer.on_time = expire;
+  control->expire_timer.on_expiry = expire;
   bt_set_timer (loop, &control->expire_timer, bt_get_loop_ms (loop) + EXPIRY_INTERVAL_MS);
   return control;
 }
@@ -141,7 +141,7 @@
 void
 bt_clear_crash_suspect (bt_crash_control_t *control, const bt_crash_t *attempt, int64_t sent_ms)
 {
-  bt_note_whole_answer (control->ctx, control->table, attempt, sent_ms);
+  bt_note_complete_answer (control->ctx, control->table, attempt, sent_ms);
   publish_changes (control);
 }
 
@@ -169,8 +169,8 @@
 void
 bt_set_listed_crashes (bt_crash_control_t *control, const bt_listed_crash_t *listed, int32_t count)
 {
-  bt_take_listed_crashes (control->ctx, control->table, listed, count,
-                          bt_get_loop_ms (control->loop));
+  bt_apply_listed_crashes (control->ctx, control->table, listed, count,
+                           bt_get_loop_ms (control->loop));
   suspend_ended_endpoints (control, listed, count);
   bt_set_gauge (control->known_gauge, bt_count_known_crashes (control->table));
 }
--- a/source/gateway/crash_control.h
+++ b/source/gateway/crash_control.h
@@ -18,7 +18,7 @@
   const bt_platform_t *platform;
   const char *store;    /**< The store's "IP:PORT". */
   const char *instance; /**< Name of this instance. */
-  int64_t most_ends;    /**< See crash_table.h. */
+  int64_t max_ends;     /**< See crash_table.h. */
   int64_t keep_ms;
 } bt_crash_control_options_t;
 
--- a/source/gateway/crash_reporter.c
+++ b/source/gateway/crash_reporter.c
@@ -26,7 +26,7 @@
 /** A queued order and the store key that it writes or deletes. */
 typedef struct report
 {
-  bt_crash_order_kind_t kind;
+  bt_crash_update_kind_t kind;
   char key[BT_CRASH_KEY_BYTES];
   int64_t queued_ms;
 } report_t;
@@ -173,7 +173,7 @@
 }
 
 void
-bt_report_crash (bt_crash_reporter_t *reporter, const bt_crash_order_t *order)
+bt_report_crash (bt_crash_reporter_t *reporter, const bt_crash_update_t *order)
 {
   report_t report = { .kind = order->kind, .queued_ms = bt_now_ms (reporter->ctx) };
   bool queued;
--- a/source/gateway/crash_reporter.h
+++ b/source/gateway/crash_reporter.h
@@ -22,6 +22,6 @@
 void bt_drop_crash_reporter (bt_context_t *ctx, bt_crash_reporter_t *reporter);
 
 /** Queues an order for the store. May be called from any thread. */
-void bt_report_crash (bt_crash_reporter_t *reporter, const bt_crash_order_t *order);
+void bt_report_crash (bt_crash_reporter_t *reporter, const bt_crash_update_t *order);
 
 #endif
--- a/source/gateway/left_peers.c
+++ b/source/gateway/departed_peers.c
@@ -1,4 +1,4 @@
-#include "left_peers.h"
+#include "departed_peers.h"
 
 #include "bilberrytray/base/event_log.h"
 
--- a/source/gateway/left_peers.h
+++ b/source/gateway/departed_peers.h
@@ -1,5 +1,5 @@
-#ifndef BILBERRYTRAY_SOURCE_GATEWAY_LEFT_PEERS_H
-#define BILBERRYTRAY_SOURCE_GATEWAY_LEFT_PEERS_H
+#ifndef BILBERRYTRAY_SOURCE_GATEWAY_DEPARTED_PEERS_H
+#define BILBERRYTRAY_SOURCE_GATEWAY_DEPARTED_PEERS_H
 
 /** @file
  * The peers that announced their shutdown. Initialised by zeroing; the owner must lock it.
--- a/source/gateway/event_loop.c
+++ b/source/gateway/event_loop.c
@@ -29,7 +29,7 @@
   bt_timer_t **timers; /* a min-heap by at_ms: timers[1] expires next */
   int32_t timer_count;
   int32_t timer_capacity;
-  bt_turn_t *hooks;
+  bt_loop_hook_t *hooks;
   bool iteration_requested;
   int64_t now_ms;
 };
@@ -199,7 +199,7 @@
 }
 
 void
-bt_add_turn (bt_event_loop_t *loop, bt_turn_t *hook)
+bt_add_loop_hook (bt_event_loop_t *loop, bt_loop_hook_t *hook)
 {
   hook->next = loop->hooks;
   loop->hooks = hook;
@@ -239,7 +239,7 @@
       bt_timer_t *timer = loop->timers[1];
 
       bt_clear_timer (loop, timer);
-      timer->on_time (timer);
+      timer->on_expiry (timer);
     }
 }
 
@@ -271,7 +271,7 @@
         }
       run_tasks (loop);
       run_timers (loop);
-      for (bt_turn_t *hook = loop->hooks; hook != NULL; hook = hook->next)
-        hook->on_turn (hook);
+      for (bt_loop_hook_t *hook = loop->hooks; hook != NULL; hook = hook->next)
+        hook->on_iteration (hook);
     }
 }
--- a/source/gateway/event_loop.h
+++ b/source/gateway/event_loop.h
@@ -26,10 +26,10 @@
   int fd;
 } bt_watch_t;
 
-/** A timer: embed it, zeroed, and set on_time. */
+/** A timer: embed it, zeroed, and set on_expiry. */
 typedef struct bt_timer
 {
-  void (*on_time) (struct bt_timer *timer);
+  void (*on_expiry) (struct bt_timer *timer);
   int64_t at_ms;
   int32_t heap_index; /**< Index in the heap, from 1; 0 when the timer is not set. */
 } bt_timer_t;
@@ -41,11 +41,11 @@
 } bt_task_t;
 
 /** A callback that runs once in each iteration of the loop, after events, tasks and timers. */
-typedef struct bt_turn
+typedef struct bt_loop_hook
 {
-  void (*on_turn) (struct bt_turn *hook);
-  struct bt_turn *next;
-} bt_turn_t;
+  void (*on_iteration) (struct bt_loop_hook *hook);
+  struct bt_loop_hook *next;
+} bt_loop_hook_t;
 
 bt_event_loop_t *bt_new_event_loop (bt_context_t *ctx, bt_error_t *error);
 
@@ -76,7 +76,7 @@
 void bt_clear_timer (bt_event_loop_t *loop, bt_timer_t *timer);
 
 /** Adds a callback for every iteration. It can't be removed. */
-void bt_add_turn (bt_event_loop_t *loop, bt_turn_t *hook);
+void bt_add_loop_hook (bt_event_loop_t *loop, bt_loop_hook_t *hook);
 
 /** Makes the loop run its next iteration without waiting for events. */
 void bt_request_loop_iteration (bt_event_loop_t *loop);
--- a/source/gateway/exchange.c
+++ b/source/gateway/exchange.c
@@ -60,7 +60,7 @@
   CURLM *multi;
   bt_histogram_t *connect_times;
   bt_timer_t timer;
-  bt_turn_t hook;
+  bt_loop_hook_t hook;
   bt_exchange_t *first_queued; /* exchanges to report progress of, or to free if dropped */
   bt_exchange_t **last_queued;
   socket_watch_t *closed_sockets; /* freed by run_pool: earlier events may refer to them */
@@ -129,7 +129,7 @@
 }
 
 static void
-run_pool (bt_turn_t *hook)
+run_pool (bt_loop_hook_t *hook)
 {
   bt_exchange_pool_t *pool =
       (bt_exchange_pool_t *)((char *)hook - offsetof (bt_exchange_pool_t, hook));
@@ -244,15 +244,15 @@
   pool->connect_times =
       bt_new_histogram (ctx, "bilberry_connect_ms", "New connections to endpoints.");
   pool->last_queued = &pool->first_queued;
-  pool->timer.on_time = handle_pool_timer;
-  pool->hook.on_turn = run_pool;
+  pool->timer.on_expiry = handle_pool_timer;
+  pool->hook.on_iteration = run_pool;
   pool->multi = curl_multi_init ();
   curl_multi_setopt (pool->multi, CURLMOPT_SOCKETFUNCTION, watch_socket);
   curl_multi_setopt (pool->multi, CURLMOPT_SOCKETDATA, pool);
   curl_multi_setopt (pool->multi, CURLMOPT_TIMERFUNCTION, set_pool_timer);
   curl_multi_setopt (pool->multi, CURLMOPT_TIMERDATA, pool);
   curl_multi_setopt (pool->multi, CURLMOPT_MAXCONNECTS, 1L);
-  bt_add_turn (loop, &pool->hook);
+  bt_add_loop_hook (loop, &pool->hook);
   return pool;
 }
 
--- a/source/gateway/forward.c
+++ b/source/gateway/forward.c
@@ -161,13 +161,14 @@
     bt_refuse_forward (forward, BT_REASON_DEADLINE_PASSED, 0);
   else
     bt_refuse_forward (forward, BT_REASON_DEADLINE_UNREACHABLE, bt_draw_retry_after_ms (gateway));
-  bt_pump_forwards (gateway);
+  bt_dispatch_queued_forwards (gateway);
 }
 
 static void
 handle_queue_timer (bt_timer_t *timer)
 {
-  bt_pump_forwards ((bt_gateway_t *)((char *)timer - offsetof (bt_gateway_t, queue_timer)));
+  bt_dispatch_queued_forwards (
+      (bt_gateway_t *)((char *)timer - offsetof (bt_gateway_t, queue_timer)));
 }
 
 static bt_forward_t *
@@ -190,7 +191,7 @@
 }
 
 void
-bt_pump_forwards (bt_gateway_t *gateway)
+bt_dispatch_queued_forwards (bt_gateway_t *gateway)
 {
   int64_t now_ms = bt_get_loop_ms (gateway->loop);
   bt_admission_decision_t decision;
@@ -206,7 +207,7 @@
       else
         bt_refuse_forward (forward, decision.reason, decision.retry_after_ms);
     }
-  gateway->queue_timer.on_time = handle_queue_timer;
+  gateway->queue_timer.on_expiry = handle_queue_timer;
   if (is_any_queued (gateway))
     bt_set_timer (gateway->loop, &gateway->queue_timer, now_ms + QUEUE_CHECK_MS);
 }
@@ -237,7 +238,7 @@
     .share = 1,
     .priority = (int32_t)forward->priority,
     .deadline_left_ms = forward->deadline_ms - now_ms,
-    .aim_left_ms = get_queue_time_left_ms (forward, now_ms),
+    .target_left_ms = get_queue_time_left_ms (forward, now_ms),
     .seed = bt_draw_gateway_seed (gateway),
   };
   bt_admission_decision_t decision;
@@ -314,8 +315,8 @@
   const bt_platform_t *platform = forward->gateway->platform;
 
   for (int32_t i = 0; i < request->header_count; i++)
-    platform->vtable->read_call_header (request->headers[i].name, request->headers[i].value,
-                                        &forward->facts);
+    platform->vtable->read_request_header (request->headers[i].name, request->headers[i].value,
+                                           &forward->facts);
 }
 
 static void
@@ -329,7 +330,7 @@
   if (forward->facts.deadline_ms > 0
       && forward->arrived_ms + forward->facts.deadline_ms - CALLER_DELAY_MS < forward->deadline_ms)
     forward->deadline_ms = forward->arrived_ms + forward->facts.deadline_ms - CALLER_DELAY_MS;
-  forward->timer.on_time = handle_deadline;
+  forward->timer.on_expiry = handle_deadline;
   bt_set_timer (forward->gateway->loop, &forward->timer, forward->deadline_ms);
 }
 
@@ -389,7 +390,7 @@
   if (forward->state == BT_FORWARD_QUEUED)
     bt_cancel_admission (gateway->admission, forward->id);
   bt_finish_forward (forward, BT_OUTCOME_UNKNOWN, BT_REASON_CANCELLED, 0);
-  bt_pump_forwards (gateway);
+  bt_dispatch_queued_forwards (gateway);
 }
 
 /* A request that was sent may have run. An answer that says so is better than a broken connection,
--- a/source/gateway/forward.h
+++ b/source/gateway/forward.h
@@ -44,7 +44,7 @@
   const char *app;
   char account[BT_NAME_BYTES]; /**< "" for callers that need none. */
   bt_priority_t priority;
-  bt_call_facts_t facts;
+  bt_request_info_t facts;
   bt_fingerprint_t fingerprint;
   bool has_fingerprint; /**< The fingerprint has been computed. */
   int64_t arrived_ms;
@@ -59,7 +59,7 @@
   bt_identity_t tried[BT_MAX_FORWARD_SENDS];
   int32_t sends;
   int32_t runs; /**< Attempts that may have run. */
-  bt_answer_facts_t answer;
+  bt_answer_info_t answer;
   bt_frontend_header_t *headers; /**< Headers of the present attempt's answer that are passed on. */
   int32_t header_count;
   bt_event_stream_t events; /**< The events of a stream that the caller has received. */
--- a/source/gateway/forward_send.c
+++ b/source/gateway/forward_send.c
@@ -72,8 +72,8 @@
   const bt_frontend_request_t *request = bt_get_frontend_request (forward->call);
   const bt_platform_vtable_t *platform = forward->gateway->platform->vtable;
   const bool resumes = forward->events.events > 0;
-  bt_call_facts_t unused;
-  bt_send_facts_t facts = {
+  bt_request_info_t unused;
+  bt_attempt_info_t facts = {
     .endpoint = forward->route.identity.instance,
     .account = forward->account,
     /* Reads the clock itself: the loop's time may date from before the request arrived or from
@@ -87,13 +87,13 @@
 
       if (is_hop_header (header->name) || strcasecmp (header->name, "Authorization") == 0
           || (resumes && strcasecmp (header->name, "Last-Event-Id") == 0)
-          || !platform->read_call_header (header->name, header->value, &unused))
+          || !platform->read_request_header (header->name, header->value, &unused))
         continue;
       bt_add_exchange_header (forward->exchange, header->name, header->value);
     }
   if (resumes)
     bt_add_exchange_header (forward->exchange, "Last-Event-Id", forward->events.last_id);
-  platform->write_send_headers (&facts, add_exchange_header, forward->exchange);
+  platform->write_attempt_headers (&facts, add_exchange_header, forward->exchange);
 }
 
 static void
@@ -114,11 +114,11 @@
   switch (bt_get_exchange_state (exchange))
     {
     case BT_EXCHANGE_COMPLETE:
-      return partial_bytes > 0 ? BT_ATTEMPT_CUT : BT_ATTEMPT_WHOLE;
+      return partial_bytes > 0 ? BT_ATTEMPT_CUT_OFF : BT_ATTEMPT_COMPLETE;
     case BT_EXCHANGE_UNSENT:
       return BT_ATTEMPT_UNSENT;
     default:
-      return bt_get_exchange_status (exchange) > 0 ? BT_ATTEMPT_CUT : BT_ATTEMPT_NO_ANSWER;
+      return bt_get_exchange_status (exchange) > 0 ? BT_ATTEMPT_CUT_OFF : BT_ATTEMPT_NO_ANSWER;
     }
 }
 
@@ -133,7 +133,7 @@
   result->marked = forward->answer.marked;
   result->not_run = forward->answer.not_run;
   result->encoded = forward->answer.encoded;
-  result->other_id = answered[0] != '\0' && strcmp (answered, forward->facts.request_id) != 0;
+  result->id_mismatch = answered[0] != '\0' && strcmp (answered, forward->facts.request_id) != 0;
 }
 
 static void
@@ -184,7 +184,7 @@
 }
 
 static void
-log_retry (const bt_forward_t *forward, const bt_attempt_verdict_t *verdict, const char *fault)
+log_retry (const bt_forward_t *forward, const bt_attempt_decision_t *verdict, const char *fault)
 {
   bt_log_event (forward->gateway->ctx, BT_LOG_INFO, "retry", "{s:s, s:s, s:s, s:s, s:i, s:i, s:I}",
                 "request", forward->facts.request_id, "reason", bt_name_retry (verdict->retry),
@@ -196,7 +196,7 @@
 /* Sends the request to another endpoint when the retry budget that all requests of the app share
  * allows it. */
 static void
-retry (bt_forward_t *forward, const bt_attempt_verdict_t *verdict)
+retry (bt_forward_t *forward, const bt_attempt_decision_t *verdict)
 {
   bt_gateway_t *gateway = forward->gateway;
 
@@ -213,26 +213,26 @@
 {
   bt_gateway_t *gateway = forward->gateway;
   int32_t max_sends = forward->rule->then.retries + 1 + MAX_EXTRA_SENDS;
-  bt_attempt_rights_t rights = {
+  bt_attempt_limits_t rights = {
     .repeatable = bt_may_forward_run_again (forward),
     .runs_left = forward->rule->then.retries - forward->runs,
-    .sends_left =
+    .attempts_left =
         (max_sends < BT_MAX_FORWARD_SENDS ? max_sends : BT_MAX_FORWARD_SENDS) - forward->sends,
     .answer_started = forward->state == BT_FORWARD_STREAMING,
   };
   bt_attempt_result_t result;
-  bt_attempt_verdict_t verdict;
+  bt_attempt_decision_t verdict;
 
   describe_result (forward, stage, &result);
-  bt_judge_attempt (&result, &rights, &verdict);
+  bt_decide_after_attempt (&result, &rights, &verdict);
   if (verdict.may_have_run)
     forward->runs++;
-  if (verdict.may_have_run && stage != BT_ATTEMPT_WHOLE
+  if (verdict.may_have_run && stage != BT_ATTEMPT_COMPLETE
       && bt_get_exchange_state (forward->exchange) != BT_EXCHANGE_OPEN)
     bt_record_broken_attempt (forward);
   if (verdict.endpoint_gone)
     bt_remove_listed_endpoint (gateway->ctx, gateway->endpoints, &forward->route.identity);
-  if (verdict.next == BT_NEXT_PASS && !rights.answer_started)
+  if (verdict.next == BT_NEXT_FORWARD && !rights.answer_started)
     {
       forward_answer (forward);
       return;
@@ -254,9 +254,9 @@
 {
   bt_attempt_result_t result;
 
-  describe_result (forward, BT_ATTEMPT_CUT, &result);
+  describe_result (forward, BT_ATTEMPT_CUT_OFF, &result);
   return forward->rule->then.streamed && result.status == 200 && result.marked && !result.encoded
-         && !result.other_id && !result.not_run;
+         && !result.id_mismatch && !result.not_run;
 }
 
 /* Passes complete events on. The head is sent with the first one: until then another endpoint can
@@ -266,7 +266,7 @@
 {
   size_t bytes;
   const char *body = bt_peek_exchange_body (forward->exchange, &bytes);
-  size_t complete_bytes = bt_take_events (&forward->events, body, bytes);
+  size_t complete_bytes = bt_consume_events (&forward->events, body, bytes);
 
   if (complete_bytes == 0)
     return;
@@ -322,7 +322,7 @@
   if (forward->events.gap)
     {
       forward->events.gap = false;
-      apply_attempt_verdict (forward, BT_ATTEMPT_CUT);
+      apply_attempt_verdict (forward, BT_ATTEMPT_CUT_OFF);
     }
   else if (bt_get_exchange_state (exchange) == BT_EXCHANGE_OPEN)
     return;
@@ -333,7 +333,7 @@
     finish_stream (forward);
   else
     apply_attempt_verdict (forward, get_stage (exchange, partial_bytes));
-  bt_pump_forwards (gateway);
+  bt_dispatch_queued_forwards (gateway);
 }
 
 static const bt_exchange_handler_vtable_t exchange_vtable = { handle_progress,
--- a/source/gateway/gateway.c
+++ b/source/gateway/gateway.c
@@ -38,8 +38,8 @@
 static int32_t
 get_retry_reserve (const bt_gateway_t *gateway)
 {
-  return bt_get_retry_part ((int64_t)gateway->settings->retry_reserve,
-                            gateway->view == NULL ? 1 : gateway->view->entry_count);
+  return bt_divide_retry_reserve ((int64_t)gateway->settings->retry_reserve,
+                                  gateway->view == NULL ? 1 : gateway->view->entry_count);
 }
 
 static bt_retry_budget_t *
@@ -146,7 +146,7 @@
       bt_set_follower_listed (gateway->follower, true);
     }
   bt_drop_view (gateway->ctx, before);
-  bt_pump_forwards (gateway);
+  bt_dispatch_queued_forwards (gateway);
 }
 
 static void
@@ -160,11 +160,11 @@
 }
 
 static void
-run_agent_hook (bt_turn_t *hook)
+run_agent_hook (bt_loop_hook_t *hook)
 {
   bt_gateway_t *gateway = (bt_gateway_t *)((char *)hook - offsetof (bt_gateway_t, agent_hook));
 
-  bt_take_agents_news (gateway);
+  bt_handle_agent_updates (gateway);
   bt_run_group_control (gateway->groups);
 }
 
@@ -196,8 +196,8 @@
   if (gateway->agents == NULL)
     return false;
   gateway->groups = bt_new_group_control (gateway->ctx, gateway->loop, gateway->agents, &control);
-  gateway->agent_hook.on_turn = run_agent_hook;
-  bt_add_turn (gateway->loop, &gateway->agent_hook);
+  gateway->agent_hook.on_iteration = run_agent_hook;
+  bt_add_loop_hook (gateway->loop, &gateway->agent_hook);
   return true;
 }
 
@@ -310,7 +310,7 @@
     .platform = gateway->platform,
     .store = settings->store,
     .instance = settings->instance,
-    .most_ends = settings->crash_ends,
+    .max_ends = settings->crash_ends,
     .keep_ms = settings->crash_keep_s * MS_PER_S,
   };
 
@@ -362,7 +362,7 @@
   bt_seed_random (&gateway->random, seed);
   bt_copy_name (gateway->identity.instance, settings->instance);
   bt_fill_secure_random (&gateway->identity.incarnation, sizeof gateway->identity.incarnation);
-  gateway->relist_timer.on_time = handle_relist_timer;
+  gateway->relist_timer.on_expiry = handle_relist_timer;
   bt_open_timings (ctx, &gateway->timings);
   gateway->loop = bt_new_event_loop (ctx, error);
   if (gateway->loop == NULL || !open_frontends (gateway, error)
--- a/source/gateway/directory.c
+++ b/source/gateway/gateway_addresses.c
@@ -1,7 +1,7 @@
 #include <string.h>
 
+#include "advertised_entries.h"
 #include "gateway_private.h"
-#include "told_entries.h"
 
 /* Returns true for an instance whose address callers may be given. An instance that leaves removes
  * its listing from the store; while the store is unreachable it can't, and tells its peers directly
@@ -20,7 +20,7 @@
 static int32_t
 collect_addresses (bt_gateway_t *gateway,
                    const char *domain,
-                   const char *addresses[BT_MAX_TOLD_ADDRESSES])
+                   const char *addresses[BT_MAX_ADVERTISED_ADDRESSES])
 {
   const bt_view_t *view = gateway->view;
   const char *own = gateway->settings->listen;
@@ -35,24 +35,25 @@
         entries[count++] = &view->entries[i];
         listed = listed || strcmp (view->entries[i].callers, own) == 0;
       }
-  count = bt_choose_told_entries (gateway->ctx, entries, count, domain, BT_MAX_TOLD_ADDRESSES);
+  count = bt_select_advertised_entries (gateway->ctx, entries, count, domain,
+                                        BT_MAX_ADVERTISED_ADDRESSES);
   for (int32_t i = 0; i < count; i++)
     addresses[i] = entries[i]->callers;
   bt_free (gateway->ctx, entries);
   if (!listed && !gateway->leaving)
-    addresses[count < BT_MAX_TOLD_ADDRESSES ? count++ : 0] = own;
+    addresses[count < BT_MAX_ADVERTISED_ADDRESSES ? count++ : 0] = own;
   return count;
 }
 
 void
 bt_answer_gateway_addresses (bt_gateway_t *gateway, bt_frontend_call_t *call)
 {
-  const char *addresses[BT_MAX_TOLD_ADDRESSES];
+  const char *addresses[BT_MAX_ADVERTISED_ADDRESSES];
   char domain[BT_NAME_BYTES];
   int32_t count;
   char *body;
 
-  gateway->platform->vtable->read_asker_domain (bt_get_frontend_request (call)->target, domain);
+  gateway->platform->vtable->read_caller_domain (bt_get_frontend_request (call)->target, domain);
   count = collect_addresses (gateway, domain, addresses);
 
   if (count == 0)
--- a/source/gateway/gateway_private.h
+++ b/source/gateway/gateway_private.h
@@ -8,13 +8,13 @@
 #include "bilberrytray/base/random.h"
 #include "bilberrytray/gateway/gateway.h"
 #include "bilberrytray/load/admission.h"
-#include "bilberrytray/load/pass_pace.h"
+#include "bilberrytray/load/pass_limiter.h"
 #include "bilberrytray/load/retry_budget.h"
 #include "crash_control.h"
 #include "endpoint_table.h"
 #include "exchange.h"
 #include "group_control.h"
-#include "http_front.h"
+#include "http_frontend.h"
 #include "leaving_notice.h"
 #include "stop_plan.h"
 #include "store_follower.h"
@@ -33,7 +33,7 @@
 typedef struct bt_group_pace
 {
   char group[BT_NAME_BYTES];
-  bt_pass_pace_t *pace;
+  bt_pass_limiter_t *pace;
 } bt_group_pace_t;
 
 struct bt_gateway
@@ -66,7 +66,7 @@
   bt_fingerprint_key_t fingerprint_key;
   bt_agent_links_t *agents;
   bt_group_control_t *groups;
-  bt_turn_t agent_hook;
+  bt_loop_hook_t agent_hook;
   bt_group_pace_t *paces;
   int32_t pace_count;
   bt_app_budget_t *budgets;
@@ -95,7 +95,7 @@
 bool bt_take_app_retry (bt_gateway_t *gateway, const char *app, bt_retry_t retry);
 
 /** Applies what the agents have reported since the last call. */
-void bt_take_agents_news (bt_gateway_t *gateway);
+void bt_handle_agent_updates (bt_gateway_t *gateway);
 
 /** Frees the pass paces of all groups. */
 void bt_drop_group_paces (bt_gateway_t *gateway);
@@ -108,7 +108,7 @@
 
 /** Sends the queued requests for which there is capacity now, and refuses those that can't be
  * served in time. */
-void bt_pump_forwards (bt_gateway_t *gateway);
+void bt_dispatch_queued_forwards (bt_gateway_t *gateway);
 
 /** Refuses the queued requests that are known to crash endpoints. */
 void bt_refuse_crashing_forwards (bt_gateway_t *gateway);
--- a/source/gateway/gateway_stop.c
+++ b/source/gateway/gateway_stop.c
@@ -77,7 +77,7 @@
 static void
 notify_peers (bt_gateway_t *gateway)
 {
-  bt_peer_name_t self = {
+  bt_peer_identity_t self = {
     .links = gateway->settings->links,
     .incarnation = gateway->identity.incarnation,
     .failure_domain = gateway->settings->failure_domain,
@@ -111,7 +111,7 @@
   notify_peers (gateway);
   if (gateway->groups != NULL && gateway->view != NULL)
     bt_set_group_view (gateway->groups, gateway->view, true);
-  gateway->stop_timer.on_time = advance_stop;
+  gateway->stop_timer.on_expiry = advance_stop;
   advance_stop (&gateway->stop_timer);
 }
 
--- a/source/gateway/group_control.c
+++ b/source/gateway/group_control.c
@@ -5,7 +5,7 @@
 
 #include "bilberrytray/base/event_log.h"
 #include "bilberrytray/base/limit.h"
-#include "led_group.h"
+#include "managed_group.h"
 
 enum
 {
@@ -132,7 +132,7 @@
   control->links = links;
   control->options = *options;
   control->listener.on_lease = handle_lease;
-  control->timer.on_time = wake_loop;
+  control->timer.on_expiry = wake_loop;
   control->keeper = bt_new_lease_keeper (ctx, loop, &lease, &control->listener);
   return control;
 }
--- a/source/gateway/group_maps.c
+++ b/source/gateway/group_maps.c
@@ -2,9 +2,9 @@
 
 #include <string.h>
 
+#include "bilberrytray/maps/adaptive_load.h"
 #include "bilberrytray/maps/copy_price.h"
 #include "bilberrytray/maps/group_rounds.h"
-#include "bilberrytray/maps/moving_load.h"
 
 enum
 {
@@ -34,7 +34,7 @@
   bt_group_maps_settings_t settings;
   bt_engine_t engine;
   bt_map_shape_t shape;
-  bt_moving_load_t *load;
+  bt_adaptive_load_t *load;
   double picks;  /* number of picks recorded since the last plan */
   double *paces; /* slowdown of each rank */
   bt_copy_price_t *price;
@@ -54,7 +54,7 @@
   bt_group_maps_settings_t settings = {
     .load_half_life_ms = DEFAULT_HALF_LIFE_MS,
     .horizon_ms = DEFAULT_HORIZON_MS,
-    .planner = bt_round_map_planner (),
+    .planner = bt_get_round_planner (),
     .pay_ratio = 1.2,
     .least_gain = default_least_gain,
   };
@@ -85,8 +85,8 @@
   for (int32_t rank = 0; rank < ranks; rank++)
     maps->paces[rank] = 1;
   maps->price = bt_new_copy_price (ctx, ranks);
-  maps->load = bt_new_moving_load (ctx, shape.layers, shape.experts, settings->load_half_life_ms);
-  bt_keep_moving_load (maps->load, settings->keep_past);
+  maps->load = bt_new_adaptive_load (ctx, shape.layers, shape.experts, settings->load_half_life_ms);
+  bt_keep_load_mean (maps->load, settings->keep_past);
   return maps;
 }
 
@@ -95,7 +95,7 @@
 {
   if (maps == NULL)
     return;
-  bt_drop_moving_load (ctx, maps->load);
+  bt_drop_adaptive_load (ctx, maps->load);
   bt_drop_copy_price (ctx, maps->price);
   bt_drop_expert_map (ctx, maps->current);
   bt_drop_expert_map (ctx, maps->assembled);
@@ -127,13 +127,13 @@
 }
 
 void
-bt_take_rank_places (bt_context_t *ctx,
-                     bt_group_maps_t *maps,
-                     int32_t rank,
-                     int64_t epoch,
-                     int64_t version,
-                     const uint32_t *places,
-                     int32_t count)
+bt_record_rank_places (bt_context_t *ctx,
+                       bt_group_maps_t *maps,
+                       int32_t rank,
+                       int64_t epoch,
+                       int64_t version,
+                       const uint32_t *places,
+                       int32_t count)
 {
   if (rank < 0 || rank >= maps->shape.ranks)
     return;
@@ -151,11 +151,11 @@
 }
 
 void
-bt_take_rank_picks (bt_group_maps_t *maps, const uint32_t *picks, int32_t count, int64_t now_ms)
+bt_record_rank_picks (bt_group_maps_t *maps, const uint32_t *picks, int32_t count, int64_t now_ms)
 {
   if (count != maps->shape.layers * maps->shape.experts)
     return;
-  bt_add_moving_load (maps->load, picks, now_ms);
+  bt_add_adaptive_load (maps->load, picks, now_ms);
   for (int32_t i = 0; i < count; i++)
     maps->picks += picks[i];
 }
@@ -163,7 +163,7 @@
 bool
 bt_take_group_jump (bt_group_maps_t *maps, int64_t now_ms)
 {
-  return bt_take_load_jump (maps->load, now_ms);
+  return bt_poll_load_jump (maps->load, now_ms);
 }
 
 void
@@ -174,7 +174,7 @@
 }
 
 void
-bt_take_rank_running (
+bt_record_group_rank_running (
     bt_group_maps_t *maps, int32_t rank, int32_t running, int32_t limit, int64_t now_ms)
 {
   bt_record_rank_running (maps->price, rank, running, limit, now_ms);
@@ -226,7 +226,7 @@
 
   memset (input, 0, sizeof *input);
   input->current = maps->current;
-  input->load = bt_get_moving_load (maps->load);
+  input->load = bt_get_adaptive_load (maps->load);
   input->paces = maps->paces;
   input->now_ms = now_ms;
   input->weights.skew_weight = 1;
@@ -240,7 +240,7 @@
   input->limits.copy_ms = ms_per_s * s_per_mb * engine->expert_mb;
   input->limits.round_ms = ROUND_MS;
   input->limits.expert_share = engine->expert_share;
-  input->limits.rank_adds = engine->spare_places;
+  input->limits.max_new_replicas = engine->spare_places;
 }
 
 const bt_expert_map_t *
@@ -272,7 +272,7 @@
 }
 
 void
-bt_use_next_group_map (bt_context_t *ctx, bt_group_maps_t *maps, int64_t version)
+bt_activate_next_group_map (bt_context_t *ctx, bt_group_maps_t *maps, int64_t version)
 {
   if (maps->next == NULL)
     return;
--- a/source/gateway/group_maps.h
+++ b/source/gateway/group_maps.h
@@ -42,17 +42,17 @@
 
 /** Records the experts (set << 16 | expert) that one rank holds in the map of this epoch and
  * version. */
-void bt_take_rank_places (bt_context_t *ctx,
-                          bt_group_maps_t *maps,
-                          int32_t rank,
-                          int64_t epoch,
-                          int64_t version,
-                          const uint32_t *places,
-                          int32_t count);
+void bt_record_rank_places (bt_context_t *ctx,
+                            bt_group_maps_t *maps,
+                            int32_t rank,
+                            int64_t epoch,
+                            int64_t version,
+                            const uint32_t *places,
+                            int32_t count);
 
 /** Records how often each expert was picked, by set and expert. */
 void
-bt_take_rank_picks (bt_group_maps_t *maps, const uint32_t *picks, int32_t count, int64_t now_ms);
+bt_record_rank_picks (bt_group_maps_t *maps, const uint32_t *picks, int32_t count, int64_t now_ms);
 
 /** Returns true once after demand has jumped. */
 bool bt_take_group_jump (bt_group_maps_t *maps, int64_t now_ms);
@@ -62,7 +62,7 @@
 
 /** Records how many requests a rank runs and how many it may run now. The cost of copying depends
  * on both. */
-void bt_take_rank_running (
+void bt_record_group_rank_running (
     bt_group_maps_t *maps, int32_t rank, int32_t running, int32_t limit, int64_t now_ms);
 
 /** Returns the recent share of the group's request capacity that is in use. The cost of copying
@@ -74,7 +74,7 @@
 bt_get_group_map (bt_context_t *ctx, bt_group_maps_t *maps, int64_t epoch, int64_t version);
 
 /** Plans the next map from the one in use. Returns NULL if no new map is worth its cost; else the
- * map is valid until the next call of this function, of bt_use_next_group_map or of
+ * map is valid until the next call of this function, of bt_activate_next_group_map or of
  * bt_forget_group_map. @p skew receives the predicted skew before and after the change. */
 const bt_expert_map_t *
 bt_plan_next_group_map (bt_context_t *ctx, bt_group_maps_t *maps, int64_t now_ms, double skew[2]);
@@ -83,6 +83,6 @@
 const bt_expert_map_t *bt_get_next_group_map (const bt_group_maps_t *maps);
 
 /** Makes the planned map the map in use, under this version. */
-void bt_use_next_group_map (bt_context_t *ctx, bt_group_maps_t *maps, int64_t version);
+void bt_activate_next_group_map (bt_context_t *ctx, bt_group_maps_t *maps, int64_t version);
 
 #endif
--- a/source/gateway/http_answer.c
+++ b/source/gateway/http_answer.c
@@ -1,6 +1,6 @@
 #include <string.h>
 
-#include "http_front_private.h"
+#include "http_frontend_private.h"
 
 enum
 {
--- a/source/gateway/http_front.c
+++ b/source/gateway/http_frontend.c
@@ -9,7 +9,7 @@
 #include "bilberrytray/base/address.h"
 #include "bilberrytray/base/event_log.h"
 #include "bilberrytray/page/listener.h"
-#include "http_front_private.h"
+#include "http_frontend_private.h"
 
 enum
 {
@@ -285,7 +285,7 @@
 }
 
 static void
-run_frontend (bt_turn_t *hook)
+run_frontend (bt_loop_hook_t *hook)
 {
   bt_frontend_t *frontend = (bt_frontend_t *)((char *)hook - offsetof (bt_frontend_t, hook));
   MHD_UNSIGNED_LONG_LONG wait_ms;
@@ -361,10 +361,10 @@
     }
   frontend->watch.fd = MHD_get_daemon_info (frontend->daemon, MHD_DAEMON_INFO_EPOLL_FD)->epoll_fd;
   frontend->watch.on_ready = request_run;
-  frontend->timer.on_time = handle_timeout;
-  frontend->hook.on_turn = run_frontend;
+  frontend->timer.on_expiry = handle_timeout;
+  frontend->hook.on_iteration = run_frontend;
   bt_set_watch (loop, &frontend->watch, EPOLLIN);
-  bt_add_turn (loop, &frontend->hook);
+  bt_add_loop_hook (loop, &frontend->hook);
   return frontend;
 }
 
--- a/source/gateway/http_front.h
+++ b/source/gateway/http_frontend.h
@@ -1,5 +1,5 @@
-#ifndef BILBERRYTRAY_SOURCE_GATEWAY_HTTP_FRONT_H
-#define BILBERRYTRAY_SOURCE_GATEWAY_HTTP_FRONT_H
+#ifndef BILBERRYTRAY_SOURCE_GATEWAY_HTTP_FRONTEND_H
+#define BILBERRYTRAY_SOURCE_GATEWAY_HTTP_FRONTEND_H
 
 /** @file
  * HTTP frontend on the event loop: reads callers' requests completely, and answers each with one
--- a/source/gateway/http_front_private.h
+++ b/source/gateway/http_frontend_private.h
@@ -1,14 +1,14 @@
-#ifndef BILBERRYTRAY_SOURCE_GATEWAY_HTTP_FRONT_PRIVATE_H
-#define BILBERRYTRAY_SOURCE_GATEWAY_HTTP_FRONT_PRIVATE_H
+#ifndef BILBERRYTRAY_SOURCE_GATEWAY_HTTP_FRONTEND_PRIVATE_H
+#define BILBERRYTRAY_SOURCE_GATEWAY_HTTP_FRONTEND_PRIVATE_H
 
 /** @file
- * Shared by http_front.c, which reads requests, and http_answer.c, which answers them. The library
- * is libmicrohttpd.
+ * Shared by http_frontend.c, which reads requests, and http_answer.c, which answers them. The
+ * library is libmicrohttpd.
  */
 
 #include <microhttpd.h>
 
-#include "http_front.h"
+#include "http_frontend.h"
 
 /** State of an answer. */
 typedef enum answer_state
@@ -57,7 +57,7 @@
   bt_frontend_limits_t limits;
   struct MHD_Daemon *daemon;
   bt_watch_t watch; /* the library's epoll descriptor */
-  bt_turn_t hook;
+  bt_loop_hook_t hook;
   bt_timer_t timer;   /* the library's next timeout */
   bool run_requested; /* MHD_run is to be called in this iteration */
   bool leaving;
--- a/source/gateway/leaving_notice.c
+++ b/source/gateway/leaving_notice.c
@@ -73,7 +73,7 @@
 
 bt_leaving_notice_t *
 bt_new_leaving_notice (bt_context_t *ctx,
-                       const bt_peer_name_t *self,
+                       const bt_peer_identity_t *self,
                        const bt_listed_entry_t *entries,
                        int32_t count)
 {
--- a/source/gateway/leaving_notice.h
+++ b/source/gateway/leaving_notice.h
@@ -18,7 +18,7 @@
 /** Connects to the entries of a list, and notifies each that answers that @p self shuts down.
  * Returns NULL and logs the reason if the links can't be opened. */
 bt_leaving_notice_t *bt_new_leaving_notice (bt_context_t *ctx,
-                                            const bt_peer_name_t *self,
+                                            const bt_peer_identity_t *self,
                                             const bt_listed_entry_t *entries,
                                             int32_t count);
 
--- a/source/gateway/led_group.c
+++ b/source/gateway/managed_group.c
@@ -1,4 +1,4 @@
-#include "led_group.h"
+#include "managed_group.h"
 
 #include <stdio.h>
 #include <string.h>
@@ -104,14 +104,14 @@
 bt_begin_leading_group (bt_managed_group_t *group, uint64_t fence)
 {
   group->target = 0;
-  bt_lead_group (group->rounds, fence);
+  bt_start_leading_group (group->rounds, fence);
   bt_forget_group_map (group->ctx, group->maps);
 }
 
 void
 bt_end_leading_group (bt_managed_group_t *group)
 {
-  bt_leave_group (group->rounds);
+  bt_stop_leading_group (group->rounds);
 }
 
 void
@@ -124,17 +124,17 @@
 
   snprintf (group->endpoints[report->rank], BT_ADDRESS_BYTES, "%s", update->endpoint);
   bt_set_rank_pace (group->maps, report->rank, report->pace);
-  bt_take_rank_running (group->maps, report->rank, report->running, pass_limit, now_ms);
+  bt_record_group_rank_running (group->maps, report->rank, report->running, pass_limit, now_ms);
   if (update->places != NULL)
-    bt_take_rank_places (group->ctx, group->maps, report->rank, update->places_epoch,
-                         update->places_version, update->places, update->place_count);
+    bt_record_rank_places (group->ctx, group->maps, report->rank, update->places_epoch,
+                           update->places_version, update->places, update->place_count);
   if (update->picks != NULL)
-    bt_take_rank_picks (group->maps, update->picks, update->pick_count, now_ms);
+    bt_record_rank_picks (group->maps, update->picks, update->pick_count, now_ms);
   if (update->answered)
-    bt_take_group_order_result (group->rounds, report->rank, update->answered_id, update->result,
-                                &report->maps, update->received_ms);
+    bt_handle_group_order_result (group->rounds, report->rank, update->answered_id, update->result,
+                                  &report->maps, update->received_ms);
   else
-    bt_take_rank_report (group->rounds, report->rank, &report->maps, update->received_ms);
+    bt_handle_rank_report (group->rounds, report->rank, &report->maps, update->received_ms);
 }
 
 static void
@@ -159,7 +159,7 @@
   if (group->target == 0 || bt_get_group_phase (group->rounds) != BT_GROUP_CALM)
     return;
   if (bt_get_group_version (group->rounds) == group->target)
-    bt_use_next_group_map (group->ctx, group->maps, group->target);
+    bt_activate_next_group_map (group->ctx, group->maps, group->target);
   group->target = 0;
 }
 
@@ -289,7 +289,7 @@
   plan_round (group, params);
   while (bt_next_group_order (group->rounds, params->now_ms, &order))
     send_order (group, &order, params->now_ms);
-  if (bt_take_group_ask (group->rounds))
+  if (bt_poll_report_request (group->rounds))
     request_reports (group);
   log_phase (group, params->fence);
   return !bt_is_group_fenced (group->rounds);
--- a/source/gateway/led_group.h
+++ b/source/gateway/managed_group.h
@@ -1,5 +1,5 @@
-#ifndef BILBERRYTRAY_SOURCE_GATEWAY_LED_GROUP_H
-#define BILBERRYTRAY_SOURCE_GATEWAY_LED_GROUP_H
+#ifndef BILBERRYTRAY_SOURCE_GATEWAY_MANAGED_GROUP_H
+#define BILBERRYTRAY_SOURCE_GATEWAY_MANAGED_GROUP_H
 
 /** @file
  * The state that a leader keeps of one rank group: its rounds, its maps, and the links to its
--- a/source/gateway/peer_feed.c
+++ b/source/gateway/peer_feed.c
@@ -7,8 +7,8 @@
 #include "bilberrytray/base/clock.h"
 #include "bilberrytray/base/condition.h"
 #include "bilberrytray/base/event_log.h"
+#include "departed_peers.h"
 #include "feed_messages.h"
-#include "left_peers.h"
 
 enum
 {
--- a/source/gateway/peer_feed.h
+++ b/source/gateway/peer_feed.h
@@ -19,7 +19,7 @@
 /** Strings of the options must outlive the feed. */
 typedef struct bt_peer_feed_options
 {
-  bt_peer_name_t self;
+  bt_peer_identity_t self;
   int64_t contact_ms; /**< A reader is no longer attached to the store after this time without an
                          answer. */
 } bt_peer_feed_options_t;
--- a/source/gateway/peer_links.c
+++ b/source/gateway/peer_links.c
@@ -1,7 +1,7 @@
 #include "peer_links.h"
 
 void
-bt_fill_peer_link_options (const bt_peer_name_t *self,
+bt_fill_peer_link_options (const bt_peer_identity_t *self,
                            bt_link_handler_t *handler,
                            bt_link_options_t *options)
 {
--- a/source/gateway/port_probes.c
+++ b/source/gateway/port_probes.c
@@ -129,7 +129,7 @@
     }
   probe->watch.on_ready = handle_connect_result;
   bt_set_watch (loop, &probe->watch, EPOLLOUT);
-  probe->timer.on_time = handle_connect_timeout;
+  probe->timer.on_expiry = handle_connect_timeout;
   bt_set_timer (loop, &probe->timer, bt_get_loop_ms (loop) + CONNECT_TIMEOUT_MS);
 }
 
@@ -154,6 +154,6 @@
   probe->in_use = true;
   probe->watch.fd = -1;
   probe->endpoint = *endpoint;
-  probe->timer.on_time = start_connect;
+  probe->timer.on_expiry = start_connect;
   bt_set_timer (probes->loop, &probe->timer, bt_get_loop_ms (probes->loop) + DELAY_MS);
 }
--- a/source/load/pass_pace.c
+++ b/source/load/pass_limiter.c
@@ -1,4 +1,4 @@
-#include "bilberrytray/load/pass_pace.h"
+#include "bilberrytray/load/pass_limiter.h"
 
 #include <math.h>
 
@@ -33,9 +33,9 @@
 /* Part of the way by which recent_limit falls per window; a jump may extend over two windows. */
 static const double decay_rate = 0.25;
 
-struct bt_pass_pace
+struct bt_pass_limiter
 {
-  bt_pass_pace_settings_t settings;
+  bt_pass_limiter_settings_t settings;
   int32_t *running;    /* requests running on each rank */
   int64_t window_step; /* step and time at which the window begins */
   int64_t window_ms;
@@ -49,10 +49,10 @@
   int64_t previous_jump_ms; /* start of the jump before the last */
 };
 
-bt_pass_pace_t *
-bt_new_pass_pace (bt_context_t *ctx, const bt_pass_pace_settings_t *settings)
+bt_pass_limiter_t *
+bt_new_pass_limiter (bt_context_t *ctx, const bt_pass_limiter_settings_t *settings)
 {
-  bt_pass_pace_t *limiter = bt_calloc (ctx, 1, sizeof *limiter);
+  bt_pass_limiter_t *limiter = bt_calloc (ctx, 1, sizeof *limiter);
 
   limiter->settings = *settings;
   limiter->running = bt_calloc (ctx, (size_t)settings->ranks, sizeof *limiter->running);
@@ -66,7 +66,7 @@
 }
 
 void
-bt_drop_pass_pace (bt_context_t *ctx, bt_pass_pace_t *limiter)
+bt_drop_pass_limiter (bt_context_t *ctx, bt_pass_limiter_t *limiter)
 {
   if (limiter == NULL)
     return;
@@ -75,7 +75,7 @@
 }
 
 static double
-get_mean_running (const bt_pass_pace_t *limiter)
+get_mean_running (const bt_pass_limiter_t *limiter)
 {
   double sum = 0;
 
@@ -88,11 +88,11 @@
  * The limit in force must not be used for this: it reserves capacity for jumps, under which a jump
  * may cause no long pass and would go undetected. */
 static void
-detect_jump (bt_pass_pace_t *limiter, double allowed, int64_t now_ms)
+detect_jump (bt_pass_limiter_t *limiter, double allowed, int64_t now_ms)
 {
-  const bt_pass_pace_settings_t *settings = &limiter->settings;
-  double tolerance = (settings->aim_pass_ms - settings->least_pass_ms)
-                     / (settings->pause_ms - settings->least_pass_ms);
+  const bt_pass_limiter_settings_t *settings = &limiter->settings;
+  double tolerance = (settings->target_pass_ms - settings->min_pass_ms)
+                     / (settings->pause_ms - settings->min_pass_ms);
 
   if (allowed >= limiter->recent_limit * tolerance
       || (limiter->jump_ms != NEVER && now_ms - limiter->jump_ms < JUMP_MS))
@@ -102,7 +102,7 @@
 }
 
 bool
-bt_are_demand_jumps_frequent (const bt_pass_pace_t *limiter, int64_t now_ms)
+bt_are_demand_jumps_frequent (const bt_pass_limiter_t *limiter, int64_t now_ms)
 {
   return limiter->previous_jump_ms != NEVER && now_ms - limiter->previous_jump_ms < FREQUENT_MS;
 }
@@ -117,14 +117,14 @@
  * everything that makes passes long now: skew of the experts, slow engines, long contexts. So the
  * number of requests that fit the target follows from the last passes. */
 static void
-set_limit (bt_pass_pace_t *limiter, double running, int64_t now_ms)
+set_limit (bt_pass_limiter_t *limiter, double running, int64_t now_ms)
 {
-  const bt_pass_pace_settings_t *settings = &limiter->settings;
-  double variable_ms = limiter->pass_ms - settings->least_pass_ms;
+  const bt_pass_limiter_settings_t *settings = &limiter->settings;
+  double variable_ms = limiter->pass_ms - settings->min_pass_ms;
   double allowed = settings->slots;
 
   if (running >= MIN_RUNNING && variable_ms > 1)
-    allowed = running * (settings->aim_pass_ms - settings->least_pass_ms) / variable_ms;
+    allowed = running * (settings->target_pass_ms - settings->min_pass_ms) / variable_ms;
   if (allowed > settings->slots)
     allowed = settings->slots;
   if (allowed < MIN_LIMIT)
@@ -141,7 +141,7 @@
 }
 
 static void
-start_window (bt_pass_pace_t *limiter, int64_t step, int64_t now_ms)
+start_window (bt_pass_limiter_t *limiter, int64_t step, int64_t now_ms)
 {
   limiter->window_step = step;
   limiter->window_ms = now_ms;
@@ -149,7 +149,7 @@
 
 void
 bt_record_pass (
-    bt_pass_pace_t *limiter, int32_t rank, int64_t step, int32_t running, int64_t now_ms)
+    bt_pass_limiter_t *limiter, int32_t rank, int64_t step, int32_t running, int64_t now_ms)
 {
   if (rank < 0 || rank >= limiter->settings.ranks)
     return;
@@ -170,13 +170,13 @@
 }
 
 int32_t
-bt_get_pass_limit (const bt_pass_pace_t *limiter)
+bt_get_running_limit (const bt_pass_limiter_t *limiter)
 {
   return (int32_t)floor (limiter->limit + 0.5);
 }
 
 double
-bt_get_pass_ms (const bt_pass_pace_t *limiter)
+bt_get_pass_ms (const bt_pass_limiter_t *limiter)
 {
   return limiter->pass_ms;
 }
--- a/source/load/retry_budget.c
+++ b/source/load/retry_budget.c
@@ -41,7 +41,7 @@
 }
 
 int32_t
-bt_get_retry_part (int64_t total, int32_t instances)
+bt_divide_retry_reserve (int64_t total, int32_t instances)
 {
   int64_t part = total / RESTART_DIVISOR / (instances > 0 ? instances : 1);
 
--- a/source/load/router.c
+++ b/source/load/router.c
@@ -193,7 +193,7 @@
 }
 
 bool
-bt_set_endpoint_shut (bt_router_t *router, const bt_identity_t *identity, bool paused)
+bt_set_endpoint_paused (bt_router_t *router, const bt_identity_t *identity, bool paused)
 {
   bt_endpoint_state_t *state = find_endpoint (router, identity);
 
@@ -291,7 +291,7 @@
 }
 
 bt_reason_t
-bt_choose_home (bt_router_t *router, const char *app, int64_t now_ms, bt_identity_t *home)
+bt_choose_home_agent (bt_router_t *router, const char *app, int64_t now_ms, bt_identity_t *home)
 {
   bt_endpoint_state_t *best = NULL;
 
--- a/source/maps/moving_load.c
+++ b/source/maps/adaptive_load.c
@@ -1,4 +1,4 @@
-#include "bilberrytray/maps/moving_load.h"
+#include "bilberrytray/maps/adaptive_load.h"
 
 #include <math.h>
 #include <string.h>
@@ -20,7 +20,7 @@
 /* Weight of a new window in a layer's usual distance. */
 static const double noise_weight = 0.1;
 
-struct bt_moving_load
+struct bt_adaptive_load
 {
   int32_t layers;
   int32_t experts;
@@ -28,14 +28,14 @@
   double *window;    /* counts since the window was opened, by layer and expert */
   int64_t opened_ms; /* when the window was opened; NO_WINDOW before the first */
   double *noise;     /* by layer: usual distance of a window from the mean; 0: unknown */
-  bool jumped;       /* demand has jumped since the last bt_take_load_jump */
+  bool jumped;       /* demand has jumped since the last bt_poll_load_jump */
   bool keep_mean;    /* keep the mean when demand jumps */
 };
 
-bt_moving_load_t *
-bt_new_moving_load (bt_context_t *ctx, int32_t layers, int32_t experts, int64_t half_life_ms)
+bt_adaptive_load_t *
+bt_new_adaptive_load (bt_context_t *ctx, int32_t layers, int32_t experts, int64_t half_life_ms)
 {
-  bt_moving_load_t *load = bt_calloc (ctx, 1, sizeof *load);
+  bt_adaptive_load_t *load = bt_calloc (ctx, 1, sizeof *load);
 
   load->layers = layers;
   load->experts = experts;
@@ -47,7 +47,7 @@
 }
 
 void
-bt_drop_moving_load (bt_context_t *ctx, bt_moving_load_t *load)
+bt_drop_adaptive_load (bt_context_t *ctx, bt_adaptive_load_t *load)
 {
   if (load == NULL)
     return;
@@ -58,13 +58,13 @@
 }
 
 void
-bt_keep_moving_load (bt_moving_load_t *load, bool keep)
+bt_keep_load_mean (bt_adaptive_load_t *load, bool keep)
 {
   load->keep_mean = keep;
 }
 
 static double *
-get_layer_window (const bt_moving_load_t *load, int32_t layer)
+get_layer_window (const bt_adaptive_load_t *load, int32_t layer)
 {
   return &load->window[(size_t)layer * (size_t)load->experts];
 }
@@ -72,7 +72,7 @@
 /* The share of a layer's demand that is on other experts in the window than in the mean, 0 to 1
  * (the total variation distance); 0 when the window or the mean is empty. */
 static double
-measure_distance (const bt_moving_load_t *load, int32_t layer)
+measure_distance (const bt_adaptive_load_t *load, int32_t layer)
 {
   const double *window = get_layer_window (load, layer);
   double window_sum = 0;
@@ -93,7 +93,7 @@
 }
 
 static bool
-is_jump (const bt_moving_load_t *load, int32_t layer, double distance)
+is_jump (const bt_adaptive_load_t *load, int32_t layer, double distance)
 {
   double noise = load->noise[layer];
 
@@ -110,7 +110,7 @@
 }
 
 static void
-merge_layer (bt_moving_load_t *load, int32_t layer)
+merge_layer (bt_adaptive_load_t *load, int32_t layer)
 {
   const double *window = get_layer_window (load, layer);
   double distance = measure_distance (load, layer);
@@ -128,7 +128,7 @@
 }
 
 static void
-close_due_window (bt_moving_load_t *load, int64_t now_ms)
+close_due_window (bt_adaptive_load_t *load, int64_t now_ms)
 {
   if (load->opened_ms != NO_WINDOW && now_ms - load->opened_ms < WINDOW_MS)
     return;
@@ -140,7 +140,7 @@
 }
 
 void
-bt_add_moving_load (bt_moving_load_t *load, const uint32_t *counts, int64_t now_ms)
+bt_add_adaptive_load (bt_adaptive_load_t *load, const uint32_t *counts, int64_t now_ms)
 {
   close_due_window (load, now_ms);
   for (int32_t i = 0; i < load->layers * load->experts; i++)
@@ -148,7 +148,7 @@
 }
 
 bool
-bt_take_load_jump (bt_moving_load_t *load, int64_t now_ms)
+bt_poll_load_jump (bt_adaptive_load_t *load, int64_t now_ms)
 {
   bool jumped;
 
@@ -159,7 +159,7 @@
 }
 
 const bt_expert_load_t *
-bt_get_moving_load (const bt_moving_load_t *load)
+bt_get_adaptive_load (const bt_adaptive_load_t *load)
 {
   return load->mean;
 }
--- a/source/maps/group_rounds.c
+++ b/source/maps/group_rounds.c
@@ -44,7 +44,7 @@
 }
 
 void
-bt_lead_group (bt_group_rounds_t *rounds, uint64_t fence)
+bt_start_leading_group (bt_group_rounds_t *rounds, uint64_t fence)
 {
   memset (rounds->ranks, 0, (size_t)rounds->settings.ranks * sizeof rounds->ranks[0]);
   rounds->fence = fence;
@@ -68,7 +68,7 @@
 }
 
 void
-bt_leave_group (bt_group_rounds_t *rounds)
+bt_stop_leading_group (bt_group_rounds_t *rounds)
 {
   rounds->fence = 0;
   rounds->target = 0;
@@ -114,10 +114,10 @@
 }
 
 void
-bt_take_rank_report (bt_group_rounds_t *rounds,
-                     int32_t rank,
-                     const bt_rank_report_t *report,
-                     int64_t now_ms)
+bt_handle_rank_report (bt_group_rounds_t *rounds,
+                       int32_t rank,
+                       const bt_rank_report_t *report,
+                       int64_t now_ms)
 {
   bt_rank_state_t *state;
 
@@ -146,12 +146,12 @@
 }
 
 void
-bt_take_group_order_result (bt_group_rounds_t *rounds,
-                            int32_t rank,
-                            uint64_t id,
-                            bt_order_result_t result,
-                            const bt_rank_report_t *report,
-                            int64_t now_ms)
+bt_handle_group_order_result (bt_group_rounds_t *rounds,
+                              int32_t rank,
+                              uint64_t id,
+                              bt_order_result_t result,
+                              const bt_rank_report_t *report,
+                              int64_t now_ms)
 {
   bt_rank_state_t *state;
 
@@ -175,7 +175,7 @@
        * group is held. */
       rounds->reports_requested = rounds->reports_requested || rounds->phase == BT_GROUP_HOLDING;
     }
-  bt_take_rank_report (rounds, rank, report, now_ms);
+  bt_handle_rank_report (rounds, rank, report, now_ms);
 }
 
 int64_t
@@ -196,7 +196,7 @@
 }
 
 bool
-bt_take_group_ask (bt_group_rounds_t *rounds)
+bt_poll_report_request (bt_group_rounds_t *rounds)
 {
   bool ask = rounds->reports_requested;
 
--- a/source/maps/map_controller.c
+++ b/source/maps/map_controller.c
@@ -118,7 +118,7 @@
 }
 
 bool
-bt_is_map_group_whole (const bt_map_controller_t *controller)
+bt_is_map_group_converged (const bt_map_controller_t *controller)
 {
   const bt_rank_view_t *views = controller->views;
 
@@ -134,7 +134,7 @@
 bt_begin_map_round (bt_map_controller_t *controller, uint64_t digest, int64_t now_ms)
 {
   if (!bt_holds_map_lease (controller, now_ms) || controller->phase != BT_ROUND_NONE
-      || !bt_is_map_group_whole (controller))
+      || !bt_is_map_group_converged (controller))
     return false;
   controller->round = (bt_round_id_t){ controller->fence, ++controller->sequence };
   controller->digest = digest;
@@ -154,7 +154,9 @@
 }
 
 void
-bt_take_map_report (bt_map_controller_t *controller, const bt_map_report_t *report, int64_t now_ms)
+bt_handle_map_report (bt_map_controller_t *controller,
+                      const bt_map_report_t *report,
+                      int64_t now_ms)
 {
   bt_rank_view_t *view;
 
--- a/source/maps/map_planner.c
+++ b/source/maps/map_planner.c
@@ -167,7 +167,7 @@
   plan->gain_ms = (plan->skew_before - plan->skew_after) * bt_get_skew_cost_ms (input);
   plan->cost_ms = (double)transfers * bt_get_transfer_cost_ms (input);
   if (plan->move_count > 0)
-    plan->cost_ms += input->limits.held_steps_a_round * (double)input->weights.held_step_cost_ms;
+    plan->cost_ms += input->limits.held_steps_per_round * (double)input->weights.held_step_cost_ms;
 }
 
 bt_map_plan_t *
@@ -299,19 +299,19 @@
 static const bt_map_planner_t full_planner = { &full_vtable };
 
 const bt_map_planner_t *
-bt_paying_map_planner (void)
+bt_get_cost_benefit_planner (void)
 {
   return &cost_benefit_planner;
 }
 
 const bt_map_planner_t *
-bt_static_map_planner (void)
+bt_get_static_planner (void)
 {
   return &static_planner;
 }
 
 const bt_map_planner_t *
-bt_full_map_planner (void)
+bt_get_full_planner (void)
 {
   return &full_planner;
 }
--- a/source/maps/map_rank.c
+++ b/source/maps/map_rank.c
@@ -140,7 +140,7 @@
 }
 
 void
-bt_take_map_floor (bt_map_rank_t *rank, uint64_t fence)
+bt_handle_map_floor (bt_map_rank_t *rank, uint64_t fence)
 {
   rank->floor_read = true;
   if (fence > rank->floor)
@@ -306,11 +306,11 @@
 }
 
 void
-bt_take_map_order (bt_context_t *ctx,
-                   bt_map_rank_t *rank,
-                   const bt_map_order_t *order,
-                   int64_t now_ms,
-                   bt_map_actions_t *actions)
+bt_handle_map_order (bt_context_t *ctx,
+                     bt_map_rank_t *rank,
+                     const bt_map_order_t *order,
+                     int64_t now_ms,
+                     bt_map_actions_t *actions)
 {
   bt_map_refusal_t refusal = check_order (rank, order);
 
@@ -398,13 +398,13 @@
 }
 
 void
-bt_take_engine_answer (bt_context_t *ctx,
-                       bt_map_rank_t *rank,
-                       uint64_t call,
-                       bool accepted,
-                       const bt_engine_state_t *state,
-                       int64_t now_ms,
-                       bt_map_actions_t *actions)
+bt_handle_engine_answer (bt_context_t *ctx,
+                         bt_map_rank_t *rank,
+                         uint64_t call,
+                         bool accepted,
+                         const bt_engine_state_t *state,
+                         int64_t now_ms,
+                         bt_map_actions_t *actions)
 {
   call_purpose_t purpose = rank->purpose;
   bt_map_order_t order = rank->order;
@@ -430,11 +430,11 @@
 }
 
 void
-bt_take_map_ask (bt_context_t *ctx,
-                 bt_map_rank_t *rank,
-                 const bt_map_ask_t *ask,
-                 int64_t now_ms,
-                 bt_map_actions_t *actions)
+bt_handle_map_ask (bt_context_t *ctx,
+                   bt_map_rank_t *rank,
+                   const bt_map_ask_t *ask,
+                   int64_t now_ms,
+                   bt_map_actions_t *actions)
 {
   bt_map_order_t query = { BT_MAP_QUERY };
 
@@ -447,11 +447,11 @@
 }
 
 void
-bt_take_map_tell (bt_context_t *ctx,
-                  bt_map_rank_t *rank,
-                  const bt_map_tell_t *tell,
-                  int64_t now_ms,
-                  bt_map_actions_t *actions)
+bt_handle_map_tell (bt_context_t *ctx,
+                    bt_map_rank_t *rank,
+                    const bt_map_tell_t *tell,
+                    int64_t now_ms,
+                    bt_map_actions_t *actions)
 {
   bt_map_order_t order = { BT_MAP_LEARN, rank->settings.rank };
 
@@ -479,7 +479,7 @@
   ask.round = rank->engine.armed;
   /* Rank 0 asks itself, so that its own abandoned round also ends. */
   if (rank->settings.rank == 0)
-    bt_take_map_ask (ctx, rank, &ask, now_ms, actions);
+    bt_handle_map_ask (ctx, rank, &ask, now_ms, actions);
   else
     bt_add_map_action (ctx, actions, BT_MAP_ASK)->ask = ask;
 }
--- a/source/maps/map_search.c
+++ b/source/maps/map_search.c
@@ -51,7 +51,7 @@
   search->layer = layer;
   search->in_use = input->current;
   search->index = index;
-  search->rank_adds = input->limits.rank_adds;
+  search->max_new_replicas = input->limits.max_new_replicas;
   search->slots = input->limits.slots;
   search->new_replicas = bt_calloc (ctx, (size_t)layer->ranks, sizeof *search->new_replicas);
   search->powers = bt_calloc (ctx, (size_t)layer->ranks, sizeof *search->powers);
@@ -96,7 +96,8 @@
   if (!needs_transfer (search, expert, rank))
     return true;
   return has_copies_left (search, rank)
-         && (search->rank_adds == 0 || search->new_replicas[rank] < search->rank_adds);
+         && (search->max_new_replicas == 0
+             || search->new_replicas[rank] < search->max_new_replicas);
 }
 
 bool
--- a/source/maps/map_search.h
+++ b/source/maps/map_search.h
@@ -32,15 +32,16 @@
   bt_map_layer_t *layer;
   const bt_expert_map_t *in_use; /**< The map in use. */
   int32_t index;
-  const bool *pinned; /**< By expert: its replicas are not removed; NULL: none is pinned. */
-  int32_t rank_adds;  /**< Maximum number of new replicas of the layer on one rank; 0: no limit. */
-  int32_t slots;      /**< Replicas that one rank can hold. */
-  double transfer_load;   /**< The reduction of the busiest rank's load that one transfer must be
-                             worth. */
-  int32_t *copies;        /**< By rank: new replicas in all layers; NULL: not counted. */
-  int32_t max_copies;     /**< Limit of each element of @p copies. */
-  bool limited_by_copies; /**< The last search skipped changes because of that limit. */
-  int32_t *new_replicas;  /**< By rank: new replicas of this layer so far. */
+  const bool *pinned;       /**< By expert: its replicas are not removed; NULL: none is pinned. */
+  int32_t max_new_replicas; /**< Maximum number of new replicas of the layer on one rank; 0: no
+                               limit. */
+  int32_t slots;            /**< Replicas that one rank can hold. */
+  double transfer_load;     /**< The reduction of the busiest rank's load that one transfer must be
+                               worth. */
+  int32_t *copies;          /**< By rank: new replicas in all layers; NULL: not counted. */
+  int32_t max_copies;       /**< Limit of each element of @p copies. */
+  bool limited_by_copies;   /**< The last search skipped changes because of that limit. */
+  int32_t *new_replicas;    /**< By rank: new replicas of this layer so far. */
   double *powers; /**< By rank: the term of its load in the sum; scratch space of one search. */
 } bt_map_search_t;
 
--- a/source/maps/round_planner.c
+++ b/source/maps/round_planner.c
@@ -193,7 +193,7 @@
 static const bt_map_planner_t round_planner = { &round_vtable };
 
 const bt_map_planner_t *
-bt_round_map_planner (void)
+bt_get_round_planner (void)
 {
   return &round_planner;
 }
--- a/source/requests/arbiter.c
+++ b/source/requests/arbiter.c
@@ -470,7 +470,7 @@
 }
 
 uint64_t
-bt_count_arbiter_room (const bt_arbiter_t *arbiter)
+bt_count_arbiter_free_records (const bt_arbiter_t *arbiter)
 {
   return bt_count_table_free_records (arbiter->table);
 }
--- a/source/requests/attempt.c
+++ b/source/requests/attempt.c
@@ -29,17 +29,17 @@
 
 /* Retries when the request allows it, else refuses. */
 static void
-retry_or_refuse (const bt_attempt_rights_t *limits, bt_attempt_verdict_t *decision)
+retry_or_refuse (const bt_attempt_limits_t *limits, bt_attempt_decision_t *decision)
 {
   const bool run_allowed = !decision->may_have_run || (limits->repeatable && limits->runs_left > 0);
 
-  decision->next = run_allowed && limits->sends_left > 0 ? BT_NEXT_RETRY : BT_NEXT_REFUSE;
+  decision->next = run_allowed && limits->attempts_left > 0 ? BT_NEXT_RETRY : BT_NEXT_REFUSE;
 }
 
 static void
 decide_after_refusal (const bt_attempt_result_t *result,
-                      const bt_attempt_rights_t *limits,
-                      bt_attempt_verdict_t *decision)
+                      const bt_attempt_limits_t *limits,
+                      bt_attempt_decision_t *decision)
 {
   decision->end = BT_ATTEMPT_REFUSED;
   decision->endpoint_gone = result->status == STATUS_MISDIRECTED;
@@ -54,14 +54,14 @@
  * again. */
 static void
 decide_after_answer (const bt_attempt_result_t *result,
-                     const bt_attempt_rights_t *limits,
-                     bt_attempt_verdict_t *decision)
+                     const bt_attempt_limits_t *limits,
+                     bt_attempt_decision_t *decision)
 {
   decision->may_have_run = true;
   if (is_success (result->status)
       || (result->status < STATUS_SERVER_ERROR && !promises_not_run (result->status)))
     {
-      decision->next = BT_NEXT_PASS;
+      decision->next = BT_NEXT_FORWARD;
       decision->end = BT_ATTEMPT_ANSWERED;
       return;
     }
@@ -70,13 +70,13 @@
   decision->retry = BT_RETRY_ENGINE_FAILED;
   retry_or_refuse (limits, decision);
   if (decision->next == BT_NEXT_REFUSE && !promises_not_run (result->status))
-    decision->next = BT_NEXT_PASS;
+    decision->next = BT_NEXT_FORWARD;
 }
 
 void
-bt_judge_attempt (const bt_attempt_result_t *result,
-                  const bt_attempt_rights_t *limits,
-                  bt_attempt_verdict_t *decision)
+bt_decide_after_attempt (const bt_attempt_result_t *result,
+                         const bt_attempt_limits_t *limits,
+                         bt_attempt_decision_t *decision)
 {
   memset (decision, 0, sizeof *decision);
   decision->end = BT_ATTEMPT_FAILED;
@@ -89,13 +89,13 @@
     }
   /* The head of a refusal is enough; its body has no further information. A late answer to an
    * earlier request may look like a refusal, but has another id. */
-  if (result->stage >= BT_ATTEMPT_CUT && !result->other_id
+  if (result->stage >= BT_ATTEMPT_CUT_OFF && !result->id_mismatch
       && (result->not_run || result->status == STATUS_MISDIRECTED))
     {
       decide_after_refusal (result, limits, decision);
       return;
     }
-  if (result->stage == BT_ATTEMPT_WHOLE && !result->other_id && !result->encoded
+  if (result->stage == BT_ATTEMPT_COMPLETE && !result->id_mismatch && !result->encoded
       && (result->marked || !is_success (result->status)))
     {
       decide_after_answer (result, limits, decision);
--- a/source/requests/crash_table.c
+++ b/source/requests/crash_table.c
@@ -38,7 +38,7 @@
   int32_t count;
   int32_t capacity;
   bt_crash_suspects_t suspects;
-  bt_crash_order_t *updates; /* queue for the shared list */
+  bt_crash_update_t *updates; /* queue for the shared list */
   int32_t update_count;
   int32_t update_capacity;
   int32_t updates_taken;
@@ -48,7 +48,7 @@
 bt_default_crash_options (bt_crash_options_t *options)
 {
   memset (options, 0, sizeof *options);
-  options->most_ends = DEFAULT_MAX_ENDS;
+  options->max_ends = DEFAULT_MAX_ENDS;
   options->keep_ms = DEFAULT_KEEP_MS;
   options->match_window_ms = DEFAULT_MATCH_WINDOW_MS;
   options->max_crashes = DEFAULT_MAX_CRASHES;
@@ -133,7 +133,7 @@
 static void
 queue_update (bt_context_t *ctx,
               bt_crash_table_t *table,
-              bt_crash_order_kind_t kind,
+              bt_crash_update_kind_t kind,
               const bt_crash_t *crash)
 {
   if (table->update_count == table->update_capacity)
@@ -142,11 +142,11 @@
       table->updates =
           bt_realloc (ctx, table->updates, (size_t)table->update_capacity, sizeof *table->updates);
     }
-  table->updates[table->update_count++] = (bt_crash_order_t){ kind, *crash };
+  table->updates[table->update_count++] = (bt_crash_update_t){ kind, *crash };
 }
 
 bool
-bt_take_crash_order (bt_crash_table_t *table, bt_crash_order_t *order)
+bt_take_crash_update (bt_crash_table_t *table, bt_crash_update_t *order)
 {
   if (table->updates_taken == table->update_count)
     {
@@ -237,10 +237,10 @@
 }
 
 void
-bt_note_whole_answer (bt_context_t *ctx,
-                      bt_crash_table_t *table,
-                      const bt_crash_t *attempt,
-                      int64_t sent_ms)
+bt_note_complete_answer (bt_context_t *ctx,
+                         bt_crash_table_t *table,
+                         const bt_crash_t *attempt,
+                         int64_t sent_ms)
 {
   int32_t first = find_first_row (table, &attempt->request);
 
@@ -273,11 +273,11 @@
 }
 
 int32_t
-bt_take_listed_crashes (bt_context_t *ctx,
-                        bt_crash_table_t *table,
-                        const bt_listed_crash_t *listed,
-                        int32_t count,
-                        int64_t now_ms)
+bt_apply_listed_crashes (bt_context_t *ctx,
+                         bt_crash_table_t *table,
+                         const bt_listed_crash_t *listed,
+                         int32_t count,
+                         int64_t now_ms)
 {
   int32_t left_out = 0;
 
@@ -326,8 +326,8 @@
 bool
 bt_is_crashing (const bt_crash_table_t *table, const bt_fingerprint_t *request)
 {
-  return table->count >= table->options.most_ends
-         && bt_count_crashes (table, request) >= table->options.most_ends;
+  return table->count >= table->options.max_ends
+         && bt_count_crashes (table, request) >= table->options.max_ends;
 }
 
 void
--- a/source/requests/delivery.c
+++ b/source/requests/delivery.c
@@ -104,7 +104,7 @@
   cancel_dispatch (ctx, delivery, actions);
   delivery->phase = BT_PHASE_FINISHED;
   action = bt_add_delivery_action (
-      ctx, actions, delivery->head_forwarded ? BT_DELIVERY_CUT : BT_DELIVERY_FINISH_REFUSED);
+      ctx, actions, delivery->head_forwarded ? BT_DELIVERY_ABORT : BT_DELIVERY_FINISH_REFUSED);
   action->reason = reason;
   action->outcome = delivery->head_forwarded ? BT_OUTCOME_UNKNOWN : outcome;
   action->retry_after_ms = retry_after_ms > 0 ? retry_after_ms : delivery->options.retry_after_ms;
@@ -494,11 +494,11 @@
 }
 
 void
-bt_step_delivery (bt_context_t *ctx,
-                  bt_delivery_t *delivery,
-                  const bt_delivery_event_t *event,
-                  int64_t now_ms,
-                  bt_delivery_actions_t *actions)
+bt_handle_delivery_event (bt_context_t *ctx,
+                          bt_delivery_t *delivery,
+                          const bt_delivery_event_t *event,
+                          int64_t now_ms,
+                          bt_delivery_actions_t *actions)
 {
   if (delivery->phase == BT_PHASE_FINISHED)
     return;
--- a/source/requests/delivery_replies.c
+++ b/source/requests/delivery_replies.c
@@ -17,7 +17,7 @@
               int64_t now_ms,
               bt_delivery_actions_t *actions)
 {
-  if (++delivery->followed_grants > delivery->options.max_hops)
+  if (++delivery->followed_grants > delivery->options.max_followed_grants)
     {
       bt_end_delivery_unknown (ctx, delivery, BT_REASON_RETRY_BUDGET, actions);
       return;
@@ -238,7 +238,7 @@
   if (delivery->head_forwarded)
     return;
   delivery->head_forwarded = true;
-  action = bt_add_delivery_action (ctx, actions, BT_DELIVERY_GIVE_HEAD);
+  action = bt_add_delivery_action (ctx, actions, BT_DELIVERY_FORWARD_HEAD);
   action->status = delivery->status;
   action->data = delivery->head;
   action->data_bytes = delivery->head_bytes;
@@ -275,7 +275,7 @@
       return;
     }
   forward_head (ctx, delivery, actions);
-  action = bt_add_delivery_action (ctx, actions, BT_DELIVERY_GIVE_PIECE);
+  action = bt_add_delivery_action (ctx, actions, BT_DELIVERY_FORWARD_PIECE);
   action->data = reply->data;
   action->data_bytes = reply->data_bytes;
   delivery->next_sequence++;
@@ -300,7 +300,7 @@
       return;
     }
   forward_head (ctx, delivery, actions);
-  bt_add_delivery_action (ctx, actions, BT_DELIVERY_FINISH_WHOLE);
+  bt_add_delivery_action (ctx, actions, BT_DELIVERY_FINISH_COMPLETE);
   delivery->phase = BT_PHASE_FINISHED;
 }
 
--- a/source/requests/event_stream.c
+++ b/source/requests/event_stream.c
@@ -93,7 +93,7 @@
 }
 
 size_t
-bt_take_events (bt_event_stream_t *stream, const char *data, size_t bytes)
+bt_consume_events (bt_event_stream_t *stream, const char *data, size_t bytes)
 {
   size_t consumed = 0;
 
--- a/test/core/test_membership.c
+++ b/test/core/test_membership.c
@@ -17,17 +17,17 @@
   bt_listed_instance_t listed[ENTRIES];
 } fixture_t;
 
-static bt_link_verdict_t
+static bt_link_result_t
 open_link (fixture_t *fixture, const char *instance, uint64_t incarnation, int64_t now_ms)
 {
   bt_member_hello_t hello = { .role = BT_LISTED_ENTRY, .address = "", .failure_domain = "hall-0" };
-  bt_link_verdict_t verdict;
+  bt_link_result_t verdict;
   uint64_t replaced;
 
   bt_copy_name (hello.identity.instance, instance);
   hello.identity.incarnation = incarnation;
   verdict = bt_open_member_link (fixture->ctx, fixture->membership, &hello, now_ms, &replaced);
-  bt_take_member_heartbeat (fixture->membership, &hello.identity, false, true, now_ms);
+  bt_handle_member_heartbeat (fixture->membership, &hello.identity, false, true, now_ms);
   return verdict;
 }
 
@@ -50,7 +50,7 @@
       snprintf (listed->http, BT_ADDRESS_BYTES, "127.0.0.1:%d", 8000 + (int)i);
       snprintf (listed->failure_domain, BT_NAME_BYTES, "hall-%d", (int)(i % 3));
     }
-  bt_take_member_list (fixture->ctx, fixture->membership, 5, fixture->listed, ENTRIES, 0);
+  bt_apply_member_list (fixture->ctx, fixture->membership, 5, fixture->listed, ENTRIES, 0);
   bt_set_self_admitting (fixture->membership, true);
   open_link (fixture, "entry-2", 7, 0);
   open_link (fixture, "entry-3", 8, 0);
@@ -85,7 +85,7 @@
   open_link (fixture, "entry-1", 9, 0);
   CU_ASSERT_TRUE (is_advertised (fixture, "entry-1", 100));
   bt_close_member_link (fixture->ctx, fixture->membership, &peer);
-  bt_take_member_list (fixture->ctx, fixture->membership, 6, fixture->listed, ENTRIES, 200);
+  bt_apply_member_list (fixture->ctx, fixture->membership, 6, fixture->listed, ENTRIES, 200);
 }
 
 /* Guards against callers that are sent to a dead entry: the list still names it for a while, but
@@ -118,13 +118,13 @@
 
   open_fixture (&fixture, false);
   open_link (&fixture, "entry-1", 9, 0);
-  bt_take_member_heartbeat (fixture.membership, &peer, true, true, 100);
-  bt_take_member_heartbeat (fixture.membership, &peer, false, true, 200);
+  bt_handle_member_heartbeat (fixture.membership, &peer, true, true, 100);
+  bt_handle_member_heartbeat (fixture.membership, &peer, false, true, 200);
   CU_ASSERT_FALSE (is_advertised (&fixture, "entry-1", 300));
   CU_ASSERT_EQUAL (open_link (&fixture, "entry-1", 10, 400), BT_LINK_REPLACES);
   CU_ASSERT_TRUE (is_advertised (&fixture, "entry-1", 500));
   fixture.listed[2].leaving = true;
-  bt_take_member_list (fixture.ctx, fixture.membership, 7, fixture.listed, ENTRIES, 600);
+  bt_apply_member_list (fixture.ctx, fixture.membership, 7, fixture.listed, ENTRIES, 600);
   CU_ASSERT_FALSE (is_advertised (&fixture, "entry-2", 700));
   bt_set_self_leaving (fixture.membership, 800);
   CU_ASSERT_FALSE (is_advertised (&fixture, "entry-0", 900));
@@ -172,7 +172,7 @@
       listed[i] = fixture.listed[i % ENTRIES];
       snprintf (listed[i].instance, BT_NAME_BYTES, "entry-%d", (int)i);
     }
-  bt_take_member_list (fixture.ctx, fixture.membership, 6, listed, MANY, 100);
+  bt_apply_member_list (fixture.ctx, fixture.membership, 6, listed, MANY, 100);
   for (int32_t i = 0; i < MANY; i++)
     {
       const bt_member_t *member = bt_get_member (fixture.membership, i);
@@ -187,7 +187,7 @@
   CU_ASSERT_FALSE (bt_is_member_live (fixture.membership, unlinked, 200));
   for (int32_t i = 0; i < MANY; i++)
     snprintf (listed[i].address, BT_ADDRESS_BYTES, "127.0.0.1:%d", 7100 + (int)i);
-  bt_take_member_list (fixture.ctx, fixture.membership, 7, listed, MANY, 300);
+  bt_apply_member_list (fixture.ctx, fixture.membership, 7, listed, MANY, 300);
   CU_ASSERT_TRUE (bt_is_member_live (fixture.membership, unlinked, 400));
   close_fixture (&fixture);
 }
@@ -201,12 +201,12 @@
 
   open_fixture (&fixture, false);
   CU_ASSERT_TRUE (
-      bt_take_member_list (fixture.ctx, fixture.membership, 8, fixture.listed, ENTRIES - 1, 100));
+      bt_apply_member_list (fixture.ctx, fixture.membership, 8, fixture.listed, ENTRIES - 1, 100));
   CU_ASSERT_FALSE (
-      bt_take_member_list (fixture.ctx, fixture.membership, 7, fixture.listed, ENTRIES, 200));
+      bt_apply_member_list (fixture.ctx, fixture.membership, 7, fixture.listed, ENTRIES, 200));
   CU_ASSERT_FALSE (bt_find_member (fixture.membership, "entry-3")->is_listed);
-  CU_ASSERT_TRUE (bt_take_member_list (fixture.ctx, fixture.membership, 1, fixture.listed, ENTRIES,
-                                       (int64_t)5 * LATER_MS));
+  CU_ASSERT_TRUE (bt_apply_member_list (fixture.ctx, fixture.membership, 1, fixture.listed, ENTRIES,
+                                        (int64_t)5 * LATER_MS));
   close_fixture (&fixture);
 }
 
@@ -221,10 +221,10 @@
   fixture_t fixture;
 
   open_fixture (&fixture, false);
-  bt_take_member_heartbeat (fixture.membership, &peer, false, false, 100);
+  bt_handle_member_heartbeat (fixture.membership, &peer, false, false, 100);
   CU_ASSERT_FALSE (is_advertised (&fixture, "entry-2", 200));
   CU_ASSERT_TRUE (is_advertised (&fixture, "entry-3", 200));
-  bt_take_member_heartbeat (fixture.membership, &other, false, false, 300);
+  bt_handle_member_heartbeat (fixture.membership, &other, false, false, 300);
   bt_set_self_admitting (fixture.membership, false);
   CU_ASSERT_TRUE (is_advertised (&fixture, "entry-2", 400));
   close_fixture (&fixture);
--- a/test/gateway/test_told_entries.c
+++ b/test/gateway/test_advertised_entries.c
@@ -2,8 +2,8 @@
 #include <stdio.h>
 #include <string.h>
 
+#include "advertised_entries.h"
 #include "bilberrytray/base.h"
-#include "told_entries.h"
 
 enum
 {
@@ -36,7 +36,7 @@
 
   for (int32_t i = 0; i < count; i++)
     entries[i] = &listed[i];
-  chosen = bt_choose_told_entries (ctx, entries, count, domain, MAX_ADVERTISED);
+  chosen = bt_select_advertised_entries (ctx, entries, count, domain, MAX_ADVERTISED);
   for (int32_t i = 0; i < chosen; i++)
     advertised[entries[i] - listed]++;
   return chosen;
--- a/test/gateway/test_group_control.c
+++ b/test/gateway/test_group_control.c
@@ -131,7 +131,7 @@
 /** A run of the group control on an event loop, until its condition or a time limit is reached. */
 typedef struct control_run
 {
-  bt_turn_t turn;
+  bt_loop_hook_t turn;
   bt_timer_t timer;
   bt_event_loop_t *loop;
   bt_agent_links_t *links;
@@ -165,8 +165,8 @@
       bt_new_group_control (ctx, control_run->loop, control_run->links, &options);
   control_run->end_ms = bt_now_ms (ctx) + LIMIT_MS;
   bt_set_group_view (control_run->control, &control_run->view, false);
-  bt_add_turn (control_run->loop, &control_run->turn);
-  control_run->timer.on_time (&control_run->timer);
+  bt_add_loop_hook (control_run->loop, &control_run->turn);
+  control_run->timer.on_expiry (&control_run->timer);
   bt_run_event_loop (control_run->loop);
   bt_drop_group_control (ctx, control_run->control);
   bt_drop_agent_links (ctx, control_run->links);
@@ -183,7 +183,7 @@
 }
 
 static void
-check_leaving (bt_turn_t *turn)
+check_leaving (bt_loop_hook_t *turn)
 {
   control_run_t *control_run = (control_run_t *)turn;
 
@@ -202,8 +202,8 @@
 static void
 test_leaving_leader_releases_the_lease (void)
 {
-  control_run_t control_run = { .turn = { .on_turn = check_leaving },
-                                .timer = { .on_time = rearm_timer } };
+  control_run_t control_run = { .turn = { .on_iteration = check_leaving },
+                                .timer = { .on_expiry = rearm_timer } };
 
   run_control (&control_run);
   CU_ASSERT_TRUE (control_run.leaving);
@@ -221,7 +221,7 @@
 }
 
 static void
-check_handover (bt_turn_t *turn)
+check_handover (bt_loop_hook_t *turn)
 {
   control_run_t *control_run = (control_run_t *)turn;
   int32_t release_count = atomic_load (&released);
@@ -242,8 +242,8 @@
 test_leader_hands_over_once_to_larger_instance (void)
 {
   bt_listed_entry_t other = { .identity = { .instance = "two" }, .cores = 0.5 };
-  control_run_t control_run = { .turn = { .on_turn = check_handover },
-                                .timer = { .on_time = apply_view_again },
+  control_run_t control_run = { .turn = { .on_iteration = check_handover },
+                                .timer = { .on_expiry = apply_view_again },
                                 .view = { .entries = &other, .entry_count = 1 } };
 
   run_control (&control_run);
--- a/test/gateway/test_group_load.c
+++ b/test/gateway/test_group_load.c
@@ -81,7 +81,7 @@
 
   load.shift = BT_SHIFT_JUMP;
   slow.maps.keep_past = true;
-  slow.maps.planner = bt_paying_map_planner ();
+  slow.maps.planner = bt_get_cost_benefit_planner ();
   slow.maps.copy_weight = 20;
   with = run_load (&load, &shipped);
   without = run_load (&load, &slow);
--- a/test/gateway/test_port_probes.c
+++ b/test/gateway/test_port_probes.c
@@ -43,7 +43,7 @@
 static void
 run_loop (void)
 {
-  bt_timer_t timer = { .on_time = stop_loop };
+  bt_timer_t timer = { .on_expiry = stop_loop };
 
   bt_set_timer (loop, &timer, bt_now_ms (ctx) + RUN_MS);
   bt_run_event_loop (loop);
--- a/test/load/test_pass_pace.c
+++ b/test/load/test_pass_limiter.c
@@ -1,6 +1,6 @@
 #include <CUnit/Basic.h>
 
-#include "bilberrytray/load/pass_pace.h"
+#include "bilberrytray/load/pass_limiter.h"
 
 enum
 {
@@ -8,24 +8,24 @@
   SLOTS = 12,
 };
 
-static const double least_pass_ms = 30;
-static const double aim_pass_ms = 90;
+static const double min_pass_ms = 30;
+static const double target_pass_ms = 90;
 static const double pause_ms = 130;
 
 static bt_context_t *ctx;
 
-static bt_pass_pace_t *
+static bt_pass_limiter_t *
 new_limiter (void)
 {
-  bt_pass_pace_settings_t settings = { RANKS, least_pass_ms, aim_pass_ms, pause_ms, SLOTS };
+  bt_pass_limiter_settings_t settings = { RANKS, min_pass_ms, target_pass_ms, pause_ms, SLOTS };
 
-  return bt_new_pass_pace (ctx, &settings);
+  return bt_new_pass_limiter (ctx, &settings);
 }
 
 /* Simulates reports of all ranks over @p span_ms with passes of @p pass_ms each. */
 static int64_t
 simulate_passes (
-    bt_pass_pace_t *limiter, int64_t from_ms, int64_t span_ms, int64_t pass_ms, int32_t running)
+    bt_pass_limiter_t *limiter, int64_t from_ms, int64_t span_ms, int64_t pass_ms, int32_t running)
 {
   for (int64_t now_ms = from_ms; now_ms < from_ms + span_ms; now_ms += 100)
     for (int32_t rank = 0; rank < RANKS; rank++)
@@ -36,11 +36,11 @@
 static void
 test_short_passes_allow_all_slots (void)
 {
-  bt_pass_pace_t *limiter = new_limiter ();
+  bt_pass_limiter_t *limiter = new_limiter ();
 
   simulate_passes (limiter, 0, 2000, 50, 6);
-  CU_ASSERT_EQUAL (bt_get_pass_limit (limiter), SLOTS);
-  bt_drop_pass_pace (ctx, limiter);
+  CU_ASSERT_EQUAL (bt_get_running_limit (limiter), SLOTS);
+  bt_drop_pass_limiter (ctx, limiter);
 }
 
 /* Guards against streams that all pause too long after demand shifts to experts of one rank, when
@@ -49,30 +49,30 @@
 static void
 test_long_passes_lower_the_limit_at_once (void)
 {
-  bt_pass_pace_t *limiter = new_limiter ();
+  bt_pass_limiter_t *limiter = new_limiter ();
   int64_t now_ms = simulate_passes (limiter, 0, 2000, 50, 10);
 
   simulate_passes (limiter, now_ms, 800, 200, 10);
-  CU_ASSERT (bt_get_pass_limit (limiter) >= 2);
-  CU_ASSERT (bt_get_pass_limit (limiter) <= 5);
-  bt_drop_pass_pace (ctx, limiter);
+  CU_ASSERT (bt_get_running_limit (limiter) >= 2);
+  CU_ASSERT (bt_get_running_limit (limiter) <= 5);
+  bt_drop_pass_limiter (ctx, limiter);
 }
 
 static void
 test_limit_grows_back (void)
 {
-  bt_pass_pace_t *limiter = new_limiter ();
+  bt_pass_limiter_t *limiter = new_limiter ();
   int64_t now_ms = simulate_passes (limiter, 0, 1000, 200, 10);
 
   simulate_passes (limiter, now_ms, 4000, 40, 4);
-  CU_ASSERT_EQUAL (bt_get_pass_limit (limiter), SLOTS);
-  bt_drop_pass_pace (ctx, limiter);
+  CU_ASSERT_EQUAL (bt_get_running_limit (limiter), SLOTS);
+  bt_drop_pass_limiter (ctx, limiter);
 }
 
 /* Simulates repeated jumps of demand: passes take 200 ms with ten requests per rank for 600 ms, and
  * then 60 ms. */
 static int64_t
-simulate_jumps (bt_pass_pace_t *limiter, int64_t now_ms, int32_t jumps, int64_t calm_ms)
+simulate_jumps (bt_pass_limiter_t *limiter, int64_t now_ms, int32_t jumps, int64_t calm_ms)
 {
   for (int32_t i = 0; i < jumps; i++)
     {
@@ -87,12 +87,12 @@
 static void
 test_limit_stays_low_between_frequent_jumps (void)
 {
-  bt_pass_pace_t *limiter = new_limiter ();
+  bt_pass_limiter_t *limiter = new_limiter ();
   int64_t now_ms = simulate_jumps (limiter, 0, 4, 1800);
 
   CU_ASSERT (bt_are_demand_jumps_frequent (limiter, now_ms));
-  CU_ASSERT (bt_get_pass_limit (limiter) < SLOTS / 2);
-  bt_drop_pass_pace (ctx, limiter);
+  CU_ASSERT (bt_get_running_limit (limiter) < SLOTS / 2);
+  bt_drop_pass_limiter (ctx, limiter);
 }
 
 /* Guards against a limit that stays low, and makes callers wait, when jumps are rare or have
@@ -100,16 +100,16 @@
 static void
 test_limit_grows_back_between_rare_jumps (void)
 {
-  bt_pass_pace_t *limiter = new_limiter ();
+  bt_pass_limiter_t *limiter = new_limiter ();
   int64_t now_ms = simulate_jumps (limiter, 0, 4, 9000);
 
   CU_ASSERT_FALSE (bt_are_demand_jumps_frequent (limiter, now_ms));
-  CU_ASSERT_EQUAL (bt_get_pass_limit (limiter), SLOTS);
+  CU_ASSERT_EQUAL (bt_get_running_limit (limiter), SLOTS);
   now_ms = simulate_jumps (limiter, now_ms, 4, 1800);
-  CU_ASSERT (bt_get_pass_limit (limiter) < SLOTS / 2);
+  CU_ASSERT (bt_get_running_limit (limiter) < SLOTS / 2);
   simulate_passes (limiter, now_ms, 8000, 60, 10);
-  CU_ASSERT_EQUAL (bt_get_pass_limit (limiter), SLOTS);
-  bt_drop_pass_pace (ctx, limiter);
+  CU_ASSERT_EQUAL (bt_get_running_limit (limiter), SLOTS);
+  bt_drop_pass_limiter (ctx, limiter);
 }
 
 /* Guards against a group that is closed for good because its step count restarts, perhaps at a
@@ -117,15 +117,15 @@
 static void
 test_restarted_step_count_starts_new_window (void)
 {
-  bt_pass_pace_t *limiter = new_limiter ();
+  bt_pass_limiter_t *limiter = new_limiter ();
   int64_t now_ms = simulate_passes (limiter, 0, 1000, 50, 6);
 
   for (int64_t step = 0; step < 100; step++, now_ms += 50)
     for (int32_t rank = 0; rank < RANKS; rank++)
       bt_record_pass (limiter, rank, step, 6, now_ms);
-  CU_ASSERT_EQUAL (bt_get_pass_limit (limiter), SLOTS);
+  CU_ASSERT_EQUAL (bt_get_running_limit (limiter), SLOTS);
   CU_ASSERT (bt_get_pass_ms (limiter) < 60);
-  bt_drop_pass_pace (ctx, limiter);
+  bt_drop_pass_limiter (ctx, limiter);
 }
 
 int
--- a/test/load/test_retry_budget.c
+++ b/test/load/test_retry_budget.c
@@ -84,8 +84,8 @@
 {
   bt_context_t *ctx = bt_new_context ();
   bt_retry_budget_options_t options = { .share_percent = 15,
-                                        .reserve = bt_get_retry_part (total, instances),
-                                        .first = bt_get_retry_part (total, instances) };
+                                        .reserve = bt_divide_retry_reserve (total, instances),
+                                        .first = bt_divide_retry_reserve (total, instances) };
   int64_t taken = 0;
 
   for (int32_t i = 0; i < 2 * instances; i++)
--- a/test/load/test_router.c
+++ b/test/load/test_router.c
@@ -300,7 +300,7 @@
   report (0, SLOTS, 0, 0);
   for (int32_t i = 0; i < 60; i++)
     {
-      CU_ASSERT_EQUAL (bt_choose_home (router, "drafts", 0, &home), BT_REASON_NONE);
+      CU_ASSERT_EQUAL (bt_choose_home_agent (router, "drafts", 0, &home), BT_REASON_NONE);
       counts[home.instance[strlen ("agent-")] - '0']++;
     }
   for (int32_t i = 0; i < 3; i++)
@@ -308,10 +308,10 @@
   bt_set_endpoint_leaving (router, &leaving, true);
   for (int32_t i = 0; i < 10; i++)
     {
-      bt_choose_home (router, "drafts", 0, &home);
+      bt_choose_home_agent (router, "drafts", 0, &home);
       CU_ASSERT_FALSE (bt_same_identity (&home, &leaving));
     }
-  CU_ASSERT_EQUAL (bt_choose_home (router, "other", 0, &home), BT_REASON_NO_ENDPOINT);
+  CU_ASSERT_EQUAL (bt_choose_home_agent (router, "other", 0, &home), BT_REASON_NO_ENDPOINT);
   close_fixture ();
 }
 
--- a/test/maps/test_moving_load.c
+++ b/test/maps/test_adaptive_load.c
@@ -4,7 +4,7 @@
 
 #include "bilberrytray/base.h"
 #include "bilberrytray/base/random.h"
-#include "bilberrytray/maps/moving_load.h"
+#include "bilberrytray/maps/adaptive_load.h"
 
 enum
 {
@@ -41,7 +41,7 @@
 
 /* Adds reports of all ranks, spread over each 100 ms. Returns the number of jumps detected. */
 static int32_t
-add_reports (bt_moving_load_t *load, demand_t *demand, int64_t from_ms, int64_t for_ms)
+add_reports (bt_adaptive_load_t *load, demand_t *demand, int64_t from_ms, int64_t for_ms)
 {
   uint32_t counts[LAYERS * EXPERTS];
   int32_t jumps = 0;
@@ -52,16 +52,16 @@
         int64_t rank_ms = now_ms + rank * REPORT_MS / RANKS;
 
         draw_counts (demand, counts);
-        bt_add_moving_load (load, counts, rank_ms);
-        jumps += bt_take_load_jump (load, rank_ms);
+        bt_add_adaptive_load (load, counts, rank_ms);
+        jumps += bt_poll_load_jump (load, rank_ms);
       }
   return jumps;
 }
 
 static double
-get_share (const bt_moving_load_t *load, int32_t layer, int32_t expert)
+get_share (const bt_adaptive_load_t *load, int32_t layer, int32_t expert)
 {
-  const bt_expert_load_t *mean = bt_get_moving_load (load);
+  const bt_expert_load_t *mean = bt_get_adaptive_load (load);
   double sum = 0;
 
   for (int32_t i = 0; i < EXPERTS; i++)
@@ -76,7 +76,7 @@
 test_a_jump_is_followed_within_two_windows (void)
 {
   bt_context_t *ctx = bt_new_context ();
-  bt_moving_load_t *load = bt_new_moving_load (ctx, LAYERS, EXPERTS, HALF_LIFE_MS);
+  bt_adaptive_load_t *load = bt_new_adaptive_load (ctx, LAYERS, EXPERTS, HALF_LIFE_MS);
   demand_t demand = { .hot = { 3, 5 } };
 
   bt_seed_random (&demand.random, 1);
@@ -87,7 +87,7 @@
   CU_ASSERT_TRUE (get_share (load, 0, 9) > 0.27);
   CU_ASSERT_TRUE (get_share (load, 0, 3) < 0.06);
   CU_ASSERT_TRUE (get_share (load, 1, 5) > 0.27);
-  bt_drop_moving_load (ctx, load);
+  bt_drop_adaptive_load (ctx, load);
   bt_drop_context (ctx);
 }
 
@@ -100,13 +100,13 @@
 
   for (uint64_t seed = 1; seed <= 20; seed++)
     {
-      bt_moving_load_t *load = bt_new_moving_load (ctx, LAYERS, EXPERTS, HALF_LIFE_MS);
+      bt_adaptive_load_t *load = bt_new_adaptive_load (ctx, LAYERS, EXPERTS, HALF_LIFE_MS);
       demand_t demand = { .hot = { 3, 5 } };
 
       bt_seed_random (&demand.random, seed);
       CU_ASSERT_EQUAL (add_reports (load, &demand, 1000, 30000), 0);
       CU_ASSERT_DOUBLE_EQUAL (get_share (load, 0, 3), 0.32, 0.02);
-      bt_drop_moving_load (ctx, load);
+      bt_drop_adaptive_load (ctx, load);
     }
   bt_drop_context (ctx);
 }
@@ -116,7 +116,7 @@
 test_silence_is_no_jump (void)
 {
   bt_context_t *ctx = bt_new_context ();
-  bt_moving_load_t *load = bt_new_moving_load (ctx, LAYERS, EXPERTS, HALF_LIFE_MS);
+  bt_adaptive_load_t *load = bt_new_adaptive_load (ctx, LAYERS, EXPERTS, HALF_LIFE_MS);
   uint32_t none[LAYERS * EXPERTS] = { 0 };
   demand_t demand = { .hot = { 3, 5 } };
 
@@ -124,12 +124,12 @@
   add_reports (load, &demand, 1000, 3000);
   for (int64_t now_ms = 4000; now_ms < 9000; now_ms += REPORT_MS)
     {
-      bt_add_moving_load (load, none, now_ms);
-      CU_ASSERT_FALSE (bt_take_load_jump (load, now_ms));
+      bt_add_adaptive_load (load, none, now_ms);
+      CU_ASSERT_FALSE (bt_poll_load_jump (load, now_ms));
     }
   CU_ASSERT_EQUAL (add_reports (load, &demand, 9000, 3000), 0);
-  bt_drop_moving_load (ctx, load);
-  bt_drop_moving_load (ctx, NULL);
+  bt_drop_adaptive_load (ctx, load);
+  bt_drop_adaptive_load (ctx, NULL);
   bt_drop_context (ctx);
 }
 
--- a/test/maps/test_group_rounds.c
+++ b/test/maps/test_group_rounds.c
@@ -61,8 +61,8 @@
         content = group->engines[0].content;
       result = send_held_order (group, &order, content);
       if (result != BT_ORDER_LOST)
-        bt_take_group_order_result (leader->rounds, order.via, order.id, result,
-                                    &group->engines[order.via].report, group->now_ms);
+        bt_handle_group_order_result (leader->rounds, order.via, order.id, result,
+                                      &group->engines[order.via].report, group->now_ms);
     }
 }
 
@@ -71,7 +71,7 @@
 {
   for (int32_t i = 0; i < group->ranks; i++)
     if (!is_held_rank_frozen (group, i))
-      bt_take_rank_report (leader->rounds, i, &group->engines[i].report, group->now_ms);
+      bt_handle_rank_report (leader->rounds, i, &group->engines[i].report, group->now_ms);
 }
 
 static void
@@ -107,7 +107,7 @@
   leader->leading = true;
   leader->frozen = false;
   leader->fence = fence;
-  bt_lead_group (leader->rounds, fence);
+  bt_start_leading_group (leader->rounds, fence);
 }
 
 static void
@@ -156,8 +156,8 @@
             ahead = order.step - group.step;
           if (order.kind == BT_GROUP_HOLD && group.switches == 0)
             CU_ASSERT (ahead <= FIRST_STEPS);
-          bt_take_group_order_result (leader.rounds, order.via, order.id, result,
-                                      &group.engines[order.via].report, group.now_ms);
+          bt_handle_group_order_result (leader.rounds, order.via, order.id, result,
+                                        &group.engines[order.via].report, group.now_ms);
         }
       if (group.now_ms % step_ms == 0)
         begin_held_step (&group);
@@ -235,7 +235,7 @@
       start_leading (&leader, 7);
       bt_limit_group_holds (leader.rounds, end_ms);
       run_world (&group, &leader, 1, end_ms + MARGIN_MS);
-      bt_leave_group (leader.rounds);
+      bt_stop_leading_group (leader.rounds);
       leader.leading = false;
       group.longest_step_ms = 0;
       run_world (&group, &leader, 1, end_ms + (int64_t)4 * MARGIN_MS);
@@ -434,7 +434,7 @@
   CU_ASSERT (bt_get_group_target (leader.rounds) != 0);
   restarted.epoch = group.epoch;
   restarted.step = group.step;
-  bt_take_rank_report (leader.rounds, 2, &restarted, group.now_ms);
+  bt_handle_rank_report (leader.rounds, 2, &restarted, group.now_ms);
   CU_ASSERT_EQUAL (bt_get_group_target (leader.rounds), 0);
   for (int32_t i = 0;
        i < 2 * HELD_RANKS && bt_next_group_order (leader.rounds, group.now_ms + 1000, &order); i++)
@@ -574,8 +574,8 @@
   deliver_reports (&group, &leader);
   deliver_reports (&group, &leader);
   CU_ASSERT_EQUAL (bt_get_group_phase (leader.rounds), BT_GROUP_SECURING);
-  bt_take_group_order_result (leader.rounds, 1, orders[1].id, BT_ORDER_DONE,
-                              &group.engines[1].report, group.now_ms);
+  bt_handle_group_order_result (leader.rounds, 1, orders[1].id, BT_ORDER_DONE,
+                                &group.engines[1].report, group.now_ms);
   while (bt_next_group_order (leader.rounds, group.now_ms, &order))
     CU_ASSERT (order.kind == BT_GROUP_HOLD);
   CU_ASSERT_EQUAL (bt_get_group_phase (leader.rounds), BT_GROUP_SECURING);
--- a/test/maps/test_map_controller.c
+++ b/test/maps/test_map_controller.c
@@ -59,7 +59,7 @@
       || !lockstep_order (&fixture->group, order->rank, order))
     report.refusal = BT_MAP_ENGINE_REFUSED;
   report.engine = fixture->group.ranks[order->rank].state;
-  bt_take_map_report (fixture->controller, &report, fixture->now_ms);
+  bt_handle_map_report (fixture->controller, &report, fixture->now_ms);
 }
 
 static void
@@ -84,7 +84,7 @@
   fixture_t fixture = start ();
 
   run (&fixture, 10);
-  CU_ASSERT_TRUE (bt_is_map_group_whole (fixture.controller));
+  CU_ASSERT_TRUE (bt_is_map_group_converged (fixture.controller));
   CU_ASSERT_EQUAL (fixture.group.ranks[2].state.in_use_digest, 42);
   CU_ASSERT_TRUE (bt_begin_map_round (fixture.controller, 43, fixture.now_ms));
   CU_ASSERT_FALSE (bt_begin_map_round (fixture.controller, 44, fixture.now_ms));
@@ -110,7 +110,7 @@
   CU_ASSERT_TRUE (bt_begin_map_round (fixture.controller, 43, fixture.now_ms));
   run (&fixture, 100);
   CU_ASSERT_EQUAL (bt_get_round_result (fixture.controller), BT_ROUND_DROPPED);
-  CU_ASSERT_TRUE (bt_is_map_group_whole (fixture.controller));
+  CU_ASSERT_TRUE (bt_is_map_group_converged (fixture.controller));
   CU_ASSERT_EQUAL (fixture.group.ranks[0].state.in_use_digest, 42);
   steps = fixture.group.steps;
   run (&fixture, 10);
@@ -160,7 +160,7 @@
   fixture.now_ms += settings.look_ms;
   bt_grant_map_lease (fixture.controller, FENCE + 1, fixture.now_ms, LEASE_MS);
   run (&fixture, 60);
-  CU_ASSERT_TRUE (bt_is_map_group_whole (fixture.controller));
+  CU_ASSERT_TRUE (bt_is_map_group_converged (fixture.controller));
   CU_ASSERT_EQUAL (fixture.group.ranks[0].state.in_use_digest, 43);
   CU_ASSERT_STRING_EQUAL (fixture.group.violation, "");
   finish (&fixture);
--- a/test/maps/test_map_planner.c
+++ b/test/maps/test_map_planner.c
@@ -73,7 +73,7 @@
 test_hot_expert_is_replicated (void)
 {
   fixture_t fixture = start (400);
-  bt_map_plan_t *plan = bt_plan_map (fixture.ctx, bt_paying_map_planner (), &fixture.input);
+  bt_map_plan_t *plan = bt_plan_map (fixture.ctx, bt_get_cost_benefit_planner (), &fixture.input);
 
   CU_ASSERT_TRUE (plan->move_count > 0);
   CU_ASSERT_TRUE (bt_count_ranks (bt_get_map_ranks (plan->next, 0, 5)) > 1);
@@ -99,7 +99,7 @@
   bt_map_plan_t *plan;
 
   fixture.input.paces = paces;
-  plan = bt_plan_map (fixture.ctx, bt_paying_map_planner (), &fixture.input);
+  plan = bt_plan_map (fixture.ctx, bt_get_cost_benefit_planner (), &fixture.input);
   check_limits (plan);
   CU_ASSERT (plan->skew_after < plan->skew_before / 2);
   CU_ASSERT (bt_count_map_slots (plan->next, 0, 1) < bt_count_map_slots (plan->next, 0, 0));
@@ -114,13 +114,13 @@
   bt_map_plan_t *plan;
 
   fixture.input.weights.horizon_ms = 1;
-  plan = bt_plan_map (fixture.ctx, bt_paying_map_planner (), &fixture.input);
+  plan = bt_plan_map (fixture.ctx, bt_get_cost_benefit_planner (), &fixture.input);
   CU_ASSERT_EQUAL (plan->move_count, 0);
   CU_ASSERT_EQUAL (bt_count_map_moves (fixture.map, plan->next), 0);
   bt_drop_map_plan (fixture.ctx, plan);
   fixture.input.weights.horizon_ms = 60000;
-  fixture.input.limits.held_steps_a_round = 100000;
-  plan = bt_plan_map (fixture.ctx, bt_paying_map_planner (), &fixture.input);
+  fixture.input.limits.held_steps_per_round = 100000;
+  plan = bt_plan_map (fixture.ctx, bt_get_cost_benefit_planner (), &fixture.input);
   CU_ASSERT_EQUAL (plan->move_count, 0);
   bt_drop_map_plan (fixture.ctx, plan);
   finish (&fixture);
@@ -134,7 +134,7 @@
 
   bt_add_expert_load (fixture.load, 1, 9, 900);
   fixture.input.limits.round_bytes = fixture.input.limits.expert_bytes;
-  plan = bt_plan_map (fixture.ctx, bt_paying_map_planner (), &fixture.input);
+  plan = bt_plan_map (fixture.ctx, bt_get_cost_benefit_planner (), &fixture.input);
   CU_ASSERT_TRUE (plan->move_count > 0);
   for (int32_t i = 1; i < plan->move_count; i++)
     CU_ASSERT_EQUAL (plan->moves[i].layer, plan->moves[0].layer);
@@ -148,7 +148,7 @@
 test_recent_moves_stay (void)
 {
   fixture_t fixture = start (400);
-  bt_map_plan_t *plan = bt_plan_map (fixture.ctx, bt_paying_map_planner (), &fixture.input);
+  bt_map_plan_t *plan = bt_plan_map (fixture.ctx, bt_get_cost_benefit_planner (), &fixture.input);
   bt_map_plan_t *again;
 
   bt_record_map_change (fixture.history, fixture.map, plan->next, NOW_MS);
@@ -156,7 +156,7 @@
   bt_add_expert_load (fixture.load, 0, 5, -400);
   bt_add_expert_load (fixture.load, 0, 9, 700);
   fixture.input.now_ms = NOW_MS + 1000;
-  again = bt_plan_map (fixture.ctx, bt_paying_map_planner (), &fixture.input);
+  again = bt_plan_map (fixture.ctx, bt_get_cost_benefit_planner (), &fixture.input);
   for (int32_t rank = 0; rank < RANKS; rank++)
     CU_ASSERT_TRUE (!bt_is_map_holder (plan->next, 0, 5, rank)
                     || bt_is_map_holder (again->next, 0, 5, rank));
@@ -169,8 +169,8 @@
 test_baselines (void)
 {
   fixture_t fixture = start (400);
-  bt_map_plan_t *unchanged = bt_plan_map (fixture.ctx, bt_static_map_planner (), &fixture.input);
-  bt_map_plan_t *full = bt_plan_map (fixture.ctx, bt_full_map_planner (), &fixture.input);
+  bt_map_plan_t *unchanged = bt_plan_map (fixture.ctx, bt_get_static_planner (), &fixture.input);
+  bt_map_plan_t *full = bt_plan_map (fixture.ctx, bt_get_full_planner (), &fixture.input);
 
   CU_ASSERT_EQUAL (unchanged->move_count, 0);
   CU_ASSERT_TRUE (full->skew_after < 1.1);
@@ -187,13 +187,13 @@
   bt_map_plan_t *plan;
 
   fixture.input.limits.slots = 1;
-  plan = bt_plan_map (fixture.ctx, bt_full_map_planner (), &fixture.input);
+  plan = bt_plan_map (fixture.ctx, bt_get_full_planner (), &fixture.input);
   CU_ASSERT_EQUAL (plan->move_count, 0);
   bt_drop_map_plan (fixture.ctx, plan);
   bt_drop_expert_load (fixture.ctx, fixture.load);
   fixture.load = bt_new_expert_load (fixture.ctx, LAYERS, EXPERTS, 1000);
   fixture.input.load = fixture.load;
-  plan = bt_plan_map (fixture.ctx, bt_paying_map_planner (), &fixture.input);
+  plan = bt_plan_map (fixture.ctx, bt_get_cost_benefit_planner (), &fixture.input);
   CU_ASSERT_EQUAL (plan->move_count, 0);
   CU_ASSERT_DOUBLE_EQUAL (plan->skew_after, 1.0, 1e-9);
   bt_drop_map_plan (fixture.ctx, plan);
@@ -234,7 +234,7 @@
 {
   fixture->input.limits.copy_ms = copy_ms;
   fixture->input.limits.round_ms = round_ms;
-  return bt_plan_map (fixture->ctx, bt_round_map_planner (), &fixture->input);
+  return bt_plan_map (fixture->ctx, bt_get_round_planner (), &fixture->input);
 }
 
 /* Guards against rounds that copy for so long that demand has moved again, while callers' streams
@@ -268,7 +268,7 @@
   bt_map_plan_t *plan;
 
   draw_loads (&fixture, 11, 4);
-  fixture.input.limits.rank_adds = 1;
+  fixture.input.limits.max_new_replicas = 1;
   plan = plan_round (&fixture, 1, 1000);
   for (int32_t layer = 0; layer < LAYERS; layer++)
     for (int32_t rank = 0; rank < RANKS; rank++)
@@ -299,7 +299,7 @@
                                        .expert_share = 0.85,
                                        .copy_ms = 148,
                                        .round_ms = 200,
-                                       .rank_adds = 4 } };
+                                       .max_new_replicas = 4 } };
   double paces[BT_MAX_RANKS];
   bt_expert_map_t *map;
   bt_random_t random;
@@ -324,7 +324,7 @@
         bt_add_expert_load (load, 0, expert, 100 * exp (spread * (bt_random_unit (&random) - 0.5)));
       input.current = map;
       input.load = load;
-      plan = bt_plan_map (ctx, bt_round_map_planner (), &input);
+      plan = bt_plan_map (ctx, bt_get_round_planner (), &input);
       CU_ASSERT_TRUE (plan->skew_after <= plan->skew_before + 1e-9);
       bt_drop_expert_map (ctx, map);
       map = bt_copy_expert_map (ctx, plan->next);
@@ -368,7 +368,7 @@
                                            .expert_share = 0.85,
                                            .copy_ms = 20,
                                            .round_ms = 100,
-                                           .rank_adds = 2 } };
+                                           .max_new_replicas = 2 } };
       bt_expert_map_t *map = bt_new_block_expert_map (ctx, shape, NULL);
       bt_expert_load_t *load = bt_new_expert_load (ctx, shape.layers, shape.experts, 1000);
       bt_map_plan_t *plan;
@@ -381,7 +381,7 @@
           bt_add_expert_load (load, 0, expert, 1000.0 / (1 + expert * 7 % shape.experts));
           bt_add_expert_load (load, 1, expert, 1000.0 / (1 + expert * 11 % shape.experts));
         }
-      plan = bt_plan_map (ctx, bt_round_map_planner (), &input);
+      plan = bt_plan_map (ctx, bt_get_round_planner (), &input);
       CU_ASSERT_TRUE (plan->skew_after < plan->skew_before / 2);
       for (int32_t rank = 0; rank < ranks[i]; rank++)
         CU_ASSERT_TRUE (bt_count_map_slots (plan->next, 0, rank) <= input.limits.slots);
--- a/test/maps/test_map_rank.c
+++ b/test/maps/test_map_rank.c
@@ -67,9 +67,9 @@
         continue;
       if (action.order.kind != BT_MAP_QUERY || action.order.fence != 0)
         accepted = lockstep_order (&fixture->group, fixture->index, &action.order);
-      bt_take_engine_answer (fixture->ctx, fixture->rank, action.call, accepted,
-                             &fixture->group.ranks[fixture->index].state, fixture->now_ms,
-                             &fixture->actions);
+      bt_handle_engine_answer (fixture->ctx, fixture->rank, action.call, accepted,
+                               &fixture->group.ranks[fixture->index].state, fixture->now_ms,
+                               &fixture->actions);
     }
 }
 
@@ -85,7 +85,7 @@
 static void
 get_ready (fixture_t *fixture, uint64_t floor)
 {
-  bt_take_map_floor (fixture->rank, floor);
+  bt_handle_map_floor (fixture->rank, floor);
   wait_ms (fixture, SETTLE_MS);
 }
 
@@ -103,7 +103,7 @@
   order.digest = sequence;
   order.apply = apply;
   fixture->actions.count = 0;
-  bt_take_map_order (fixture->ctx, fixture->rank, &order, fixture->now_ms, &fixture->actions);
+  bt_handle_map_order (fixture->ctx, fixture->rank, &order, fixture->now_ms, &fixture->actions);
   answer_calls (fixture);
   return fixture->report.refusal;
 }
@@ -142,7 +142,7 @@
   CU_ASSERT_FALSE (bt_is_map_rank_ready (fixture.rank));
   CU_ASSERT_PTR_NOT_NULL (find_action (&fixture, BT_MAP_READ_FLOOR));
   CU_ASSERT_EQUAL (send_order (&fixture, BT_MAP_QUERY, 9, 0, false), BT_MAP_STARTING);
-  bt_take_map_floor (fixture.rank, 6);
+  bt_handle_map_floor (fixture.rank, 6);
   CU_ASSERT_EQUAL (send_order (&fixture, BT_MAP_LEARN, 5, 1, false), BT_MAP_FENCED);
   CU_ASSERT_EQUAL (send_order (&fixture, BT_MAP_SET_VERSION, 5, 0, false), BT_MAP_FENCED);
   CU_ASSERT_EQUAL (send_order (&fixture, BT_MAP_STAGE, 6, 1, false), BT_MAP_ARMED_OTHER);
@@ -196,7 +196,7 @@
   CU_ASSERT_PTR_NOT_NULL_FATAL (find_action (&fixture, BT_MAP_ASK));
   tell.ask = find_action (&fixture, BT_MAP_ASK)->ask;
   tell.apply = true;
-  bt_take_map_tell (fixture.ctx, fixture.rank, &tell, fixture.now_ms, &fixture.actions);
+  bt_handle_map_tell (fixture.ctx, fixture.rank, &tell, fixture.now_ms, &fixture.actions);
   answer_calls (&fixture);
   CU_ASSERT_TRUE (fixture.group.ranks[1].state.decided_apply);
   finish (&fixture);
@@ -217,7 +217,7 @@
   tell.ask = find_action (&fixture, BT_MAP_ASK)->ask;
   tell.apply = true;
   CU_ASSERT_EQUAL (send_order (&fixture, BT_MAP_QUERY, 6, 0, false), BT_MAP_ACCEPTED);
-  bt_take_map_tell (fixture.ctx, fixture.rank, &tell, fixture.now_ms, &fixture.actions);
+  bt_handle_map_tell (fixture.ctx, fixture.rank, &tell, fixture.now_ms, &fixture.actions);
   answer_calls (&fixture);
   CU_ASSERT_TRUE (bt_is_undecided (&fixture.group.ranks[1].state));
   finish (&fixture);
@@ -235,14 +235,14 @@
   for (int32_t i = 0; i < 2; i++)
     {
       fixture.actions.count = 0;
-      bt_take_map_ask (fixture.ctx, fixture.rank, &ask, fixture.now_ms, &fixture.actions);
+      bt_handle_map_ask (fixture.ctx, fixture.rank, &ask, fixture.now_ms, &fixture.actions);
       answer_calls (&fixture);
       CU_ASSERT_PTR_NULL (find_action (&fixture, BT_MAP_TELL));
       fixture.now_ms += GIVE_UP_MS;
     }
   CU_ASSERT_EQUAL (bt_compare_rounds (fixture.group.ranks[0].state.decided, ask.round), 0);
   CU_ASSERT_FALSE (fixture.group.ranks[0].state.decided_apply);
-  bt_take_map_ask (fixture.ctx, fixture.rank, &ask, fixture.now_ms, &fixture.actions);
+  bt_handle_map_ask (fixture.ctx, fixture.rank, &ask, fixture.now_ms, &fixture.actions);
   answer_calls (&fixture);
   CU_ASSERT_PTR_NOT_NULL_FATAL (find_action (&fixture, BT_MAP_TELL));
   CU_ASSERT_FALSE (find_action (&fixture, BT_MAP_TELL)->tell.apply);
@@ -259,7 +259,7 @@
   arm (&fixture);
   order.incarnation = fixture.group.ranks[1].state.incarnation + 1;
   order.round = (bt_round_id_t){ 5, 2 };
-  bt_take_map_order (fixture.ctx, fixture.rank, &order, fixture.now_ms, &fixture.actions);
+  bt_handle_map_order (fixture.ctx, fixture.rank, &order, fixture.now_ms, &fixture.actions);
   answer_calls (&fixture);
   CU_ASSERT_EQUAL (fixture.report.refusal, BT_MAP_WRONG_ENGINE);
   finish (&fixture);
@@ -288,7 +288,7 @@
   order.round = (bt_round_id_t){ 5, 1 };
   order.step = 10;
   fixture.actions.count = 0;
-  bt_take_map_order (fixture.ctx, fixture.rank, &order, fixture.now_ms, &fixture.actions);
+  bt_handle_map_order (fixture.ctx, fixture.rank, &order, fixture.now_ms, &fixture.actions);
   answer_calls (&fixture);
   CU_ASSERT_EQUAL (fixture.report.refusal, BT_MAP_WRONG_AGENT);
   CU_ASSERT_TRUE (bt_is_null_round (fixture.group.ranks[0].state.armed));
--- a/test/maps/test_map_schedules.c
+++ b/test/maps/test_map_schedules.c
@@ -141,7 +141,7 @@
       if (action->kind == BT_MAP_ENGINE_ORDER)
         call_engine (world, rank, action);
       else if (action->kind == BT_MAP_READ_FLOOR && world->now_ms >= world->down_until_ms)
-        bt_take_map_floor (world->agents[rank], world->fence);
+        bt_handle_map_floor (world->agents[rank], world->fence);
       else if (action->kind == BT_MAP_REPORT)
         {
           message.to_controller = true;
@@ -189,15 +189,15 @@
   if (message->answered)
     {
       if (message->agent == world->agent_starts[message->to])
-        bt_take_engine_answer (world->ctx, agent, action->call, message->accepted, &message->state,
-                               world->now_ms, &world->actions);
+        bt_handle_engine_answer (world->ctx, agent, action->call, message->accepted,
+                                 &message->state, world->now_ms, &world->actions);
     }
   else if (action->kind == BT_MAP_SEND_ORDER)
-    bt_take_map_order (world->ctx, agent, &action->order, world->now_ms, &world->actions);
+    bt_handle_map_order (world->ctx, agent, &action->order, world->now_ms, &world->actions);
   else if (action->kind == BT_MAP_ASK)
-    bt_take_map_ask (world->ctx, agent, &action->ask, world->now_ms, &world->actions);
+    bt_handle_map_ask (world->ctx, agent, &action->ask, world->now_ms, &world->actions);
   else if (action->kind == BT_MAP_TELL)
-    bt_take_map_tell (world->ctx, agent, &action->tell, world->now_ms, &world->actions);
+    bt_handle_map_tell (world->ctx, agent, &action->tell, world->now_ms, &world->actions);
   execute_agent_actions (world, message->to);
 }
 
@@ -215,7 +215,8 @@
       if (!message.to_controller)
         deliver_to_agent (world, &message);
       else if (!world->dead[message.to])
-        bt_take_map_report (world->controllers[message.to], &message.action.report, world->now_ms);
+        bt_handle_map_report (world->controllers[message.to], &message.action.report,
+                              world->now_ms);
     }
 }
 
--- a/test/platform/test_asker.c
+++ b/test/platform/test_asker.c
@@ -7,7 +7,7 @@
 {
   char domain[BT_NAME_BYTES];
 
-  bt_get_platform ()->vtable->read_asker_domain (target, domain);
+  bt_get_platform ()->vtable->read_caller_domain (target, domain);
   CU_ASSERT_STRING_EQUAL (domain, expected);
 }
 
--- a/test/requests/request_processes.h
+++ b/test/requests/request_processes.h
@@ -114,8 +114,8 @@
 finish (simulation_t *sim, submission_t *submission, const bt_delivery_action_t *action)
 {
   submission->finished = true;
-  submission->whole = action->kind == BT_DELIVERY_FINISH_WHOLE;
-  submission->cut = action->kind == BT_DELIVERY_CUT;
+  submission->whole = action->kind == BT_DELIVERY_FINISH_COMPLETE;
+  submission->cut = action->kind == BT_DELIVERY_ABORT;
   submission->outcome = submission->whole ? BT_OUTCOME_ANSWERED : action->outcome;
   submission->reason = action->reason;
   if (action->kind == BT_DELIVERY_FINISH_REFUSED
@@ -159,8 +159,8 @@
             send_message (sim, cancel, true);
           }
       break;
-    case BT_DELIVERY_GIVE_HEAD:
-    case BT_DELIVERY_GIVE_PIECE:
+    case BT_DELIVERY_FORWARD_HEAD:
+    case BT_DELIVERY_FORWARD_PIECE:
       snprintf (submission->text + used, MAX_TEXT - used, "%.*s", (int)action->data_bytes,
                 (const char *)action->data);
       break;
@@ -177,8 +177,8 @@
 
   if (submission->call == NULL)
     return;
-  bt_step_delivery (sim->ctx, submission->call, event, entry_now (sim, submission->entry),
-                    &actions);
+  bt_handle_delivery_event (sim->ctx, submission->call, event, entry_now (sim, submission->entry),
+                            &actions);
   for (int32_t i = 0; i < actions.count; i++)
     carry_out_action (sim, submission, &actions.items[i]);
   bt_free_delivery_actions (sim->ctx, &actions);
@@ -202,7 +202,7 @@
     .reconnect_limit_ms = 300,
     .retry_after_ms = 100,
     .max_resends = 2,
-    .max_hops = 4,
+    .max_followed_grants = 4,
     .faults = sim->faults,
   };
 
--- a/test/requests/test_arbiter.c
+++ b/test/requests/test_arbiter.c
@@ -407,7 +407,7 @@
   tick_at (&fixture, NOW_MS + LIFE_MS + GRACE_MS);
   CU_ASSERT_EQUAL (bt_count_arbiter_records (fixture.arbiter), 0);
   CU_ASSERT_EQUAL (bt_count_arbiter_bytes (fixture.arbiter), 0);
-  CU_ASSERT_EQUAL (bt_count_arbiter_room (fixture.arbiter), 2);
+  CU_ASSERT_EQUAL (bt_count_arbiter_free_records (fixture.arbiter), 2);
   close_fixture (&fixture);
 }
 
--- a/test/requests/test_attempt.c
+++ b/test/requests/test_attempt.c
@@ -2,33 +2,33 @@
 
 #include "bilberrytray/requests/attempt.h"
 
-static const bt_attempt_rights_t not_repeatable = { .repeatable = false,
+static const bt_attempt_limits_t not_repeatable = { .repeatable = false,
                                                     .runs_left = 0,
-                                                    .sends_left = 2 };
-static const bt_attempt_rights_t repeatable_once = { .repeatable = true,
+                                                    .attempts_left = 2 };
+static const bt_attempt_limits_t repeatable_once = { .repeatable = true,
                                                      .runs_left = 1,
-                                                     .sends_left = 2 };
-static const bt_attempt_rights_t no_runs_left = { .repeatable = true,
+                                                     .attempts_left = 2 };
+static const bt_attempt_limits_t no_runs_left = { .repeatable = true,
                                                   .runs_left = 0,
-                                                  .sends_left = 2 };
+                                                  .attempts_left = 2 };
 
-static bt_attempt_verdict_t
-decide (bt_attempt_result_t result, const bt_attempt_rights_t *limits)
+static bt_attempt_decision_t
+decide (bt_attempt_result_t result, const bt_attempt_limits_t *limits)
 {
-  bt_attempt_verdict_t decision;
+  bt_attempt_decision_t decision;
 
-  bt_judge_attempt (&result, limits, &decision);
+  bt_decide_after_attempt (&result, limits, &decision);
   return decision;
 }
 
 static void
 test_complete_answer_is_forwarded (void)
 {
-  bt_attempt_verdict_t decision =
-      decide ((bt_attempt_result_t){ .stage = BT_ATTEMPT_WHOLE, .status = 200, .marked = true },
+  bt_attempt_decision_t decision =
+      decide ((bt_attempt_result_t){ .stage = BT_ATTEMPT_COMPLETE, .status = 200, .marked = true },
               &not_repeatable);
 
-  CU_ASSERT_EQUAL (decision.next, BT_NEXT_PASS);
+  CU_ASSERT_EQUAL (decision.next, BT_NEXT_FORWARD);
   CU_ASSERT_EQUAL (decision.end, BT_ATTEMPT_ANSWERED);
   CU_ASSERT_TRUE (decision.may_have_run);
 }
@@ -38,7 +38,7 @@
 static void
 test_broken_attempt_is_neither_retried_nor_reported_not_run (void)
 {
-  bt_attempt_verdict_t decision =
+  bt_attempt_decision_t decision =
       decide ((bt_attempt_result_t){ .stage = BT_ATTEMPT_NO_ANSWER }, &not_repeatable);
 
   CU_ASSERT_EQUAL (decision.next, BT_NEXT_REFUSE);
@@ -57,9 +57,9 @@
 static void
 test_request_that_did_not_run_is_retried (void)
 {
-  bt_attempt_result_t full = { .stage = BT_ATTEMPT_WHOLE, .status = 503, .not_run = true };
-  bt_attempt_result_t replaced = { .stage = BT_ATTEMPT_WHOLE, .status = 421 };
-  bt_attempt_rights_t no_sends = not_repeatable;
+  bt_attempt_result_t full = { .stage = BT_ATTEMPT_COMPLETE, .status = 503, .not_run = true };
+  bt_attempt_result_t replaced = { .stage = BT_ATTEMPT_COMPLETE, .status = 421 };
+  bt_attempt_limits_t no_sends = not_repeatable;
 
   CU_ASSERT_EQUAL (
       decide ((bt_attempt_result_t){ .stage = BT_ATTEMPT_UNSENT }, &not_repeatable).next,
@@ -68,7 +68,7 @@
   CU_ASSERT_FALSE (decide (full, &not_repeatable).may_have_run);
   CU_ASSERT_EQUAL (decide (full, &not_repeatable).end, BT_ATTEMPT_REFUSED);
   CU_ASSERT_TRUE (decide (replaced, &not_repeatable).endpoint_gone);
-  no_sends.sends_left = 0;
+  no_sends.attempts_left = 0;
   CU_ASSERT_EQUAL (decide (full, &no_sends).next, BT_NEXT_REFUSE);
   CU_ASSERT_EQUAL (bt_get_reason_outcome (decide (full, &no_sends).reason), BT_OUTCOME_NOT_RUN);
 }
@@ -82,9 +82,10 @@
 
   for (size_t i = 0; i < sizeof promises / sizeof promises[0]; i++)
     {
-      bt_attempt_verdict_t decision = decide (
-          (bt_attempt_result_t){ .stage = BT_ATTEMPT_WHOLE, .status = promises[i], .marked = true },
-          &not_repeatable);
+      bt_attempt_decision_t decision = decide ((bt_attempt_result_t){ .stage = BT_ATTEMPT_COMPLETE,
+                                                                      .status = promises[i],
+                                                                      .marked = true },
+                                               &not_repeatable);
 
       CU_ASSERT_EQUAL (decision.next, BT_NEXT_REFUSE);
       CU_ASSERT_EQUAL (bt_get_reason_outcome (decision.reason), BT_OUTCOME_UNKNOWN);
@@ -96,16 +97,18 @@
 static void
 test_foreign_answers_are_not_forwarded (void)
 {
-  bt_attempt_result_t good = { .stage = BT_ATTEMPT_WHOLE, .status = 200, .marked = true };
+  bt_attempt_result_t good = { .stage = BT_ATTEMPT_COMPLETE, .status = 200, .marked = true };
   bt_attempt_result_t unmarked = good;
   bt_attempt_result_t other = good;
   bt_attempt_result_t encoded = good;
-  bt_attempt_result_t other_refusal = { .stage = BT_ATTEMPT_WHOLE, .status = 503, .not_run = true };
+  bt_attempt_result_t other_refusal = { .stage = BT_ATTEMPT_COMPLETE,
+                                        .status = 503,
+                                        .not_run = true };
 
   unmarked.marked = false;
-  other.other_id = true;
+  other.id_mismatch = true;
   encoded.encoded = true;
-  other_refusal.other_id = true;
+  other_refusal.id_mismatch = true;
   CU_ASSERT_EQUAL (decide (unmarked, &not_repeatable).next, BT_NEXT_REFUSE);
   CU_ASSERT_EQUAL (decide (other, &not_repeatable).next, BT_NEXT_REFUSE);
   CU_ASSERT_EQUAL (decide (encoded, &not_repeatable).next, BT_NEXT_REFUSE);
@@ -117,13 +120,13 @@
 static void
 test_failure_is_retried_or_forwarded (void)
 {
-  bt_attempt_result_t failure = { .stage = BT_ATTEMPT_WHOLE, .status = 500, .marked = true };
-  bt_attempt_result_t missing = { .stage = BT_ATTEMPT_WHOLE, .status = 404, .marked = true };
+  bt_attempt_result_t failure = { .stage = BT_ATTEMPT_COMPLETE, .status = 500, .marked = true };
+  bt_attempt_result_t missing = { .stage = BT_ATTEMPT_COMPLETE, .status = 404, .marked = true };
 
   CU_ASSERT_EQUAL (decide (failure, &repeatable_once).next, BT_NEXT_RETRY);
-  CU_ASSERT_EQUAL (decide (failure, &no_runs_left).next, BT_NEXT_PASS);
-  CU_ASSERT_EQUAL (decide (failure, &not_repeatable).next, BT_NEXT_PASS);
-  CU_ASSERT_EQUAL (decide (missing, &repeatable_once).next, BT_NEXT_PASS);
+  CU_ASSERT_EQUAL (decide (failure, &no_runs_left).next, BT_NEXT_FORWARD);
+  CU_ASSERT_EQUAL (decide (failure, &not_repeatable).next, BT_NEXT_FORWARD);
+  CU_ASSERT_EQUAL (decide (missing, &repeatable_once).next, BT_NEXT_FORWARD);
 }
 
 int
--- a/test/requests/test_crash_table.c
+++ b/test/requests/test_crash_table.c
@@ -72,12 +72,12 @@
 }
 
 static int32_t
-drain_updates (bt_crash_table_t *table, bt_crash_order_kind_t kind)
+drain_updates (bt_crash_table_t *table, bt_crash_update_kind_t kind)
 {
-  bt_crash_order_t update;
+  bt_crash_update_t update;
   int32_t count = 0;
 
-  while (bt_take_crash_order (table, &update))
+  while (bt_take_crash_update (table, &update))
     count += update.kind == kind ? 1 : 0;
   return count;
 }
@@ -165,9 +165,9 @@
   bt_crash_t other = make_crash (8, 0, 1);
 
   bt_note_broken_attempt (ctx, table, &crash, 100);
-  bt_note_whole_answer (ctx, table, &other, 100);
+  bt_note_complete_answer (ctx, table, &other, 100);
   CU_ASSERT_TRUE (bt_has_suspects (table));
-  bt_note_whole_answer (ctx, table, &other, 101);
+  bt_note_complete_answer (ctx, table, &other, 101);
   CU_ASSERT_FALSE (bt_has_suspects (table));
   bt_note_endpoint_end (ctx, table, &crash.endpoint, 200);
   CU_ASSERT_EQUAL (bt_count_known_crashes (table), 0);
@@ -183,8 +183,8 @@
   bt_listed_crash_t listed[2] = { { make_crash (7, 0, 1), 5 }, { make_crash (7, 1, 1), 6 } };
   bt_crash_t answered = make_crash (7, 2, 1);
 
-  CU_ASSERT_EQUAL (bt_take_listed_crashes (ctx, table, listed, 2, 0), 0);
-  bt_note_whole_answer (ctx, table, &answered, 10);
+  CU_ASSERT_EQUAL (bt_apply_listed_crashes (ctx, table, listed, 2, 0), 0);
+  bt_note_complete_answer (ctx, table, &answered, 10);
   CU_ASSERT_EQUAL (bt_count_known_crashes (table), 0);
   CU_ASSERT_EQUAL (drain_updates (table, BT_CRASH_RETRACT), 2);
   bt_drop_crash_table (ctx, table);
@@ -196,15 +196,15 @@
 {
   bt_crash_table_t *table = make_table (1);
   bt_crash_t crash = make_crash (7, 0, 1);
-  bt_crash_order_t update;
+  bt_crash_update_t update;
 
   report_crash (table, &crash, 0);
-  bt_note_whole_answer (ctx, table, &crash, 10);
-  CU_ASSERT_TRUE (bt_take_crash_order (table, &update));
+  bt_note_complete_answer (ctx, table, &crash, 10);
+  CU_ASSERT_TRUE (bt_take_crash_update (table, &update));
   CU_ASSERT_EQUAL (update.kind, BT_CRASH_PUBLISH);
-  CU_ASSERT_TRUE (bt_take_crash_order (table, &update));
+  CU_ASSERT_TRUE (bt_take_crash_update (table, &update));
   CU_ASSERT_EQUAL (update.kind, BT_CRASH_RETRACT);
-  CU_ASSERT_FALSE (bt_take_crash_order (table, &update));
+  CU_ASSERT_FALSE (bt_take_crash_update (table, &update));
   bt_drop_crash_table (ctx, table);
 }
 
@@ -216,10 +216,10 @@
   bt_listed_crash_t listed[2] = { { make_crash (7, 0, 1), 5 }, { make_crash (7, 1, 1), 6 } };
 
   report_crash (table, &own, 0);
-  bt_take_listed_crashes (ctx, table, listed, 2, 0);
+  bt_apply_listed_crashes (ctx, table, listed, 2, 0);
   CU_ASSERT_TRUE (bt_is_crashing (table, &own.request));
   /* A crash that was never listed stays; one that is no longer listed is removed. */
-  bt_take_listed_crashes (ctx, table, listed, 1, 1);
+  bt_apply_listed_crashes (ctx, table, listed, 1, 1);
   CU_ASSERT_EQUAL (bt_count_crashes (table, &own.request), 2);
   bt_drop_crash_table (ctx, table);
 }
@@ -231,7 +231,7 @@
   bt_listed_crash_t listed = { make_crash (7, 0, 1), 5 };
   int64_t now_ms = 0;
 
-  bt_take_listed_crashes (ctx, table, &listed, 1, now_ms);
+  bt_apply_listed_crashes (ctx, table, &listed, 1, now_ms);
   for (int32_t i = 0; i < 10; i++)
     {
       now_ms += KEEP_MS / 2;
@@ -252,9 +252,9 @@
   bt_crash_table_t *table = make_table (1);
   bt_listed_crash_t listed = { make_crash (7, 0, 1), 5 };
 
-  bt_take_listed_crashes (ctx, table, &listed, 1, 0);
+  bt_apply_listed_crashes (ctx, table, &listed, 1, 0);
   listed.revision = 9;
-  bt_take_listed_crashes (ctx, table, &listed, 1, KEEP_MS);
+  bt_apply_listed_crashes (ctx, table, &listed, 1, KEEP_MS);
   bt_expire_crashes (ctx, table, KEEP_MS + KEEP_MS / 2);
   CU_ASSERT_EQUAL (bt_count_known_crashes (table), 1);
   bt_drop_crash_table (ctx, table);
@@ -268,7 +268,7 @@
 
   for (int32_t i = 0; i < MAX_CRASHES + 3; i++)
     listed[i] = (bt_listed_crash_t){ make_crash (i, 0, 1), i + 1 };
-  CU_ASSERT_EQUAL (bt_take_listed_crashes (ctx, table, listed, MAX_CRASHES + 3, 0), 3);
+  CU_ASSERT_EQUAL (bt_apply_listed_crashes (ctx, table, listed, MAX_CRASHES + 3, 0), 3);
   CU_ASSERT_EQUAL (bt_count_known_crashes (table), MAX_CRASHES);
   bt_drop_crash_table (ctx, table);
 }
@@ -278,7 +278,7 @@
 {
   bt_random_t random;
   bt_crash_table_t *tables[INSTANCES];
-  bt_crash_order_t pending[MAX_LISTED]; /* updates not applied to the list yet, in any order */
+  bt_crash_update_t pending[MAX_LISTED]; /* updates not applied to the list yet, in any order */
   int32_t pending_count;
   bt_listed_crash_t list[MAX_LISTED];
   int32_t list_count;
@@ -308,7 +308,7 @@
 apply_update (fleet_t *fleet)
 {
   int32_t index = draw (fleet, fleet->pending_count);
-  bt_crash_order_t update = fleet->pending[index];
+  bt_crash_update_t update = fleet->pending[index];
   int32_t at = find_listed (fleet, &update.crash);
 
   if (draw (fleet, 4) != 0)
@@ -324,9 +324,9 @@
 static void
 collect_updates (fleet_t *fleet, int32_t instance)
 {
-  bt_crash_order_t update;
+  bt_crash_update_t update;
 
-  while (bt_take_crash_order (fleet->tables[instance], &update))
+  while (bt_take_crash_update (fleet->tables[instance], &update))
     if (fleet->pending_count < MAX_LISTED)
       fleet->pending[fleet->pending_count++] = update;
 }
@@ -363,8 +363,8 @@
 
   bt_drop_crash_table (ctx, fleet->tables[instance]);
   fleet->tables[instance] = make_table ((uint64_t)instance);
-  bt_take_listed_crashes (ctx, fleet->tables[instance], fleet->list, fleet->list_count,
-                          fleet->now_ms);
+  bt_apply_listed_crashes (ctx, fleet->tables[instance], fleet->list, fleet->list_count,
+                           fleet->now_ms);
 }
 
 static void
@@ -385,8 +385,8 @@
     case 2:
     case 3:
     case 4:
-      bt_take_listed_crashes (ctx, fleet->tables[instance], fleet->list, fleet->list_count,
-                              fleet->now_ms);
+      bt_apply_listed_crashes (ctx, fleet->tables[instance], fleet->list, fleet->list_count,
+                               fleet->now_ms);
       break;
     case 5:
       bt_expire_crashes (ctx, fleet->tables[instance], fleet->now_ms);
@@ -411,7 +411,7 @@
   while (fleet->pending_count > 0)
     apply_update (fleet);
   for (int32_t i = 0; i < INSTANCES; i++)
-    bt_take_listed_crashes (ctx, fleet->tables[i], fleet->list, fleet->list_count, fleet->now_ms);
+    bt_apply_listed_crashes (ctx, fleet->tables[i], fleet->list, fleet->list_count, fleet->now_ms);
 }
 
 /* Guards against instances that disagree permanently, and against refusing a request with fewer
--- a/test/requests/test_delivery.c
+++ b/test/requests/test_delivery.c
@@ -42,7 +42,7 @@
     .reconnect_limit_ms = RECONNECT_MS,
     .retry_after_ms = 70,
     .max_resends = 1,
-    .max_hops = 2,
+    .max_followed_grants = 2,
   };
 
   fixture.delivery = bt_new_delivery (fixture.ctx, &options);
@@ -60,7 +60,7 @@
 static const bt_delivery_action_t *
 last_action (const fixture_t *fixture)
 {
-  static const bt_delivery_action_t none = { .kind = BT_DELIVERY_FINISH_WHOLE };
+  static const bt_delivery_action_t none = { .kind = BT_DELIVERY_FINISH_COMPLETE };
 
   return fixture->actions.count == 0 ? &none : &fixture->actions.items[fixture->actions.count - 1];
 }
@@ -69,7 +69,8 @@
 step (fixture_t *fixture, bt_delivery_event_t event)
 {
   fixture->actions.count = 0;
-  bt_step_delivery (fixture->ctx, fixture->delivery, &event, fixture->now_ms, &fixture->actions);
+  bt_handle_delivery_event (fixture->ctx, fixture->delivery, &event, fixture->now_ms,
+                            &fixture->actions);
   return last_action (fixture);
 }
 
@@ -175,11 +176,11 @@
   accept_dispatch (&fixture);
   head (&fixture);
   CU_ASSERT_EQUAL (fixture.actions.count, 0);
-  CU_ASSERT_EQUAL (piece (&fixture, 0)->kind, BT_DELIVERY_GIVE_PIECE);
-  CU_ASSERT_EQUAL (fixture.actions.items[0].kind, BT_DELIVERY_GIVE_HEAD);
+  CU_ASSERT_EQUAL (piece (&fixture, 0)->kind, BT_DELIVERY_FORWARD_PIECE);
+  CU_ASSERT_EQUAL (fixture.actions.items[0].kind, BT_DELIVERY_FORWARD_HEAD);
   piece (&fixture, 0);
   CU_ASSERT_EQUAL (fixture.actions.count, 0);
-  CU_ASSERT_EQUAL (end (&fixture, 1, 3)->kind, BT_DELIVERY_FINISH_WHOLE);
+  CU_ASSERT_EQUAL (end (&fixture, 1, 3)->kind, BT_DELIVERY_FINISH_COMPLETE);
   CU_ASSERT_TRUE (bt_is_delivery_finished (fixture.delivery));
   close_fixture (&fixture);
 }
@@ -229,7 +230,7 @@
   CU_ASSERT_TRUE (last_action (&fixture)->dispatch.attach_only);
   report_sent (&fixture, 1);
   head (&fixture);
-  CU_ASSERT_EQUAL (end (&fixture, 0, 0)->kind, BT_DELIVERY_FINISH_WHOLE);
+  CU_ASSERT_EQUAL (end (&fixture, 0, 0)->kind, BT_DELIVERY_FINISH_COMPLETE);
   close_fixture (&fixture);
 }
 
@@ -301,14 +302,14 @@
   CU_ASSERT_EQUAL (piece (&fixture, 2)->dispatch.from_sequence, 1);
   CU_ASSERT_TRUE (last_action (&fixture)->dispatch.attach_only);
   report_sent (&fixture, 1);
-  CU_ASSERT_EQUAL (piece (&fixture, 1)->kind, BT_DELIVERY_GIVE_PIECE);
-  CU_ASSERT_EQUAL (end (&fixture, 3, 9)->kind, BT_DELIVERY_CUT);
+  CU_ASSERT_EQUAL (piece (&fixture, 1)->kind, BT_DELIVERY_FORWARD_PIECE);
+  CU_ASSERT_EQUAL (end (&fixture, 3, 9)->kind, BT_DELIVERY_ABORT);
   close_fixture (&fixture);
   fixture = open_fixture (true, false);
   submit_and_dispatch (&fixture, &home);
   head (&fixture);
   piece (&fixture, 0);
-  CU_ASSERT_EQUAL (end (&fixture, 1, 4)->kind, BT_DELIVERY_CUT);
+  CU_ASSERT_EQUAL (end (&fixture, 1, 4)->kind, BT_DELIVERY_ABORT);
   close_fixture (&fixture);
 }
 
@@ -327,12 +328,12 @@
   budget (&fixture, true);
   choose (&fixture, &other);
   report_sent (&fixture, 2);
-  CU_ASSERT_EQUAL (last_action (&fixture)->kind, BT_DELIVERY_FINISH_WHOLE); /* no action */
+  CU_ASSERT_EQUAL (last_action (&fixture)->kind, BT_DELIVERY_FINISH_COMPLETE); /* no action */
   head (&fixture);
   reply_to (&fixture, old, (bt_reply_t){ .kind = BT_REPLY_PIECE, .data = "old", .data_bytes = 3 });
   CU_ASSERT_EQUAL (fixture.actions.count, 0);
-  CU_ASSERT_EQUAL (piece (&fixture, 0)->kind, BT_DELIVERY_GIVE_PIECE);
-  CU_ASSERT_EQUAL (refuse (&fixture, BT_REASON_ENGINE_FAILED)->kind, BT_DELIVERY_CUT);
+  CU_ASSERT_EQUAL (piece (&fixture, 0)->kind, BT_DELIVERY_FORWARD_PIECE);
+  CU_ASSERT_EQUAL (refuse (&fixture, BT_REASON_ENGINE_FAILED)->kind, BT_DELIVERY_ABORT);
   close_fixture (&fixture);
 }
 
--- a/test/requests/test_event_stream.c
+++ b/test/requests/test_event_stream.c
@@ -6,7 +6,7 @@
 static size_t
 take (bt_event_stream_t *stream, const char *text)
 {
-  return bt_take_events (stream, text, strlen (text));
+  return bt_consume_events (stream, text, strlen (text));
 }
 
 static void
