--- a/include/bilberrytray/config/config_spread.h
+++ b/include/bilberrytray/config/config_spread.h
@@ -22,7 +22,7 @@
 /** Bits that take guards out, for tests that show what each guard is for. */
 enum
 {
-  BT_SPREAD_TAKE_OLDER = 1,         /**< See BT_TABLE_TAKE_OLDER. */
+  BT_SPREAD_TAKE_OLDER = 1,         /**< See BT_TABLE_ACCEPT_OLDER. */
   BT_SPREAD_TRUST_STALE_READ = 2,   /**< A read below the floor counts as fresh. */
   BT_SPREAD_NEVER_ISOLATED = 4,     /**< Old rules are served without end. */
   BT_SPREAD_ANY_PEER = 8,           /**< One peer is enough to start or go on. */
@@ -107,7 +107,7 @@
 {
   bt_spread_action_t *items;
   int32_t count;
-  int32_t room;
+  int32_t capacity;
 } bt_spread_actions_t;
 
 /** Drops all actions and the memory of the list. */
--- a/include/bilberrytray/config/config_table.h
+++ b/include/bilberrytray/config/config_table.h
@@ -12,17 +12,17 @@
 /** Bits that take guards out, for tests that show what each guard is for. */
 enum
 {
-  BT_TABLE_TAKE_OLDER = 1, /**< Older revisions replace newer ones. */
+  BT_TABLE_ACCEPT_OLDER = 1, /**< Older revisions replace newer ones. */
 };
 
 /** What became of an offered document. */
 typedef enum bt_offer
 {
-  BT_OFFER_TAKEN = 0, /**< It is in force now. */
-  BT_OFFER_SAME,      /**< It was in force already. */
-  BT_OFFER_OLDER,     /**< A newer one is in force; dropped and counted. */
-  BT_OFFER_DIFFERENT, /**< Another one of the same revision is in force; dropped and counted. It
-                           means that two services wrote, or that bytes were damaged. */
+  BT_OFFER_APPLIED = 0, /**< It is in force now. */
+  BT_OFFER_SAME,        /**< It was in force already. */
+  BT_OFFER_OLDER,       /**< A newer one is in force; dropped and counted. */
+  BT_OFFER_DIFFERENT,   /**< Another one of the same revision is in force; dropped and counted. It
+                             means that two services wrote, or that bytes were damaged. */
   BT_OFFER_COUNT,
 } bt_offer_t;
 
--- a/include/bilberrytray/config/document.h
+++ b/include/bilberrytray/config/document.h
@@ -71,7 +71,7 @@
 {
   bt_document_t **items;
   int32_t count;
-  int32_t room;
+  int32_t capacity;
 } bt_document_list_t;
 
 /** Adds a document, which is kept once more. */
--- a/include/bilberrytray/config/publisher.h
+++ b/include/bilberrytray/config/publisher.h
@@ -19,7 +19,7 @@
 {
   BT_PUBLISH_NO_READ_BACK = 1,    /**< A lost answer counts as a failure. */
   BT_PUBLISH_NO_COMPARE = 2,      /**< Writes whatever was changed meanwhile. */
-  BT_PUBLISH_NO_HAND_OVER = 4,    /**< Accepted as soon as the service has it. */
+  BT_PUBLISH_NO_PUSH = 4,         /**< Accepted as soon as the service has it. */
   BT_PUBLISH_ANY_ENTRY = 8,       /**< Accepted with one entry, at once. */
   BT_PUBLISH_KEEP_CONFIRMED = 16, /**< What a replaced entry confirmed still counts. */
 };
@@ -36,7 +36,7 @@
 bt_publish_settings_t bt_get_default_publish_settings (void);
 
 /** Base revision of a document that was read, not given by the operator. */
-#define BT_BASE_AS_READ (-1)
+#define BT_BASE_CURRENT (-1)
 
 /** One document that the operator wants in force. */
 typedef struct bt_publish_document
@@ -96,7 +96,7 @@
 {
   bt_publish_action_t *items;
   int32_t count;
-  int32_t room;
+  int32_t capacity;
 } bt_publish_actions_t;
 
 void bt_clear_publish_actions (bt_context_t *ctx, bt_publish_actions_t *actions);
--- a/include/bilberrytray/config/rule.h
+++ b/include/bilberrytray/config/rule.h
@@ -45,16 +45,17 @@
 } bt_rule_part_t;
 
 /** The index of the first rule that matches, or -1. */
-int32_t bt_match_rules (const bt_declarations_t *declarations, const bt_request_facts_t *facts);
+int32_t bt_match_rules (const bt_declarations_t *declarations,
+                        const bt_request_facts_t *attributes);
 
 /** The first part of a rule's condition that the request fails. */
-bt_rule_part_t bt_check_rule (const bt_rule_t *rule, const bt_request_facts_t *facts);
+bt_rule_part_t bt_check_rule (const bt_rule_t *rule, const bt_request_facts_t *attributes);
 
 const char *bt_name_rule_part (bt_rule_part_t part);
 
 /** Prints why each rule up to the deciding one did not match, and what the deciding one does. */
 void bt_explain_rules (const bt_declarations_t *declarations,
-                       const bt_request_facts_t *facts,
+                       const bt_request_facts_t *attributes,
                        FILE *out);
 
 /** True when every request that @p later matches is matched by @p earlier too, so that @p later can
--- a/source/config/config_spread.c
+++ b/source/config/config_spread.c
@@ -6,7 +6,7 @@
 
 enum
 {
-  FIRST_ROOM = 8,
+  INITIAL_CAPACITY = 8,
 };
 
 static const char watch_purpose[] = "watch";
@@ -39,12 +39,12 @@
                       int64_t now_ms)
 {
   bt_config_spread_t *spread = bt_calloc (ctx, 1, sizeof *spread);
-  bool take_older = (settings->guards_off & BT_SPREAD_TAKE_OLDER) != 0;
+  bool accept_older = (settings->guards_off & BT_SPREAD_TAKE_OLDER) != 0;
 
   spread->self = *self;
   spread->settings = *settings;
   bt_seed_random (&spread->random, seed);
-  spread->table = bt_new_config_table (ctx, take_older ? BT_TABLE_TAKE_OLDER : 0);
+  spread->table = bt_new_config_table (ctx, accept_older ? BT_TABLE_ACCEPT_OLDER : 0);
   spread->fresh_ms = NEVER_MS;
   spread->next_store_ms = now_ms;
   return spread;
@@ -76,11 +76,11 @@
 {
   bt_spread_action_t *action;
 
-  if (actions->count == actions->room)
+  if (actions->count == actions->capacity)
     {
-      actions->room = actions->room * 2 + FIRST_ROOM;
+      actions->capacity = actions->capacity * 2 + INITIAL_CAPACITY;
       actions->items =
-          bt_realloc (ctx, actions->items, (size_t)actions->room, sizeof *actions->items);
+          bt_realloc (ctx, actions->items, (size_t)actions->capacity, sizeof *actions->items);
     }
   action = &actions->items[actions->count++];
   memset (action, 0, sizeof *action);
@@ -89,7 +89,7 @@
 }
 
 static void
-copy_documents (bt_context_t *ctx, const bt_document_list_t *from, bt_document_list_t *to)
+append_documents (bt_context_t *ctx, const bt_document_list_t *from, bt_document_list_t *to)
 {
   for (int32_t i = 0; i < from->count; i++)
     bt_add_document (ctx, to, from->items[i]);
@@ -107,7 +107,7 @@
 
 /* The peer if it is linked under this very incarnation. */
 static peer_t *
-find_linked (const bt_config_spread_t *spread, const bt_identity_t *identity)
+find_linked_peer (const bt_config_spread_t *spread, const bt_identity_t *identity)
 {
   peer_t *peer = find_peer (spread, identity->instance);
 
@@ -123,10 +123,11 @@
 
   if (peer == NULL)
     {
-      if (spread->peer_count == spread->peer_room)
+      if (spread->peer_count == spread->peer_capacity)
         {
-          spread->peer_room = spread->peer_room * 2 + FIRST_ROOM;
-          spread->peers = bt_realloc (ctx, spread->peers, (size_t)spread->peer_room, sizeof *peer);
+          spread->peer_capacity = spread->peer_capacity * 2 + INITIAL_CAPACITY;
+          spread->peers =
+              bt_realloc (ctx, spread->peers, (size_t)spread->peer_capacity, sizeof *peer);
         }
       peer = &spread->peers[spread->peer_count++];
     }
@@ -134,7 +135,7 @@
   peer->identity = *identity;
   peer->clock_ms = -1;
   peer->agreed_ms = NEVER_MS;
-  peer->differs_ms = NEVER_MS;
+  peer->differs_since_ms = NEVER_MS;
   peer->next_pull_ms = NEVER_MS;
   return peer;
 }
@@ -154,7 +155,7 @@
 /* Peers whose instance is gone from the list and whose link is gone: forget them, so that a fleet
  * that is replaced day by day does not fill the table. */
 static void
-forget_peers (bt_config_spread_t *spread)
+remove_unlinked_peers (bt_config_spread_t *spread)
 {
   int32_t kept = 0;
   bool near;
@@ -200,7 +201,7 @@
       spread->near_count += spread->near_members[i] ? 1 : 0;
     }
   choose_watchers (ctx, spread);
-  forget_peers (spread);
+  remove_unlinked_peers (spread);
 }
 
 static bool
@@ -211,7 +212,7 @@
 
 /* Near members that agreed within the isolation limit, or that answered our first pull. */
 static int32_t
-count_peers (const bt_config_spread_t *spread, int64_t now_ms, bool counted_only)
+count_peers (const bt_config_spread_t *spread, int64_t now_ms, bool start_quorum)
 {
   int32_t count = 0;
   bool near;
@@ -222,7 +223,7 @@
 
       if (!is_member (spread, peer->identity.instance, &near) || !near)
         continue;
-      if (counted_only ? peer->counted
+      if (start_quorum ? peer->in_start_quorum
                        : is_within (peer->agreed_ms, now_ms, spread->settings.isolation_ms))
         count++;
     }
@@ -305,18 +306,18 @@
   action->from = push->from;
   action->to = push->to;
   action->whole = push->whole;
-  copy_documents (ctx, push->documents, &action->documents);
+  append_documents (ctx, push->documents, &action->documents);
 }
 
 /* Tells every linked peer but the one it came from. All documents go, not only the new ones: the
  * push claims that nothing is missing between its two revisions, and a peer may lack just the one
  * that we had before. */
 static void
-push_onward (bt_context_t *ctx,
-             bt_config_spread_t *spread,
-             const bt_identity_t *source,
-             const bt_spread_push_t *push,
-             bt_spread_actions_t *actions)
+forward_push (bt_context_t *ctx,
+              bt_config_spread_t *spread,
+              const bt_identity_t *source,
+              const bt_spread_push_t *push,
+              bt_spread_actions_t *actions)
 {
   for (int32_t i = 0; i < spread->peer_count; i++)
     {
@@ -338,18 +339,19 @@
                           const bt_spread_push_t *push,
                           bt_spread_actions_t *actions)
 {
-  bt_spread_push_t onward = { push->documents, push->from, push->to, false, 0 };
-  bool handed_over = source != NULL && find_linked (spread, source) == NULL;
-  bt_document_list_t taken = { 0 };
+  bt_spread_push_t forwarded = { push->documents, push->from, push->to, false, 0 };
+  bool from_operator = source != NULL && find_linked_peer (spread, source) == NULL;
+  bt_document_list_t applied = { 0 };
 
   for (int32_t i = 0; i < push->documents->count; i++)
-    if (bt_offer_document (ctx, spread->table, push->documents->items[i]) == BT_OFFER_TAKEN)
-      bt_add_document (ctx, &taken, push->documents->items[i]);
-  if (taken.count > 0)
-    copy_documents (ctx, &taken, &bt_add_spread_action (ctx, actions, BT_SPREAD_APPLY)->documents);
-  if (taken.count > 0 && spread->ready && !handed_over)
-    push_onward (ctx, spread, source, &onward, actions);
-  bt_clear_documents (ctx, &taken);
+    if (bt_offer_document (ctx, spread->table, push->documents->items[i]) == BT_OFFER_APPLIED)
+      bt_add_document (ctx, &applied, push->documents->items[i]);
+  if (applied.count > 0)
+    append_documents (ctx, &applied,
+                      &bt_add_spread_action (ctx, actions, BT_SPREAD_APPLY)->documents);
+  if (applied.count > 0 && spread->ready && !from_operator)
+    forward_push (ctx, spread, source, &forwarded, actions);
+  bt_clear_documents (ctx, &applied);
 }
 
 void
@@ -368,13 +370,13 @@
 void
 bt_close_spread_link (bt_context_t *ctx, bt_config_spread_t *spread, const bt_identity_t *identity)
 {
-  peer_t *peer = find_linked (spread, identity);
+  peer_t *peer = find_linked_peer (spread, identity);
 
   if (peer == NULL)
     return;
   peer->linked = false;
-  peer->counted = false;
-  forget_peers (spread);
+  peer->in_start_quorum = false;
+  remove_unlinked_peers (spread);
 }
 
 void
@@ -383,7 +385,7 @@
                           int64_t now_ms,
                           bt_spread_heartbeat_t *heartbeat)
 {
-  const peer_t *peer = find_linked (spread, identity);
+  const peer_t *peer = find_linked_peer (spread, identity);
 
   heartbeat->now_ms = now_ms;
   heartbeat->echo_ms = peer == NULL ? -1 : peer->clock_ms;
@@ -402,9 +404,9 @@
 
 /* Learns from a peer whose table we hold to be ours, too. */
 static void
-learn_freshness (bt_config_spread_t *spread,
-                 const bt_spread_heartbeat_t *heartbeat,
-                 int64_t sent_ms)
+update_freshness (bt_config_spread_t *spread,
+                  const bt_spread_heartbeat_t *heartbeat,
+                  int64_t sent_ms)
 {
   if (heartbeat->digest == bt_get_table_digest (spread->table) && heartbeat->floor > spread->floor)
     spread->floor = heartbeat->floor;
@@ -417,15 +419,15 @@
  * would make a majority of two that know the old rules only. And one that has other documents shows
  * that ours may be old. */
 static void
-note_agreement (peer_t *peer,
-                const bt_spread_heartbeat_t *heartbeat,
-                int64_t sent_ms,
-                int64_t now_ms)
+record_agreement (peer_t *peer,
+                  const bt_spread_heartbeat_t *heartbeat,
+                  int64_t sent_ms,
+                  int64_t now_ms)
 {
-  peer->differs_ms = NEVER_MS;
+  peer->differs_since_ms = NEVER_MS;
   if (heartbeat->floor <= 0)
     return;
-  peer->counted = true;
+  peer->in_start_quorum = true;
   if (sent_ms >= 0 && sent_ms <= now_ms)
     bt_raise_spread_time (&peer->agreed_ms, sent_ms);
 }
@@ -438,27 +440,27 @@
                           int64_t now_ms,
                           bt_spread_actions_t *actions)
 {
-  peer_t *peer = find_linked (spread, identity);
+  peer_t *peer = find_linked_peer (spread, identity);
   /* A heartbeat may lie in a buffer for minutes, behind a pause of either process; dated by its
    * arrival, news of before a change would look like news of after it. The echo is a reading of
-   * our own clock, taken before the heartbeat was sent, so the news is at least that old. */
+   * our own clock, applied before the heartbeat was sent, so the news is at least that old. */
   int64_t sent_ms =
       bt_has_spread_guard (spread, BT_SPREAD_TRUST_ARRIVAL) ? heartbeat->echo_ms : now_ms;
 
   if (peer == NULL)
     return;
   peer->clock_ms = heartbeat->now_ms;
-  peer->last = *heartbeat;
+  peer->last_heartbeat = *heartbeat;
   if (sent_ms >= 0 && sent_ms <= now_ms)
-    learn_freshness (spread, heartbeat, sent_ms);
+    update_freshness (spread, heartbeat, sent_ms);
   if (heartbeat->digest == bt_get_table_digest (spread->table))
     {
-      note_agreement (peer, heartbeat, sent_ms, now_ms);
+      record_agreement (peer, heartbeat, sent_ms, now_ms);
       return;
     }
-  if (peer->differs_ms == NEVER_MS)
-    peer->differs_ms = now_ms;
-  if (now_ms - peer->differs_ms >= spread->settings.pull_grace_ms || !spread->ready)
+  if (peer->differs_since_ms == NEVER_MS)
+    peer->differs_since_ms = now_ms;
+  if (now_ms - peer->differs_since_ms >= spread->settings.pull_grace_ms || !spread->ready)
     send_pull (ctx, spread, peer, now_ms, actions);
 }
 
@@ -486,7 +488,7 @@
                      int64_t now_ms,
                      bt_spread_actions_t *actions)
 {
-  peer_t *peer = find_linked (spread, source);
+  peer_t *peer = find_linked_peer (spread, source);
 
   bt_take_spread_documents (ctx, spread, source, push, actions);
   if (push->to > 0 && push->from <= spread->floor)
@@ -494,7 +496,7 @@
       if (push->to > spread->floor)
         spread->floor = push->to;
       if (peer != NULL && push->whole)
-        peer->counted = true;
+        peer->in_start_quorum = true;
     }
   else if (peer != NULL && push->to > 0)
     send_pull (ctx, spread, peer, now_ms, actions);
@@ -530,11 +532,11 @@
   for (int32_t i = 0; i < spread->peer_count; i++)
     {
       peer_t *peer = &spread->peers[i];
-      bool gap = peer->differs_ms != NEVER_MS
-                 && now_ms - peer->differs_ms >= spread->settings.pull_grace_ms
-                 && peer->last.digest != bt_get_table_digest (spread->table);
+      bool gap = peer->differs_since_ms != NEVER_MS
+                 && now_ms - peer->differs_since_ms >= spread->settings.pull_grace_ms
+                 && peer->last_heartbeat.digest != bt_get_table_digest (spread->table);
 
-      if (peer->linked && (gap || (!spread->ready && !peer->counted)))
+      if (peer->linked && (gap || (!spread->ready && !peer->in_start_quorum)))
         send_pull (ctx, spread, peer, now_ms, actions);
     }
 }
@@ -550,8 +552,8 @@
   pull_gaps (ctx, spread, now_ms, actions);
   if (!spread->ready && has_start_quorum (spread))
     spread->ready = true;
-  if (spread->store == STORE_IDLE && now_ms >= spread->next_store_ms
-      && (spread->watcher || !spread->read_once || stale))
+  if (spread->store_call == STORE_IDLE && now_ms >= spread->next_store_ms
+      && (spread->watcher || !spread->has_read || stale))
     bt_begin_spread_read (ctx, spread, now_ms, actions);
 }
 
--- a/source/config/config_spread_private.h
+++ b/source/config/config_spread_private.h
@@ -23,12 +23,12 @@
 {
   bt_identity_t identity;
   bool linked;
-  bool counted;               /**< Answered a pull of ours while it was ready itself. */
-  int64_t clock_ms;           /**< Its latest now_ms, echoed back to it; -1 if none. */
-  int64_t agreed_ms;          /**< We know that it lived at this time of ours. */
-  int64_t differs_ms;         /**< Since when its digest differs; NEVER_MS while it agrees. */
-  int64_t next_pull_ms;       /**< Not before this a further pull. */
-  bt_spread_heartbeat_t last; /**< Its latest heartbeat. */
+  bool in_start_quorum;     /**< Answered a pull of ours while it was ready itself. */
+  int64_t clock_ms;         /**< Its latest now_ms, echoed back to it; -1 if none. */
+  int64_t agreed_ms;        /**< We know that it lived at this time of ours. */
+  int64_t differs_since_ms; /**< Since when its digest differs; NEVER_MS while it agrees. */
+  int64_t next_pull_ms;     /**< Not before this a further pull. */
+  bt_spread_heartbeat_t last_heartbeat; /**< Its latest heartbeat. */
 } peer_t;
 
 struct bt_config_spread
@@ -39,19 +39,19 @@
   bt_config_table_t *table;
   peer_t *peers;
   int32_t peer_count;
-  int32_t peer_room;
+  int32_t peer_capacity;
   bt_subset_candidate_t *members;
   bool *near_members;
   int32_t member_count;
   int32_t near_count; /**< Near members, this instance among them. */
   bool watcher;
-  bool read_once; /**< The service was read since the start. */
-  bool ready;     /**< It was learnt what is in force. */
+  bool has_read; /**< The service was read since the start. */
+  bool ready;    /**< It was learnt what is in force. */
   int64_t floor;
   int64_t fresh_ms; /**< Start of the freshest read of the service; NEVER_MS without one. */
-  store_call_t store;
+  store_call_t store_call;
   int64_t store_since; /**< The floor that the call in flight was sent with. */
-  int64_t store_begun_ms;
+  int64_t store_started_ms;
   int64_t next_store_ms;
   int32_t store_failures; /**< Since the last answer. */
   uint64_t stale_reads;
--- a/source/config/config_spread_store.c
+++ b/source/config/config_spread_store.c
@@ -2,22 +2,22 @@
 
 enum
 {
-  RETRY_LAST_MS = 8000,
+  MAX_RETRY_MS = 8000,
 };
 
 static void
-plan_retry (bt_config_spread_t *spread, int64_t now_ms)
+schedule_retry (bt_config_spread_t *spread, int64_t now_ms)
 {
-  int64_t longest_ms = spread->settings.store_retry_ms;
-  int64_t half_ms;
+  int64_t max_delay_ms = spread->settings.store_retry_ms;
+  int64_t min_delay_ms;
 
-  for (int32_t i = 0; i < spread->store_failures && longest_ms < RETRY_LAST_MS; i++)
-    longest_ms *= 2;
-  half_ms = longest_ms / 2;
+  for (int32_t i = 0; i < spread->store_failures && max_delay_ms < MAX_RETRY_MS; i++)
+    max_delay_ms *= 2;
+  min_delay_ms = max_delay_ms / 2;
   spread->store_failures++;
-  spread->store = STORE_IDLE;
-  spread->next_store_ms =
-      now_ms + half_ms + (int64_t)bt_random_below (&spread->random, (uint64_t)half_ms + 1);
+  spread->store_call = STORE_IDLE;
+  spread->next_store_ms = now_ms + min_delay_ms
+                          + (int64_t)bt_random_below (&spread->random, (uint64_t)min_delay_ms + 1);
 }
 
 void
@@ -28,9 +28,9 @@
 {
   bt_spread_action_t *action = bt_add_spread_action (ctx, actions, BT_SPREAD_READ);
 
-  spread->store = STORE_READING;
+  spread->store_call = STORE_READING;
   spread->store_since = spread->floor;
-  spread->store_begun_ms = now_ms;
+  spread->store_started_ms = now_ms;
   action->since = spread->floor;
 }
 
@@ -39,7 +39,7 @@
 {
   bt_spread_action_t *action = bt_add_spread_action (ctx, actions, BT_SPREAD_WATCH);
 
-  spread->store = STORE_WATCHING;
+  spread->store_call = STORE_WATCHING;
   action->since = spread->floor;
   action->wait_ms = spread->settings.watch_wait_ms;
 }
@@ -60,18 +60,18 @@
   if (revision < spread->store_since && bt_has_spread_guard (spread, BT_SPREAD_TRUST_STALE_READ))
     {
       spread->stale_reads++;
-      plan_retry (spread, now_ms);
+      schedule_retry (spread, now_ms);
       return;
     }
   bt_take_spread_documents (ctx, spread, NULL, &push, actions);
   if (revision > spread->floor)
     spread->floor = revision;
   /* Dated from before the read was sent: it may have been answered at any time since. */
-  bt_raise_spread_time (&spread->fresh_ms, spread->store_begun_ms);
-  spread->read_once = true;
+  bt_raise_spread_time (&spread->fresh_ms, spread->store_started_ms);
+  spread->has_read = true;
   spread->store_failures = 0;
   spread->ready = true;
-  spread->store = STORE_IDLE;
+  spread->store_call = STORE_IDLE;
   if (spread->watcher)
     begin_watch (ctx, spread, actions);
 }
@@ -97,5 +97,5 @@
 void
 bt_take_store_failure (bt_context_t *ctx, bt_config_spread_t *spread, int64_t now_ms)
 {
-  plan_retry (spread, now_ms);
+  schedule_retry (spread, now_ms);
 }
--- a/source/config/config_table.c
+++ b/source/config/config_table.c
@@ -4,7 +4,7 @@
 
 enum
 {
-  FIRST_ROOM = 16,
+  INITIAL_CAPACITY = 16,
 };
 
 struct bt_config_table
@@ -12,7 +12,7 @@
   uint32_t guards_off;
   bt_document_t **documents; /**< In order of their names. */
   int32_t count;
-  int32_t room;
+  int32_t capacity;
   int64_t revision;
   uint64_t digest; /**< Sum of the documents' own, so that one can be exchanged alone. */
   uint64_t offers[BT_OFFER_COUNT];
@@ -65,13 +65,13 @@
 }
 
 static void
-insert_document (bt_context_t *ctx, bt_config_table_t *table, int32_t index)
+insert_slot (bt_context_t *ctx, bt_config_table_t *table, int32_t index)
 {
-  if (table->count == table->room)
+  if (table->count == table->capacity)
     {
-      table->room = table->room * 2 + FIRST_ROOM;
+      table->capacity = table->capacity * 2 + INITIAL_CAPACITY;
       table->documents =
-          bt_realloc (ctx, table->documents, (size_t)table->room, sizeof (bt_document_t *));
+          bt_realloc (ctx, table->documents, (size_t)table->capacity, sizeof (bt_document_t *));
     }
   memmove (table->documents + index + 1, table->documents + index,
            (size_t)(table->count - index) * sizeof (bt_document_t *));
@@ -79,16 +79,18 @@
 }
 
 static bt_offer_t
-judge_offer (const bt_config_table_t *table, const bt_document_t *old, const bt_document_t *offered)
-{
-  if (offered->revision > old->revision)
-    return BT_OFFER_TAKEN;
-  if (offered->revision == old->revision)
-    return offered->digest == old->digest ? BT_OFFER_SAME : BT_OFFER_DIFFERENT;
+classify_offer (const bt_config_table_t *table,
+                const bt_document_t *current,
+                const bt_document_t *offered)
+{
+  if (offered->revision > current->revision)
+    return BT_OFFER_APPLIED;
+  if (offered->revision == current->revision)
+    return offered->digest == current->digest ? BT_OFFER_SAME : BT_OFFER_DIFFERENT;
   /* An accepted change would vanish again if a read of a lagging replica, a late push or a peer
    * that was away could put an older document in force. The service gives every write a higher
    * revision, so comparing revisions keeps all of them out, whatever way they came. */
-  return (table->guards_off & BT_TABLE_TAKE_OLDER) != 0 ? BT_OFFER_TAKEN : BT_OFFER_OLDER;
+  return (table->guards_off & BT_TABLE_ACCEPT_OLDER) != 0 ? BT_OFFER_APPLIED : BT_OFFER_OLDER;
 }
 
 bt_offer_t
@@ -96,12 +98,12 @@
 {
   bool found;
   int32_t index = find_index (table, document->name, &found);
-  bt_offer_t offer = BT_OFFER_TAKEN;
+  bt_offer_t offer = BT_OFFER_APPLIED;
 
   if (found)
-    offer = judge_offer (table, table->documents[index], document);
+    offer = classify_offer (table, table->documents[index], document);
   table->offers[offer]++;
-  if (offer != BT_OFFER_TAKEN)
+  if (offer != BT_OFFER_APPLIED)
     return offer;
   if (found)
     {
@@ -109,7 +111,7 @@
       bt_drop_document (ctx, table->documents[index]);
     }
   else
-    insert_document (ctx, table, index);
+    insert_slot (ctx, table, index);
   table->documents[index] = bt_keep_document (document);
   table->digest += hash_state (document);
   if (document->revision > table->revision)
--- a/source/config/declarations.c
+++ b/source/config/declarations.c
@@ -58,14 +58,14 @@
                    bt_account_t *account)
 {
   int32_t count;
-  char **texts = bt_read_json_texts (reader, object, path, "token_sha256", &count);
-  char joined[BT_JSON_PATH_BYTES];
+  char **texts = bt_read_json_strings (reader, object, path, "token_sha256", &count);
+  char field_path[BT_JSON_PATH_BYTES];
 
-  bt_join_json_path (joined, path, "token_sha256");
+  bt_join_json_path (field_path, path, "token_sha256");
   account->token_hashes = bt_calloc (reader->ctx, (size_t)count, BT_TOKEN_HASH_BYTES);
   if (texts == NULL)
     {
-      bt_report_json (reader, joined, "This field is required.");
+      bt_add_json_finding (reader, field_path, "This field is required.");
       return;
     }
   for (int32_t i = 0; i < count; i++)
@@ -76,7 +76,8 @@
                           texts[i], strlen (texts[i]), NULL, &bytes, NULL)
               != 0
           || bytes != BT_TOKEN_HASH_BYTES)
-        bt_report_json (reader, joined, "Expected the SHA-256 of a token in 64 hex digits.");
+        bt_add_json_finding (reader, field_path,
+                             "Expected the SHA-256 of a token in 64 hex digits.");
       else
         account->token_count++;
       bt_free (reader->ctx, texts[i]);
@@ -101,13 +102,13 @@
       snprintf (path, sizeof path, "accounts[%zu]", i);
       if (!json_is_object (object))
         {
-          bt_report_json (reader, path, "Expected an object.");
+          bt_add_json_finding (reader, path, "Expected an object.");
           continue;
         }
       bt_check_json_fields (reader, object, path, fields);
       if (bt_read_json_name (reader, object, path, "name", account->name)
           && bt_find_account (declarations, account->name) >= 0)
-        bt_report_json (reader, path, "The account \"%s\" stands twice.", account->name);
+        bt_add_json_finding (reader, path, "The account \"%s\" stands twice.", account->name);
       read_token_hashes (reader, object, path, account);
       account->share =
           (int32_t)bt_read_json_integer (reader, object, path, "share", 1, MAX_SHARE, 1);
@@ -133,15 +134,15 @@
       snprintf (path, sizeof path, "apps[%zu]", i);
       if (!json_is_object (object))
         {
-          bt_report_json (reader, path, "Expected an object.");
+          bt_add_json_finding (reader, path, "Expected an object.");
           continue;
         }
       bt_check_json_fields (reader, object, path, fields);
       if (bt_read_json_name (reader, object, path, "name", app->name)
           && bt_find_app (declarations, app->name) >= 0)
-        bt_report_json (reader, path, "The app \"%s\" stands twice.", app->name);
+        bt_add_json_finding (reader, path, "The app \"%s\" stands twice.", app->name);
       app->kind =
-          (bt_app_kind_t)bt_read_json_word (reader, object, path, "kind", kinds, 2, BT_APP_MODEL);
+          (bt_app_kind_t)bt_read_json_choice (reader, object, path, "kind", kinds, 2, BT_APP_MODEL);
       app->deadline_ms = bt_read_json_integer (reader, object, path, "deadline_ms", 1,
                                                MAX_DEADLINE_MS, DEFAULT_DEADLINE_MS);
       declarations->app_count++;
@@ -155,7 +156,7 @@
           const bt_declarations_t *declarations)
 {
   char name[BT_NAME_BYTES];
-  char joined[BT_JSON_PATH_BYTES];
+  char field_path[BT_JSON_PATH_BYTES];
   int32_t app;
 
   if (!bt_read_json_name (reader, object, path, "app", name))
@@ -163,8 +164,8 @@
   app = bt_find_app (declarations, name);
   if (app < 0)
     {
-      bt_join_json_path (joined, path, "app");
-      bt_report_json (reader, joined, "There is no app \"%s\".", name);
+      bt_join_json_path (field_path, path, "app");
+      bt_add_json_finding (reader, field_path, "There is no app \"%s\".", name);
     }
   return app;
 }
@@ -186,13 +187,13 @@
       snprintf (path, sizeof path, "endpoints[%zu]", i);
       if (!json_is_object (object))
         {
-          bt_report_json (reader, path, "Expected an object.");
+          bt_add_json_finding (reader, path, "Expected an object.");
           continue;
         }
       bt_check_json_fields (reader, object, path, fields);
       if (bt_read_json_name (reader, object, path, "name", endpoint->name)
           && bt_find_endpoint (declarations, endpoint->name) >= 0)
-        bt_report_json (reader, path, "The endpoint \"%s\" stands twice.", endpoint->name);
+        bt_add_json_finding (reader, path, "The endpoint \"%s\" stands twice.", endpoint->name);
       endpoint->app = read_app (reader, object, path, declarations);
       endpoint->slots = (int32_t)bt_read_json_integer (reader, object, path, "slots", 1, MAX_SLOTS,
                                                        DEFAULT_SLOTS);
@@ -212,7 +213,7 @@
   static const document_reader_t readers[] = { bt_read_accounts, bt_read_apps, bt_read_endpoints,
                                                bt_read_rules };
   bt_declarations_t *declarations = bt_new_empty_declarations (ctx);
-  int32_t before = bt_count_findings (findings);
+  int32_t findings_before = bt_count_findings (findings);
 
   for (int32_t kind = 0; kind < BT_DOCUMENT_COUNT; kind++)
     {
@@ -227,7 +228,7 @@
         }
       bt_close_json_reader (&reader);
     }
-  if (bt_count_findings (findings) == before)
+  if (bt_count_findings (findings) == findings_before)
     return declarations;
   bt_drop_declarations (ctx, declarations);
   return NULL;
--- a/source/config/declarations_rules.c
+++ b/source/config/declarations_rules.c
@@ -20,12 +20,12 @@
                 const bt_rule_when_t *when,
                 const bt_declarations_t *declarations)
 {
-  char joined[BT_JSON_PATH_BYTES];
+  char field_path[BT_JSON_PATH_BYTES];
 
-  bt_join_json_path (joined, path, "account");
+  bt_join_json_path (field_path, path, "account");
   for (int32_t i = 0; i < when->account_count; i++)
     if (bt_find_account (declarations, when->accounts[i]) < 0)
-      bt_report_json (reader, joined, "There is no account \"%s\".", when->accounts[i]);
+      bt_add_json_finding (reader, field_path, "There is no account \"%s\".", when->accounts[i]);
 }
 
 static void
@@ -34,29 +34,29 @@
             const bt_rule_when_t *when,
             const bt_declarations_t *declarations)
 {
-  char joined[BT_JSON_PATH_BYTES];
+  char field_path[BT_JSON_PATH_BYTES];
 
-  bt_join_json_path (joined, path, "app");
+  bt_join_json_path (field_path, path, "app");
   for (int32_t i = 0; i < when->app_count; i++)
     if (bt_find_app (declarations, when->apps[i]) < 0)
-      bt_report_json (reader, joined, "There is no app \"%s\".", when->apps[i]);
+      bt_add_json_finding (reader, field_path, "There is no app \"%s\".", when->apps[i]);
 }
 
 static void
 read_path (bt_json_reader_t *reader, const json_t *object, const char *path, bt_rule_when_t *when)
 {
-  char joined[BT_JSON_PATH_BYTES];
+  char field_path[BT_JSON_PATH_BYTES];
   const char *star;
 
-  when->path = bt_read_json_text (reader, object, path, "path");
+  when->path = bt_read_json_string (reader, object, path, "path");
   if (when->path == NULL)
     return;
-  bt_join_json_path (joined, path, "path");
+  bt_join_json_path (field_path, path, "path");
   star = strchr (when->path, '*');
   if (when->path[0] != '/')
-    bt_report_json (reader, joined, "A path starts with '/'.");
+    bt_add_json_finding (reader, field_path, "A path starts with '/'.");
   else if (star != NULL && star[1] != '\0')
-    bt_report_json (reader, joined, "'*' may stand only at the end.");
+    bt_add_json_finding (reader, field_path, "'*' may stand only at the end.");
 }
 
 static void
@@ -66,13 +66,13 @@
               bt_rule_when_t *when)
 {
   const json_t *headers = bt_get_json_object (reader, object, path, "headers");
-  char joined[BT_JSON_PATH_BYTES];
+  char field_path[BT_JSON_PATH_BYTES];
   const char *name;
   json_t *value;
 
   if (headers == NULL)
     return;
-  bt_join_json_path (joined, path, "headers");
+  bt_join_json_path (field_path, path, "headers");
   when->headers = bt_calloc (reader->ctx, json_object_size (headers), sizeof *when->headers);
   json_object_foreach ((json_t *)headers, name, value)
   {
@@ -81,7 +81,7 @@
     condition->name = bt_strdup (reader->ctx, name);
     if (!json_is_true (value))
       condition->values =
-          bt_read_json_texts (reader, headers, joined, name, &condition->value_count);
+          bt_read_json_strings (reader, headers, field_path, name, &condition->value_count);
   }
 }
 
@@ -93,18 +93,19 @@
 {
   static const char *const fields[] = { "min", "max", NULL };
   const json_t *range = bt_get_json_object (reader, object, path, "body_bytes");
-  char joined[BT_JSON_PATH_BYTES];
+  char field_path[BT_JSON_PATH_BYTES];
 
   when->max_body_bytes = MAX_BODY_BYTES;
   if (range == NULL)
     return;
-  bt_join_json_path (joined, path, "body_bytes");
-  bt_check_json_fields (reader, range, joined, fields);
-  when->min_body_bytes = bt_read_json_integer (reader, range, joined, "min", 0, MAX_BODY_BYTES, 0);
+  bt_join_json_path (field_path, path, "body_bytes");
+  bt_check_json_fields (reader, range, field_path, fields);
+  when->min_body_bytes =
+      bt_read_json_integer (reader, range, field_path, "min", 0, MAX_BODY_BYTES, 0);
   when->max_body_bytes =
-      bt_read_json_integer (reader, range, joined, "max", 0, MAX_BODY_BYTES, MAX_BODY_BYTES);
+      bt_read_json_integer (reader, range, field_path, "max", 0, MAX_BODY_BYTES, MAX_BODY_BYTES);
   if (when->min_body_bytes > when->max_body_bytes)
-    bt_report_json (reader, joined, "The rule can never match: min is above max.");
+    bt_add_json_finding (reader, field_path, "The rule can never match: min is above max.");
 }
 
 static void
@@ -114,20 +115,20 @@
                  bt_rule_when_t *when)
 {
   int32_t count;
-  char **texts = bt_read_json_texts (reader, object, path, "priority", &count);
-  char joined[BT_JSON_PATH_BYTES];
+  char **strings = bt_read_json_strings (reader, object, path, "priority", &count);
+  char field_path[BT_JSON_PATH_BYTES];
   bt_priority_t priority;
 
-  bt_join_json_path (joined, path, "priority");
+  bt_join_json_path (field_path, path, "priority");
   for (int32_t i = 0; i < count; i++)
     {
-      if (bt_parse_priority (texts[i], &priority))
+      if (bt_parse_priority (strings[i], &priority))
         when->priorities |= 1U << priority;
       else
-        bt_report_json (reader, joined, "There is no priority \"%s\".", texts[i]);
-      bt_free (reader->ctx, texts[i]);
+        bt_add_json_finding (reader, field_path, "There is no priority \"%s\".", strings[i]);
+      bt_free (reader->ctx, strings[i]);
     }
-  bt_free (reader->ctx, texts);
+  bt_free (reader->ctx, strings);
 }
 
 static void
@@ -145,9 +146,9 @@
   if (object == NULL)
     return;
   bt_check_json_fields (reader, object, path, fields);
-  when->accounts = bt_read_json_texts (reader, object, path, "account", &when->account_count);
-  when->apps = bt_read_json_texts (reader, object, path, "app", &when->app_count);
-  when->methods = bt_read_json_texts (reader, object, path, "method", &when->method_count);
+  when->accounts = bt_read_json_strings (reader, object, path, "account", &when->account_count);
+  when->apps = bt_read_json_strings (reader, object, path, "app", &when->app_count);
+  when->methods = bt_read_json_strings (reader, object, path, "method", &when->method_count);
   when->idempotent = bt_read_json_bool (reader, object, path, "idempotent");
   read_path (reader, object, path, when);
   read_headers (reader, object, path, when);
@@ -162,17 +163,17 @@
 {
   static const char *const fields[] = { "per_s", "burst", NULL };
   const json_t *limit = bt_get_json_object (reader, object, path, "limit");
-  char joined[BT_JSON_PATH_BYTES];
+  char field_path[BT_JSON_PATH_BYTES];
 
   if (limit == NULL)
     return;
-  bt_join_json_path (joined, path, "limit");
-  bt_check_json_fields (reader, limit, joined, fields);
-  then->limit_per_s = bt_read_json_integer (reader, limit, joined, "per_s", 1, MAX_PER_S, 0);
+  bt_join_json_path (field_path, path, "limit");
+  bt_check_json_fields (reader, limit, field_path, fields);
+  then->limit_per_s = bt_read_json_integer (reader, limit, field_path, "per_s", 1, MAX_PER_S, 0);
   then->limit_burst =
-      bt_read_json_integer (reader, limit, joined, "burst", 1, MAX_PER_S, then->limit_per_s);
+      bt_read_json_integer (reader, limit, field_path, "burst", 1, MAX_PER_S, then->limit_per_s);
   if (then->limit_per_s == 0)
-    bt_report_json (reader, joined, "A limit needs per_s.");
+    bt_add_json_finding (reader, field_path, "A limit needs per_s.");
 }
 
 static void
@@ -183,15 +184,15 @@
 {
   static const char *const fields[] = { "header", "prefix_bytes", NULL };
   const json_t *affinity = bt_get_json_object (reader, object, path, "affinity");
-  char joined[BT_JSON_PATH_BYTES];
+  char field_path[BT_JSON_PATH_BYTES];
 
   if (affinity == NULL)
     return;
-  bt_join_json_path (joined, path, "affinity");
-  bt_check_json_fields (reader, affinity, joined, fields);
-  then->affinity_header = bt_read_json_text (reader, affinity, joined, "header");
+  bt_join_json_path (field_path, path, "affinity");
+  bt_check_json_fields (reader, affinity, field_path, fields);
+  then->affinity_header = bt_read_json_string (reader, affinity, field_path, "header");
   then->affinity_prefix_bytes =
-      bt_read_json_integer (reader, affinity, joined, "prefix_bytes", 1, MAX_PREFIX_BYTES, 0);
+      bt_read_json_integer (reader, affinity, field_path, "prefix_bytes", 1, MAX_PREFIX_BYTES, 0);
 }
 
 /* What callers expect of the answer; absent words mean false and 0. */
@@ -204,7 +205,7 @@
   then->aim_ms = bt_read_json_integer (reader, object, path, "aim_ms", 1, MAX_DEADLINE_MS, 0);
   then->pause_ms = bt_read_json_integer (reader, object, path, "pause_ms", 1, MAX_DEADLINE_MS, 0);
   if (then->resumable && !then->streamed)
-    bt_report_json (reader, path, "Only a streamed answer can be resumable.");
+    bt_add_json_finding (reader, path, "Only a streamed answer can be resumable.");
 }
 
 static void
@@ -216,20 +217,20 @@
 {
   static const char *const priorities[] = { "low", "normal", "high" };
   static const char *const keys[] = { "optional", "required" };
-  char *app = bt_read_json_text (reader, object, path, "app");
-  char joined[BT_JSON_PATH_BYTES];
+  char *app = bt_read_json_string (reader, object, path, "app");
+  char field_path[BT_JSON_PATH_BYTES];
 
   then->app = app == NULL ? -1 : bt_find_app (declarations, app);
-  bt_join_json_path (joined, path, "app");
+  bt_join_json_path (field_path, path, "app");
   if (app != NULL && then->app < 0)
-    bt_report_json (reader, joined, "There is no app \"%s\".", app);
+    bt_add_json_finding (reader, field_path, "There is no app \"%s\".", app);
   bt_free (reader->ctx, app);
   then->priority =
-      bt_read_json_word (reader, object, path, "priority", priorities, BT_PRIORITY_COUNT, -1);
+      bt_read_json_choice (reader, object, path, "priority", priorities, BT_PRIORITY_COUNT, -1);
   then->deadline_ms =
       bt_read_json_integer (reader, object, path, "deadline_ms", 1, MAX_DEADLINE_MS, 0);
   then->idempotent = bt_read_json_bool (reader, object, path, "idempotent");
-  then->key_required = bt_read_json_word (reader, object, path, "key", keys, 2, 0) == 1;
+  then->key_required = bt_read_json_choice (reader, object, path, "key", keys, 2, 0) == 1;
   then->retries = (int32_t)bt_read_json_integer (reader, object, path, "retries", 0, MAX_RETRIES,
                                                  DEFAULT_RETRIES);
   read_limit (reader, object, path, then);
@@ -252,10 +253,10 @@
   static const char *const actions[] = { "route", "refuse" };
 
   then->app = then->priority = then->idempotent = -1;
-  then->action = (bt_rule_action_t)bt_read_json_word (reader, object, path, "action", actions, 2,
-                                                      BT_ACTION_ROUTE);
+  then->action = (bt_rule_action_t)bt_read_json_choice (reader, object, path, "action", actions, 2,
+                                                        BT_ACTION_ROUTE);
   if (json_object_get (object, "action") == NULL)
-    bt_report_json (reader, path, "A rule needs an action.");
+    bt_add_json_finding (reader, path, "A rule needs an action.");
   bt_check_json_fields (reader, object, path,
                         then->action == BT_ACTION_ROUTE ? route_fields : refuse_fields);
   if (then->action == BT_ACTION_ROUTE)
@@ -263,7 +264,7 @@
       read_route (reader, object, path, then, declarations);
       return;
     }
-  then->message = bt_read_json_text (reader, object, path, "message");
+  then->message = bt_read_json_string (reader, object, path, "message");
   then->retry_after_ms =
       bt_read_json_integer (reader, object, path, "retry_after_ms", 0, MAX_DEADLINE_MS, 0);
 }
@@ -279,12 +280,12 @@
       const bt_rule_t *earlier = &declarations->rules[i];
 
       if (strcmp (earlier->name, rule->name) == 0)
-        bt_report_json (reader, path, "The rule \"%s\" stands twice.", rule->name);
+        bt_add_json_finding (reader, path, "The rule \"%s\" stands twice.", rule->name);
       if (bt_covers_rule (earlier, rule))
         {
-          bt_report_json (reader, path,
-                          "The rule \"%s\" can never match: \"%s\" matches all of it before.",
-                          rule->name, earlier->name);
+          bt_add_json_finding (reader, path,
+                               "The rule \"%s\" can never match: \"%s\" matches all of it before.",
+                               rule->name, earlier->name);
           return;
         }
     }
@@ -298,23 +299,23 @@
 {
   static const char *const fields[] = { "name", "when", "then", NULL };
   bt_rule_t *rule = &declarations->rules[declarations->rule_count];
-  int32_t before = bt_count_findings (reader->findings);
+  int32_t findings_before = bt_count_findings (reader->findings);
   const json_t *when;
   const json_t *then;
-  char joined[BT_JSON_PATH_BYTES];
+  char field_path[BT_JSON_PATH_BYTES];
 
   bt_check_json_fields (reader, object, path, fields);
   bt_read_json_name (reader, object, path, "name", rule->name);
   when = bt_get_json_object (reader, object, path, "when");
   then = bt_get_json_object (reader, object, path, "then");
-  bt_join_json_path (joined, path, "when");
-  read_when (reader, when, joined, &rule->when, declarations);
-  bt_join_json_path (joined, path, "then");
+  bt_join_json_path (field_path, path, "when");
+  read_when (reader, when, field_path, &rule->when, declarations);
+  bt_join_json_path (field_path, path, "then");
   if (then == NULL)
-    bt_report_json (reader, path, "A rule needs \"then\".");
+    bt_add_json_finding (reader, path, "A rule needs \"then\".");
   else
-    read_then (reader, then, joined, &rule->then, declarations);
-  if (bt_count_findings (reader->findings) == before)
+    read_then (reader, then, field_path, &rule->then, declarations);
+  if (bt_count_findings (reader->findings) == findings_before)
     check_reachable (reader, path, declarations, rule);
   declarations->rule_count++;
 }
@@ -335,29 +336,29 @@
       if (json_is_object (object))
         read_rule (reader, object, path, declarations);
       else
-        bt_report_json (reader, path, "Expected an object.");
+        bt_add_json_finding (reader, path, "Expected an object.");
     }
 }
 
 static void
-clear_texts (bt_context_t *ctx, char **texts, int32_t count)
+free_strings (bt_context_t *ctx, char **strings, int32_t count)
 {
   for (int32_t i = 0; i < count; i++)
-    bt_free (ctx, texts[i]);
-  bt_free (ctx, texts);
+    bt_free (ctx, strings[i]);
+  bt_free (ctx, strings);
 }
 
 void
 bt_clear_rule (bt_context_t *ctx, bt_rule_t *rule)
 {
-  clear_texts (ctx, rule->when.accounts, rule->when.account_count);
-  clear_texts (ctx, rule->when.apps, rule->when.app_count);
-  clear_texts (ctx, rule->when.methods, rule->when.method_count);
+  free_strings (ctx, rule->when.accounts, rule->when.account_count);
+  free_strings (ctx, rule->when.apps, rule->when.app_count);
+  free_strings (ctx, rule->when.methods, rule->when.method_count);
   bt_free (ctx, rule->when.path);
   for (int32_t i = 0; i < rule->when.header_count; i++)
     {
       bt_free (ctx, rule->when.headers[i].name);
-      clear_texts (ctx, rule->when.headers[i].values, rule->when.headers[i].value_count);
+      free_strings (ctx, rule->when.headers[i].values, rule->when.headers[i].value_count);
     }
   bt_free (ctx, rule->when.headers);
   bt_free (ctx, rule->then.affinity_header);
--- a/source/config/document.c
+++ b/source/config/document.c
@@ -6,7 +6,7 @@
 
 enum
 {
-  FIRST_ROOM = 8,
+  INITIAL_CAPACITY = 8,
   HEADER_BYTES = 160,
   CHANGE_DIGITS = BT_CHANGE_BYTES - 1,
 };
@@ -23,7 +23,7 @@
 }
 
 static void
-copy_change (char target[BT_CHANGE_BYTES], const char *change)
+copy_change_id (char target[BT_CHANGE_BYTES], const char *change)
 {
   snprintf (target, BT_CHANGE_BYTES, "%s", change == NULL ? "" : change);
 }
@@ -39,8 +39,8 @@
   document->data_bytes = fields->data_bytes;
   document->data = bt_memdup (ctx, fields->data, fields->data_bytes);
   bt_copy_name (document->name, fields->name);
-  copy_change (document->change, fields->change);
-  copy_change (document->after, fields->after);
+  copy_change_id (document->change, fields->change);
+  copy_change_id (document->after, fields->after);
   document->digest = digest_document (document);
   return document;
 }
@@ -84,7 +84,7 @@
 }
 
 static bool
-is_change (const char *text)
+is_change_id (const char *text)
 {
   size_t digits = strspn (text, "0123456789abcdef");
 
@@ -99,7 +99,7 @@
              int *deleted)
 {
   return sscanf (line, "#bilberry change=%32s after=%32s deleted=%d", change, after, deleted) == 3
-         && is_change (change) && is_change (after);
+         && is_change_id (change) && is_change_id (after);
 }
 
 bt_document_t *
@@ -138,10 +138,10 @@
 void
 bt_add_document (bt_context_t *ctx, bt_document_list_t *list, bt_document_t *document)
 {
-  if (list->count == list->room)
+  if (list->count == list->capacity)
     {
-      list->room = list->room * 2 + FIRST_ROOM;
-      list->items = bt_realloc (ctx, list->items, (size_t)list->room, sizeof (bt_document_t *));
+      list->capacity = list->capacity * 2 + INITIAL_CAPACITY;
+      list->items = bt_realloc (ctx, list->items, (size_t)list->capacity, sizeof (bt_document_t *));
     }
   list->items[list->count++] = bt_keep_document (document);
 }
--- a/source/config/json_lines.c
+++ b/source/config/json_lines.c
@@ -11,15 +11,15 @@
   MAX_DEPTH = 64,
 };
 
-typedef struct place
+typedef struct value_line
 {
   char *path;
   int32_t line;
-} place_t;
+} value_line_t;
 
 struct bt_json_lines
 {
-  place_t *places;
+  value_line_t *items;
   int32_t count;
   int32_t capacity;
 };
@@ -28,7 +28,7 @@
 {
   bt_context_t *ctx;
   bt_json_lines_t *lines;
-  const char *at;
+  const char *cursor;
   const char *end;
   int32_t line;
   int32_t depth;
@@ -38,31 +38,31 @@
 static void scan_value (scanner_t *scanner);
 
 static void
-add_place (scanner_t *scanner)
+add_value_line (scanner_t *scanner)
 {
   bt_json_lines_t *lines = scanner->lines;
 
   if (lines->count == lines->capacity)
     {
       lines->capacity = lines->capacity * 2 + 32;
-      lines->places =
-          bt_realloc (scanner->ctx, lines->places, (size_t)lines->capacity, sizeof *lines->places);
+      lines->items =
+          bt_realloc (scanner->ctx, lines->items, (size_t)lines->capacity, sizeof *lines->items);
     }
-  lines->places[lines->count].path = bt_strdup (scanner->ctx, scanner->path);
-  lines->places[lines->count].line = scanner->line;
+  lines->items[lines->count].path = bt_strdup (scanner->ctx, scanner->path);
+  lines->items[lines->count].line = scanner->line;
   lines->count++;
 }
 
 static bool
 skip_space (scanner_t *scanner)
 {
-  while (scanner->at < scanner->end && isspace ((unsigned char)*scanner->at))
+  while (scanner->cursor < scanner->end && isspace ((unsigned char)*scanner->cursor))
     {
-      if (*scanner->at == '\n')
+      if (*scanner->cursor == '\n')
         scanner->line++;
-      scanner->at++;
+      scanner->cursor++;
     }
-  return scanner->at < scanner->end;
+  return scanner->cursor < scanner->end;
 }
 
 /* Copies a string's text without decoding escapes: field names of ours hold none. */
@@ -71,18 +71,18 @@
 {
   size_t used = 0;
 
-  scanner->at++;
-  while (scanner->at < scanner->end && *scanner->at != '"')
+  scanner->cursor++;
+  while (scanner->cursor < scanner->end && *scanner->cursor != '"')
     {
-      if (*scanner->at == '\\')
-        scanner->at++;
-      if (scanner->at < scanner->end && text != NULL && used + 1 < bytes)
-        text[used++] = *scanner->at;
-      scanner->at++;
+      if (*scanner->cursor == '\\')
+        scanner->cursor++;
+      if (scanner->cursor < scanner->end && text != NULL && used + 1 < bytes)
+        text[used++] = *scanner->cursor;
+      scanner->cursor++;
     }
   if (text != NULL)
     text[used] = '\0';
-  scanner->at++;
+  scanner->cursor++;
 }
 
 static void
@@ -91,20 +91,20 @@
   size_t length = strlen (scanner->path);
   char name[PATH_BYTES];
 
-  scanner->at++;
-  while (skip_space (scanner) && *scanner->at != '}')
+  scanner->cursor++;
+  while (skip_space (scanner) && *scanner->cursor != '}')
     {
       scan_string (scanner, name, sizeof name);
       snprintf (scanner->path + length, sizeof scanner->path - length, "%s%s",
                 length == 0 ? "" : ".", name);
       skip_space (scanner);
-      scanner->at++;
+      scanner->cursor++;
       scan_value (scanner);
       scanner->path[length] = '\0';
-      if (skip_space (scanner) && *scanner->at == ',')
-        scanner->at++;
+      if (skip_space (scanner) && *scanner->cursor == ',')
+        scanner->cursor++;
     }
-  scanner->at++;
+  scanner->cursor++;
 }
 
 static void
@@ -112,16 +112,16 @@
 {
   size_t length = strlen (scanner->path);
 
-  scanner->at++;
-  for (int32_t index = 0; skip_space (scanner) && *scanner->at != ']'; index++)
+  scanner->cursor++;
+  for (int32_t index = 0; skip_space (scanner) && *scanner->cursor != ']'; index++)
     {
       snprintf (scanner->path + length, sizeof scanner->path - length, "[%d]", index);
       scan_value (scanner);
       scanner->path[length] = '\0';
-      if (skip_space (scanner) && *scanner->at == ',')
-        scanner->at++;
+      if (skip_space (scanner) && *scanner->cursor == ',')
+        scanner->cursor++;
     }
-  scanner->at++;
+  scanner->cursor++;
 }
 
 static void
@@ -129,20 +129,20 @@
 {
   if (!skip_space (scanner) || scanner->depth >= MAX_DEPTH)
     {
-      scanner->at = scanner->end;
+      scanner->cursor = scanner->end;
       return;
     }
-  add_place (scanner);
+  add_value_line (scanner);
   scanner->depth++;
-  if (*scanner->at == '{')
+  if (*scanner->cursor == '{')
     scan_members (scanner);
-  else if (*scanner->at == '[')
+  else if (*scanner->cursor == '[')
     scan_items (scanner);
-  else if (*scanner->at == '"')
+  else if (*scanner->cursor == '"')
     scan_string (scanner, NULL, 0);
   else
-    while (scanner->at < scanner->end && strchr (",]} \t\r\n", *scanner->at) == NULL)
-      scanner->at++;
+    while (scanner->cursor < scanner->end && strchr (",]} \t\r\n", *scanner->cursor) == NULL)
+      scanner->cursor++;
   scanner->depth--;
 }
 
@@ -162,8 +162,8 @@
   if (lines == NULL)
     return;
   for (int32_t i = 0; i < lines->count; i++)
-    bt_free (ctx, lines->places[i].path);
-  bt_free (ctx, lines->places);
+    bt_free (ctx, lines->items[i].path);
+  bt_free (ctx, lines->items);
   bt_free (ctx, lines);
 }
 
@@ -171,7 +171,7 @@
 bt_find_json_line (const bt_json_lines_t *lines, const char *path)
 {
   for (int32_t i = 0; i < lines->count; i++)
-    if (strcmp (lines->places[i].path, path) == 0)
-      return lines->places[i].line;
+    if (strcmp (lines->items[i].path, path) == 0)
+      return lines->items[i].line;
   return 1;
 }
--- a/source/config/json_reader.c
+++ b/source/config/json_reader.c
@@ -49,7 +49,7 @@
 }
 
 void
-bt_report_json (bt_json_reader_t *reader, const char *path, const char *format, ...)
+bt_add_json_finding (bt_json_reader_t *reader, const char *path, const char *format, ...)
 {
   char message[MESSAGE_BYTES];
   va_list arguments;
@@ -62,18 +62,18 @@
 }
 
 void
-bt_join_json_path (char *joined, const char *path, const char *name)
+bt_join_json_path (char *field_path, const char *path, const char *name)
 {
-  snprintf (joined, BT_JSON_PATH_BYTES, "%s%s%s", path, path[0] == '\0' ? "" : ".", name);
+  snprintf (field_path, BT_JSON_PATH_BYTES, "%s%s%s", path, path[0] == '\0' ? "" : ".", name);
 }
 
 static void
 report_field (bt_json_reader_t *reader, const char *path, const char *field, const char *message)
 {
-  char joined[BT_JSON_PATH_BYTES];
+  char field_path[BT_JSON_PATH_BYTES];
 
-  bt_join_json_path (joined, path, field);
-  bt_report_json (reader, joined, "%s", message);
+  bt_join_json_path (field_path, path, field);
+  bt_add_json_finding (reader, field_path, "%s", message);
 }
 
 void
@@ -130,10 +130,10 @@
 }
 
 char *
-bt_read_json_text (bt_json_reader_t *reader,
-                   const json_t *object,
-                   const char *path,
-                   const char *field)
+bt_read_json_string (bt_json_reader_t *reader,
+                     const json_t *object,
+                     const char *path,
+                     const char *field)
 {
   const json_t *value = json_object_get (object, field);
 
@@ -154,20 +154,20 @@
                       const char *field,
                       int64_t min,
                       int64_t max,
-                      int64_t otherwise)
+                      int64_t default_value)
 {
   const json_t *value = json_object_get (object, field);
-  char joined[BT_JSON_PATH_BYTES];
+  char field_path[BT_JSON_PATH_BYTES];
 
   if (value == NULL)
-    return otherwise;
+    return default_value;
   if (json_is_integer (value) && json_integer_value (value) >= min
       && json_integer_value (value) <= max)
     return json_integer_value (value);
-  bt_join_json_path (joined, path, field);
-  bt_report_json (reader, joined, "Expected a whole number from %lld to %lld.", (long long)min,
-                  (long long)max);
-  return otherwise;
+  bt_join_json_path (field_path, path, field);
+  bt_add_json_finding (reader, field_path, "Expected a whole number from %lld to %lld.",
+                       (long long)min, (long long)max);
+  return default_value;
 }
 
 int32_t
@@ -187,60 +187,60 @@
 }
 
 int32_t
-bt_read_json_word (bt_json_reader_t *reader,
-                   const json_t *object,
-                   const char *path,
-                   const char *field,
-                   const char *const *words,
-                   int32_t count,
-                   int32_t otherwise)
+bt_read_json_choice (bt_json_reader_t *reader,
+                     const json_t *object,
+                     const char *path,
+                     const char *field,
+                     const char *const *choices,
+                     int32_t count,
+                     int32_t default_value)
 {
   const json_t *value = json_object_get (object, field);
   char message[MESSAGE_BYTES] = "Expected one of";
   size_t used;
 
   if (value == NULL)
-    return otherwise;
+    return default_value;
   for (int32_t i = 0; i < count && json_is_string (value); i++)
-    if (strcmp (json_string_value (value), words[i]) == 0)
+    if (strcmp (json_string_value (value), choices[i]) == 0)
       return i;
   for (int32_t i = 0; i < count; i++)
     {
       used = strlen (message);
-      snprintf (message + used, sizeof message - used, "%s \"%s\"", i == 0 ? "" : ",", words[i]);
+      snprintf (message + used, sizeof message - used, "%s \"%s\"", i == 0 ? "" : ",", choices[i]);
     }
   used = strlen (message);
   snprintf (message + used, sizeof message - used, ".");
   report_field (reader, path, field, message);
-  return otherwise;
+  return default_value;
 }
 
 char **
-bt_read_json_texts (bt_json_reader_t *reader,
-                    const json_t *object,
-                    const char *path,
-                    const char *field,
-                    int32_t *count)
+bt_read_json_strings (bt_json_reader_t *reader,
+                      const json_t *object,
+                      const char *path,
+                      const char *field,
+                      int32_t *count)
 {
   const json_t *value = json_object_get (object, field);
-  char **texts;
+  char **strings;
   size_t size;
 
   *count = 0;
   if (value == NULL)
     return NULL;
   size = json_is_array (value) ? json_array_size (value) : 1;
-  texts = bt_calloc (reader->ctx, size, sizeof *texts);
+  strings = bt_calloc (reader->ctx, size, sizeof *strings);
   for (size_t i = 0; i < size; i++)
     {
       const json_t *item = json_is_array (value) ? json_array_get (value, i) : value;
 
       if (json_is_string (item) && json_string_length (item) > 0)
-        texts[(*count)++] = bt_strdup (reader->ctx, json_string_value (item));
+        strings[(*count)++] = bt_strdup (reader->ctx, json_string_value (item));
     }
   if (size == 0 || (size_t)*count < size)
-    report_field (reader, path, field, "Expected text or a list of texts, not empty.");
-  return texts;
+    report_field (reader, path, field, "Expected text or a list of strings, not empty.");
+  return strings;
 }
 
 const json_t *
--- a/source/config/json_reader.h
+++ b/source/config/json_reader.h
@@ -36,11 +36,11 @@
 void bt_close_json_reader (bt_json_reader_t *reader);
 
 /** Adds a finding at @p path. */
-void bt_report_json (bt_json_reader_t *reader, const char *path, const char *format, ...)
+void bt_add_json_finding (bt_json_reader_t *reader, const char *path, const char *format, ...)
     __attribute__ ((format (printf, 3, 4)));
 
 /** Writes "PATH.NAME" (or NAME when the path is empty). */
-void bt_join_json_path (char *joined, const char *path, const char *name);
+void bt_join_json_path (char *field_path, const char *path, const char *name);
 
 /** Adds a finding for each field of @p object that is not in the list, which NULL ends. */
 void bt_check_json_fields (bt_json_reader_t *reader,
@@ -56,19 +56,19 @@
                         char *name);
 
 /** Reads text; NULL when the field is absent or wrong. The caller frees it. */
-char *bt_read_json_text (bt_json_reader_t *reader,
-                         const json_t *object,
-                         const char *path,
-                         const char *field);
+char *bt_read_json_string (bt_json_reader_t *reader,
+                           const json_t *object,
+                           const char *path,
+                           const char *field);
 
-/** Reads a whole number, @p otherwise when the field is absent or wrong. */
+/** Reads a whole number, @p default_value when the field is absent or wrong. */
 int64_t bt_read_json_integer (bt_json_reader_t *reader,
                               const json_t *object,
                               const char *path,
                               const char *field,
                               int64_t min,
                               int64_t max,
-                              int64_t otherwise);
+                              int64_t default_value);
 
 /** Reads true or false as 1 or 0; -1 when the field is absent or wrong. */
 int32_t bt_read_json_bool (bt_json_reader_t *reader,
@@ -76,21 +76,21 @@
                            const char *path,
                            const char *field);
 
-/** Reads one word of a list; its index, or @p otherwise when the field is absent or wrong. */
-int32_t bt_read_json_word (bt_json_reader_t *reader,
-                           const json_t *object,
-                           const char *path,
-                           const char *field,
-                           const char *const *words,
-                           int32_t count,
-                           int32_t otherwise);
+/** Reads one word of a list; its index, or @p default_value when the field is absent or wrong. */
+int32_t bt_read_json_choice (bt_json_reader_t *reader,
+                             const json_t *object,
+                             const char *path,
+                             const char *field,
+                             const char *const *choices,
+                             int32_t count,
+                             int32_t default_value);
 
 /** Reads a text or a list of texts; the caller frees each and the list. */
-char **bt_read_json_texts (bt_json_reader_t *reader,
-                           const json_t *object,
-                           const char *path,
-                           const char *field,
-                           int32_t *count);
+char **bt_read_json_strings (bt_json_reader_t *reader,
+                             const json_t *object,
+                             const char *path,
+                             const char *field,
+                             int32_t *count);
 
 /** The array at @p field of the document; NULL, with a finding, when it is missing or no array. */
 const json_t *bt_get_json_array (bt_json_reader_t *reader, const char *field);
--- a/source/config/publisher.c
+++ b/source/config/publisher.c
@@ -4,7 +4,7 @@
 
 enum
 {
-  FIRST_ROOM = 8,
+  INITIAL_CAPACITY = 8,
 };
 
 #define NEVER_MS INT64_MIN
@@ -14,7 +14,7 @@
   STEP_READ_BASE = 0,
   STEP_COMMIT,
   STEP_READ_BACK,
-  STEP_HAND_OVER,
+  STEP_PUSH,
   STEP_DONE,
 } step_t;
 
@@ -36,10 +36,10 @@
 
 typedef struct entry
 {
-  bt_publish_entry_t seen;
+  bt_publish_entry_t status;
   uint64_t incarnation;
-  int64_t *revisions; /**< In force there, one for each change. */
-  int64_t next_ms;    /**< When to hand over again. */
+  int64_t *revisions;   /**< In force there, one for each change. */
+  int64_t next_push_ms; /**< When to hand over again. */
 } entry_t;
 
 struct bt_publisher
@@ -49,15 +49,15 @@
   wanted_t *wanted;
   int32_t wanted_count;
   bt_document_list_t changes;
-  int64_t *compares; /**< Base revision of each change. */
+  int64_t *compare_revisions; /**< Base revision of each change. */
   step_t step;
   commit_state_t commit;
-  bool was_unknown; /**< Some answer to the transaction was lost. */
-  bool waiting;     /**< Nothing is in flight: the step begins again at retry_ms. */
+  bool answer_lost;   /**< Some answer to the transaction was lost. */
+  bool retry_pending; /**< Nothing is in flight: the step begins again at retry_ms. */
   int64_t retry_ms;
-  int64_t write_until_ms;
-  int64_t spread_until_ms;
-  int64_t majority_ms; /**< When more than half had it; NEVER_MS before. */
+  int64_t write_deadline_ms;
+  int64_t push_deadline_ms;
+  int64_t majority_since_ms; /**< When more than half had it; NEVER_MS before. */
   int64_t revision;
   bt_publish_result_t result;
   bt_publish_conflict_t *conflicts;
@@ -101,11 +101,11 @@
 {
   bt_publish_action_t *action;
 
-  if (actions->count == actions->room)
+  if (actions->count == actions->capacity)
     {
-      actions->room = actions->room * 2 + FIRST_ROOM;
+      actions->capacity = actions->capacity * 2 + INITIAL_CAPACITY;
       actions->items =
-          bt_realloc (ctx, actions->items, (size_t)actions->room, sizeof *actions->items);
+          bt_realloc (ctx, actions->items, (size_t)actions->capacity, sizeof *actions->items);
     }
   action = &actions->items[actions->count++];
   action->kind = kind;
@@ -125,9 +125,9 @@
   strncpy (publisher->change, change, BT_CHANGE_BYTES - 1);
   publisher->wanted = bt_calloc (ctx, (size_t)count, sizeof *publisher->wanted);
   publisher->wanted_count = count;
-  publisher->compares = bt_calloc (ctx, (size_t)count, sizeof (int64_t));
+  publisher->compare_revisions = bt_calloc (ctx, (size_t)count, sizeof (int64_t));
   publisher->conflicts = bt_calloc (ctx, (size_t)count, sizeof *publisher->conflicts);
-  publisher->majority_ms = NEVER_MS;
+  publisher->majority_since_ms = NEVER_MS;
   for (int32_t i = 0; i < count; i++)
     {
       bt_document_fields_t fields = { .name = documents[i].name,
@@ -153,7 +153,7 @@
     bt_free (ctx, publisher->entries[i].revisions);
   bt_clear_documents (ctx, &publisher->changes);
   bt_free (ctx, publisher->wanted);
-  bt_free (ctx, publisher->compares);
+  bt_free (ctx, publisher->compare_revisions);
   bt_free (ctx, publisher->conflicts);
   bt_free (ctx, publisher->entries);
   bt_free (ctx, publisher);
@@ -163,7 +163,7 @@
 find_entry (const bt_publisher_t *publisher, const char *instance)
 {
   for (int32_t i = 0; i < publisher->entry_count; i++)
-    if (strcmp (publisher->entries[i].seen.instance, instance) == 0)
+    if (strcmp (publisher->entries[i].status.instance, instance) == 0)
       return &publisher->entries[i];
   return NULL;
 }
@@ -186,8 +186,8 @@
           old->revisions = NULL;
           continue;
         }
-      bt_copy_name (entries[i].seen.instance, instances[i]);
-      entries[i].next_ms = NEVER_MS;
+      bt_copy_name (entries[i].status.instance, instances[i]);
+      entries[i].next_push_ms = NEVER_MS;
       entries[i].revisions = bt_calloc (ctx, (size_t)publisher->wanted_count, sizeof (int64_t));
     }
   for (int32_t i = 0; i < publisher->entry_count; i++)
@@ -215,7 +215,7 @@
 {
   if (publisher->commit == COMMIT_SUCCEEDED)
     return BT_PUBLISH_WRITTEN;
-  return publisher->was_unknown ? BT_PUBLISH_UNKNOWN : BT_PUBLISH_NOT_WRITTEN;
+  return publisher->answer_lost ? BT_PUBLISH_UNKNOWN : BT_PUBLISH_NOT_WRITTEN;
 }
 
 static void
@@ -225,15 +225,15 @@
             bt_publish_actions_t *actions)
 {
   publisher->step = step;
-  publisher->waiting = false;
+  publisher->retry_pending = false;
   add_action (ctx, actions, step == STEP_COMMIT ? BT_PUBLISH_COMMIT : BT_PUBLISH_READ, "");
 }
 
 static void
-wait_for_step (bt_publisher_t *publisher, step_t step, int64_t now_ms)
+schedule_step (bt_publisher_t *publisher, step_t step, int64_t now_ms)
 {
   publisher->step = step;
-  publisher->waiting = true;
+  publisher->retry_pending = true;
   publisher->retry_ms = now_ms + publisher->settings.retry_ms;
 }
 
@@ -243,70 +243,70 @@
                     int64_t now_ms,
                     bt_publish_actions_t *actions)
 {
-  publisher->write_until_ms = now_ms + publisher->settings.write_limit_ms;
+  publisher->write_deadline_ms = now_ms + publisher->settings.write_limit_ms;
   begin_step (ctx, publisher, STEP_READ_BASE, actions);
 }
 
 static void
-check_entries (bt_context_t *ctx,
-               bt_publisher_t *publisher,
-               int64_t now_ms,
-               bt_publish_actions_t *actions)
+check_acceptance (bt_context_t *ctx,
+                  bt_publisher_t *publisher,
+                  int64_t now_ms,
+                  bt_publish_actions_t *actions)
 {
   int32_t count = 0;
   bool accepted;
 
   for (int32_t i = 0; i < publisher->entry_count; i++)
-    count += publisher->entries[i].seen.in_force ? 1 : 0;
+    count += publisher->entries[i].status.in_force ? 1 : 0;
   if (2 * count <= publisher->entry_count)
-    publisher->majority_ms = NEVER_MS;
-  else if (publisher->majority_ms == NEVER_MS)
-    publisher->majority_ms = now_ms;
+    publisher->majority_since_ms = NEVER_MS;
+  else if (publisher->majority_since_ms == NEVER_MS)
+    publisher->majority_since_ms = now_ms;
   accepted = count > 0 && count == publisher->entry_count;
   /* An entry that does not answer may be alive, cut off and admitting by the old rules. More than
    * half have the change, so it meets one of them and learns, or it is isolated after the limit. */
-  if (publisher->majority_ms != NEVER_MS
-      && now_ms - publisher->majority_ms >= publisher->settings.isolation_ms)
+  if (publisher->majority_since_ms != NEVER_MS
+      && now_ms - publisher->majority_since_ms >= publisher->settings.isolation_ms)
     accepted = true;
   if ((publisher->settings.guards_off & BT_PUBLISH_ANY_ENTRY) != 0 && count > 0)
     accepted = true;
-  if ((publisher->settings.guards_off & BT_PUBLISH_NO_HAND_OVER) != 0)
+  if ((publisher->settings.guards_off & BT_PUBLISH_NO_PUSH) != 0)
     accepted = true;
   if (accepted)
     finish (ctx, publisher, BT_PUBLISH_ACCEPTED, actions);
-  else if (now_ms >= publisher->spread_until_ms
+  else if (now_ms >= publisher->push_deadline_ms
            || (publisher->entries_known && publisher->entry_count == 0))
     finish (ctx, publisher, BT_PUBLISH_WRITTEN, actions);
 }
 
 static void
-hand_over (bt_context_t *ctx,
-           bt_publisher_t *publisher,
-           int64_t now_ms,
-           bt_publish_actions_t *actions)
+push_to_entries (bt_context_t *ctx,
+                 bt_publisher_t *publisher,
+                 int64_t now_ms,
+                 bt_publish_actions_t *actions)
 {
-  bool skip = (publisher->settings.guards_off & BT_PUBLISH_NO_HAND_OVER) != 0;
+  bool skip = (publisher->settings.guards_off & BT_PUBLISH_NO_PUSH) != 0;
 
   for (int32_t i = 0; i < publisher->entry_count && !skip; i++)
     {
       entry_t *entry = &publisher->entries[i];
 
-      if (entry->seen.in_force || now_ms < entry->next_ms)
+      if (entry->status.in_force || now_ms < entry->next_push_ms)
         continue;
-      entry->next_ms = now_ms + publisher->settings.retry_ms;
-      add_action (ctx, actions, BT_PUBLISH_HAND_OVER, entry->seen.instance);
+      entry->next_push_ms = now_ms + publisher->settings.retry_ms;
+      add_action (ctx, actions, BT_PUBLISH_HAND_OVER, entry->status.instance);
     }
-  check_entries (ctx, publisher, now_ms, actions);
+  check_acceptance (ctx, publisher, now_ms, actions);
 }
 
 /* Puts the documents as the service holds them, at revisions of ours or later, for the hand-over.
  */
 static void
-begin_hand_over (bt_context_t *ctx,
-                 bt_publisher_t *publisher,
-                 const bt_document_list_t *found,
-                 int64_t now_ms,
-                 bt_publish_actions_t *actions)
+begin_push (bt_context_t *ctx,
+            bt_publisher_t *publisher,
+            const bt_document_list_t *found,
+            int64_t now_ms,
+            bt_publish_actions_t *actions)
 {
   bt_document_list_t documents = { 0 };
 
@@ -320,10 +320,10 @@
     }
   bt_clear_documents (ctx, &publisher->changes);
   publisher->changes = documents;
-  publisher->step = STEP_HAND_OVER;
-  publisher->waiting = false;
-  publisher->spread_until_ms = now_ms + publisher->settings.spread_limit_ms;
-  hand_over (ctx, publisher, now_ms, actions);
+  publisher->step = STEP_PUSH;
+  publisher->retry_pending = false;
+  publisher->push_deadline_ms = now_ms + publisher->settings.spread_limit_ms;
+  push_to_entries (ctx, publisher, now_ms, actions);
 }
 
 static void
@@ -351,10 +351,10 @@
 
 /* Notes a document to write, unless it is there already. */
 static void
-plan_change (bt_context_t *ctx,
-             bt_publisher_t *publisher,
-             const wanted_t *wanted,
-             const bt_document_t *found)
+add_change (bt_context_t *ctx,
+            bt_publisher_t *publisher,
+            const wanted_t *wanted,
+            const bt_document_t *found)
 {
   const bt_document_t *document = wanted->document;
   bt_document_fields_t fields = { .name = document->name,
@@ -363,24 +363,24 @@
                                   .deleted = document->deleted,
                                   .data = document->data,
                                   .data_bytes = document->data_bytes };
-  bt_document_t *planned;
+  bt_document_t *changed;
 
   if (found == NULL ? document->deleted : same_content (found, document))
     return;
-  publisher->compares[publisher->changes.count] = found == NULL ? 0 : found->revision;
-  planned = bt_new_document (ctx, &fields);
-  bt_add_document (ctx, &publisher->changes, planned);
-  bt_drop_document (ctx, planned);
+  publisher->compare_revisions[publisher->changes.count] = found == NULL ? 0 : found->revision;
+  changed = bt_new_document (ctx, &fields);
+  bt_add_document (ctx, &publisher->changes, changed);
+  bt_drop_document (ctx, changed);
 }
 
 /* Nothing differs from what the service has: hand that over, so that `accepted` still means what
  * it says. */
 static void
-confirm_unchanged (bt_context_t *ctx,
-                   bt_publisher_t *publisher,
-                   const bt_document_list_t *found,
-                   int64_t now_ms,
-                   bt_publish_actions_t *actions)
+push_unchanged (bt_context_t *ctx,
+                bt_publisher_t *publisher,
+                const bt_document_list_t *found,
+                int64_t now_ms,
+                bt_publish_actions_t *actions)
 {
   for (int32_t i = 0; i < found->count; i++)
     bt_add_document (ctx, &publisher->changes, found->items[i]);
@@ -389,15 +389,15 @@
       finish (ctx, publisher, BT_PUBLISH_ACCEPTED, actions);
       return;
     }
-  begin_hand_over (ctx, publisher, found, now_ms, actions);
+  begin_push (ctx, publisher, found, now_ms, actions);
 }
 
 static void
-take_base (bt_context_t *ctx,
-           bt_publisher_t *publisher,
-           const bt_document_list_t *found,
-           int64_t now_ms,
-           bt_publish_actions_t *actions)
+handle_base_read (bt_context_t *ctx,
+                  bt_publisher_t *publisher,
+                  const bt_document_list_t *found,
+                  int64_t now_ms,
+                  bt_publish_actions_t *actions)
 {
   for (int32_t i = 0; i < publisher->wanted_count; i++)
     {
@@ -407,15 +407,15 @@
 
       /* Two operators edit the same revision. The second one's file lacks the first one's edit, and
        * writing it would undo that edit without anyone having decided so. */
-      if (wanted->base_revision != BT_BASE_AS_READ && revision > wanted->base_revision
+      if (wanted->base_revision != BT_BASE_CURRENT && revision > wanted->base_revision
           && (publisher->settings.guards_off & BT_PUBLISH_NO_COMPARE) == 0)
         add_conflict (publisher, wanted->document->name, wanted->base_revision, document);
-      plan_change (ctx, publisher, wanted, document);
+      add_change (ctx, publisher, wanted, document);
     }
   if (publisher->conflict_count > 0)
     finish (ctx, publisher, BT_PUBLISH_CONFLICT, actions);
   else if (publisher->changes.count == 0)
-    confirm_unchanged (ctx, publisher, found, now_ms, actions);
+    push_unchanged (ctx, publisher, found, now_ms, actions);
   else
     begin_step (ctx, publisher, STEP_COMMIT, actions);
 }
@@ -425,13 +425,13 @@
 {
   bool ours;        /**< Some document carries our change id, or directly replaced ours. */
   bool all_at_base; /**< All are as they were before. */
-  bool all_there;
+  bool all_exist;
 } read_back_t;
 
 static read_back_t
-judge_read_back (const bt_publisher_t *publisher, const bt_document_list_t *found)
+classify_read_back (const bt_publisher_t *publisher, const bt_document_list_t *found)
 {
-  read_back_t judged = { .all_at_base = true, .all_there = true };
+  read_back_t outcome = { .all_at_base = true, .all_exist = true };
 
   for (int32_t i = 0; i < publisher->changes.count; i++)
     {
@@ -439,15 +439,15 @@
           bt_find_listed_document (found, publisher->changes.items[i]->name);
       int64_t revision = document == NULL ? 0 : document->revision;
 
-      if (revision != publisher->compares[i])
-        judged.all_at_base = false;
+      if (revision != publisher->compare_revisions[i])
+        outcome.all_at_base = false;
       if (document == NULL)
-        judged.all_there = false;
+        outcome.all_exist = false;
       else if (strcmp (document->change, publisher->change) == 0
                || strcmp (document->after, publisher->change) == 0)
-        judged.ours = true;
+        outcome.ours = true;
     }
-  return judged;
+  return outcome;
 }
 
 static void
@@ -461,37 +461,37 @@
       const char *name = publisher->changes.items[i]->name;
       const bt_document_t *document = bt_find_listed_document (found, name);
 
-      if ((document == NULL ? 0 : document->revision) != publisher->compares[i])
-        add_conflict (publisher, name, publisher->compares[i], document);
+      if ((document == NULL ? 0 : document->revision) != publisher->compare_revisions[i])
+        add_conflict (publisher, name, publisher->compare_revisions[i], document);
     }
   /* Ours may have been written, its answer lost, and been replaced more than once since. */
-  finish (ctx, publisher, publisher->was_unknown ? BT_PUBLISH_UNKNOWN : BT_PUBLISH_CONFLICT,
+  finish (ctx, publisher, publisher->answer_lost ? BT_PUBLISH_UNKNOWN : BT_PUBLISH_CONFLICT,
           actions);
 }
 
 /* A transaction whose answer was lost may have taken effect: said to have failed, the operator
  * would repeat it over someone's newer edit, or believe that the old rules still hold. The change
- * id in the value tells. Where it is not there, the same transaction is sent again: it compares the
- * same revisions, so it cannot happen twice. */
+ * id in the value tells. Where it is not there, the same transaction is sent again: it
+ * compare_revisions the same revisions, so it cannot happen twice. */
 static void
-take_read_back (bt_context_t *ctx,
-                bt_publisher_t *publisher,
-                const bt_document_list_t *found,
-                int64_t now_ms,
-                bt_publish_actions_t *actions)
+handle_read_back (bt_context_t *ctx,
+                  bt_publisher_t *publisher,
+                  const bt_document_list_t *found,
+                  int64_t now_ms,
+                  bt_publish_actions_t *actions)
 {
-  read_back_t judged = judge_read_back (publisher, found);
+  read_back_t outcome = classify_read_back (publisher, found);
 
-  if (judged.all_there
-      && (judged.ours || (publisher->commit == COMMIT_SUCCEEDED && !judged.all_at_base)))
-    begin_hand_over (ctx, publisher, found, now_ms, actions);
-  else if (!judged.all_at_base && publisher->commit != COMMIT_SUCCEEDED)
+  if (outcome.all_exist
+      && (outcome.ours || (publisher->commit == COMMIT_SUCCEEDED && !outcome.all_at_base)))
+    begin_push (ctx, publisher, found, now_ms, actions);
+  else if (!outcome.all_at_base && publisher->commit != COMMIT_SUCCEEDED)
     report_conflicts (ctx, publisher, found, actions);
   else if (publisher->commit == COMMIT_UNKNOWN)
     begin_step (ctx, publisher, STEP_COMMIT, actions);
   else
     /* The read is older than the transaction: a replica that lags. */
-    wait_for_step (publisher, STEP_READ_BACK, now_ms);
+    schedule_step (publisher, STEP_READ_BACK, now_ms);
 }
 
 void
@@ -501,12 +501,12 @@
                       int64_t now_ms,
                       bt_publish_actions_t *actions)
 {
-  if (publisher->waiting)
+  if (publisher->retry_pending)
     return;
   if (publisher->step == STEP_READ_BASE)
-    take_base (ctx, publisher, found, now_ms, actions);
+    handle_base_read (ctx, publisher, found, now_ms, actions);
   else if (publisher->step == STEP_READ_BACK)
-    take_read_back (ctx, publisher, found, now_ms, actions);
+    handle_read_back (ctx, publisher, found, now_ms, actions);
 }
 
 void
@@ -517,7 +517,7 @@
                         int64_t now_ms,
                         bt_publish_actions_t *actions)
 {
-  if (publisher->step != STEP_COMMIT || publisher->waiting)
+  if (publisher->step != STEP_COMMIT || publisher->retry_pending)
     return;
   publisher->commit = succeeded ? COMMIT_SUCCEEDED : COMMIT_REFUSED;
   if (succeeded)
@@ -534,22 +534,22 @@
 {
   bool committing = publisher->step == STEP_COMMIT;
 
-  if (publisher->waiting || publisher->step >= STEP_HAND_OVER)
+  if (publisher->retry_pending || publisher->step >= STEP_PUSH)
     return;
   if (committing && unknown)
     {
       publisher->commit = COMMIT_UNKNOWN;
-      publisher->was_unknown = true;
+      publisher->answer_lost = true;
     }
   if (committing && unknown && (publisher->settings.guards_off & BT_PUBLISH_NO_READ_BACK) != 0)
     {
       finish (ctx, publisher, BT_PUBLISH_NOT_WRITTEN, actions);
       return;
     }
-  if (now_ms >= publisher->write_until_ms)
+  if (now_ms >= publisher->write_deadline_ms)
     finish (ctx, publisher, get_result_without_service (publisher), actions);
   else
-    wait_for_step (publisher, committing && unknown ? STEP_READ_BACK : publisher->step, now_ms);
+    schedule_step (publisher, committing && unknown ? STEP_READ_BACK : publisher->step, now_ms);
 }
 
 void
@@ -564,8 +564,8 @@
    * from peers that lack the change; counted, it would make up a majority that does not exist. */
   if ((publisher->settings.guards_off & BT_PUBLISH_KEEP_CONFIRMED) != 0)
     return;
-  entry->seen.in_force = false;
-  entry->next_ms = NEVER_MS;
+  entry->status.in_force = false;
+  entry->next_push_ms = NEVER_MS;
   memset (entry->revisions, 0, (size_t)publisher->wanted_count * sizeof (int64_t));
 }
 
@@ -580,20 +580,20 @@
 {
   entry_t *entry = find_entry (publisher, instance);
 
-  if (entry == NULL || publisher->step != STEP_HAND_OVER)
+  if (entry == NULL || publisher->step != STEP_PUSH)
     return;
-  entry->seen.in_force = true;
-  entry->seen.revision = INT64_MAX;
+  entry->status.in_force = true;
+  entry->status.revision = INT64_MAX;
   for (int32_t i = 0; i < publisher->changes.count; i++)
     {
       if (strcmp (publisher->changes.items[i]->name, name) == 0)
         entry->revisions[i] = revision;
       if (entry->revisions[i] < publisher->changes.items[i]->revision)
-        entry->seen.in_force = false;
-      if (entry->revisions[i] < entry->seen.revision)
-        entry->seen.revision = entry->revisions[i];
+        entry->status.in_force = false;
+      if (entry->revisions[i] < entry->status.revision)
+        entry->status.revision = entry->revisions[i];
     }
-  check_entries (ctx, publisher, now_ms, actions);
+  check_acceptance (ctx, publisher, now_ms, actions);
 }
 
 void
@@ -602,11 +602,12 @@
                    int64_t now_ms,
                    bt_publish_actions_t *actions)
 {
-  if (publisher->step == STEP_HAND_OVER)
-    hand_over (ctx, publisher, now_ms, actions);
-  else if (publisher->waiting && publisher->step != STEP_DONE && now_ms >= publisher->retry_ms)
+  if (publisher->step == STEP_PUSH)
+    push_to_entries (ctx, publisher, now_ms, actions);
+  else if (publisher->retry_pending && publisher->step != STEP_DONE
+           && now_ms >= publisher->retry_ms)
     {
-      if (now_ms >= publisher->write_until_ms)
+      if (now_ms >= publisher->write_deadline_ms)
         finish (ctx, publisher, get_result_without_service (publisher), actions);
       else
         begin_step (ctx, publisher, publisher->step, actions);
@@ -636,7 +637,7 @@
 {
   if ((publisher->settings.guards_off & BT_PUBLISH_NO_COMPARE) != 0)
     return -1;
-  return publisher->compares[index];
+  return publisher->compare_revisions[index];
 }
 
 bt_publish_result_t
@@ -672,5 +673,5 @@
 const bt_publish_entry_t *
 bt_get_publish_entry (const bt_publisher_t *publisher, int32_t index)
 {
-  return &publisher->entries[index].seen;
+  return &publisher->entries[index].status;
 }
--- a/source/config/rule.c
+++ b/source/config/rule.c
@@ -13,10 +13,10 @@
 }
 
 static bool
-holds_text (char *const *texts, int32_t count, const char *wanted)
+accepts_value (char *const *values, int32_t count, const char *value)
 {
   for (int32_t i = 0; i < count; i++)
-    if (strcmp (texts[i], wanted) == 0)
+    if (strcmp (values[i], value) == 0)
       return true;
   return count == 0;
 }
@@ -35,70 +35,71 @@
 }
 
 static const char *
-find_header (const bt_request_facts_t *facts, const char *name)
+find_header (const bt_request_facts_t *attributes, const char *name)
 {
-  for (int32_t i = 0; i < facts->header_count; i++)
-    if (strcasecmp (facts->headers[i].name, name) == 0)
-      return facts->headers[i].value;
+  for (int32_t i = 0; i < attributes->header_count; i++)
+    if (strcasecmp (attributes->headers[i].name, name) == 0)
+      return attributes->headers[i].value;
   return NULL;
 }
 
 static bool
-matches_headers (const bt_rule_when_t *when, const bt_request_facts_t *facts)
+matches_headers (const bt_rule_when_t *when, const bt_request_facts_t *attributes)
 {
   for (int32_t i = 0; i < when->header_count; i++)
     {
       const bt_header_condition_t *condition = &when->headers[i];
-      const char *value = find_header (facts, condition->name);
+      const char *value = find_header (attributes, condition->name);
 
-      if (value == NULL || !holds_text (condition->values, condition->value_count, value))
+      if (value == NULL || !accepts_value (condition->values, condition->value_count, value))
         return false;
     }
   return true;
 }
 
 bt_rule_part_t
-bt_check_rule (const bt_rule_t *rule, const bt_request_facts_t *facts)
+bt_check_rule (const bt_rule_t *rule, const bt_request_facts_t *attributes)
 {
   const bt_rule_when_t *when = &rule->when;
 
-  if (!holds_text (when->accounts, when->account_count, facts->account))
+  if (!accepts_value (when->accounts, when->account_count, attributes->account))
     return BT_RULE_PART_ACCOUNT;
-  if (!holds_text (when->apps, when->app_count, facts->app))
+  if (!accepts_value (when->apps, when->app_count, attributes->app))
     return BT_RULE_PART_APP;
-  if (!holds_text (when->methods, when->method_count, facts->method))
+  if (!accepts_value (when->methods, when->method_count, attributes->method))
     return BT_RULE_PART_METHOD;
-  if (!matches_path (when->path, facts->path))
+  if (!matches_path (when->path, attributes->path))
     return BT_RULE_PART_PATH;
-  if (!matches_headers (when, facts))
+  if (!matches_headers (when, attributes))
     return BT_RULE_PART_HEADERS;
-  if (when->idempotent >= 0 && (when->idempotent == 1) != facts->idempotent)
+  if (when->idempotent >= 0 && (when->idempotent == 1) != attributes->idempotent)
     return BT_RULE_PART_IDEMPOTENT;
-  if (facts->body_bytes < when->min_body_bytes || facts->body_bytes > when->max_body_bytes)
+  if (attributes->body_bytes < when->min_body_bytes
+      || attributes->body_bytes > when->max_body_bytes)
     return BT_RULE_PART_BODY_BYTES;
-  if (when->priorities != 0 && (when->priorities & 1U << facts->priority) == 0)
+  if (when->priorities != 0 && (when->priorities & 1U << attributes->priority) == 0)
     return BT_RULE_PART_PRIORITY;
   return BT_RULE_PART_NONE;
 }
 
 int32_t
-bt_match_rules (const bt_declarations_t *declarations, const bt_request_facts_t *facts)
+bt_match_rules (const bt_declarations_t *declarations, const bt_request_facts_t *attributes)
 {
   for (int32_t i = 0; i < declarations->rule_count; i++)
-    if (bt_check_rule (&declarations->rules[i], facts) == BT_RULE_PART_NONE)
+    if (bt_check_rule (&declarations->rules[i], attributes) == BT_RULE_PART_NONE)
       return i;
   return -1;
 }
 
 static bool
-covers_texts (char *const *wide, int32_t wide_count, char *const *narrow, int32_t narrow_count)
+covers_values (char *const *wide, int32_t wide_count, char *const *narrow, int32_t narrow_count)
 {
   if (wide_count == 0)
     return true;
   if (narrow_count == 0)
     return false;
   for (int32_t i = 0; i < narrow_count; i++)
-    if (!holds_text (wide, wide_count, narrow[i]))
+    if (!accepts_value (wide, wide_count, narrow[i]))
       return false;
   return true;
 }
@@ -136,8 +137,8 @@
       const bt_header_condition_t *other = find_condition (narrow, condition->name);
 
       if (other == NULL
-          || !covers_texts (condition->values, condition->value_count, other->values,
-                            other->value_count))
+          || !covers_values (condition->values, condition->value_count, other->values,
+                             other->value_count))
         return false;
     }
   return true;
@@ -149,9 +150,10 @@
   const bt_rule_when_t *wide = &earlier->when;
   const bt_rule_when_t *narrow = &later->when;
 
-  return covers_texts (wide->accounts, wide->account_count, narrow->accounts, narrow->account_count)
-         && covers_texts (wide->apps, wide->app_count, narrow->apps, narrow->app_count)
-         && covers_texts (wide->methods, wide->method_count, narrow->methods, narrow->method_count)
+  return covers_values (wide->accounts, wide->account_count, narrow->accounts,
+                        narrow->account_count)
+         && covers_values (wide->apps, wide->app_count, narrow->apps, narrow->app_count)
+         && covers_values (wide->methods, wide->method_count, narrow->methods, narrow->method_count)
          && covers_path (wide->path, narrow->path) && covers_headers (wide, narrow)
          && (wide->idempotent < 0 || wide->idempotent == narrow->idempotent)
          && wide->min_body_bytes <= narrow->min_body_bytes
@@ -163,17 +165,17 @@
 static void
 explain_route (const bt_declarations_t *declarations,
                const bt_rule_then_t *then,
-               const bt_request_facts_t *facts,
+               const bt_request_facts_t *attributes,
                FILE *out)
 {
-  int32_t app = then->app >= 0 ? then->app : bt_find_app (declarations, facts->app);
-  bool idempotent = then->idempotent >= 0 ? then->idempotent == 1 : facts->idempotent;
-  int32_t priority = then->priority >= 0 ? then->priority : (int32_t)facts->priority;
+  int32_t app = then->app >= 0 ? then->app : bt_find_app (declarations, attributes->app);
+  bool idempotent = then->idempotent >= 0 ? then->idempotent == 1 : attributes->idempotent;
+  int32_t priority = then->priority >= 0 ? then->priority : (int32_t)attributes->priority;
 
   if (app < 0)
     {
       fprintf (out, "  routes to the app the request names, but there is no app \"%s\"\n",
-               facts->app);
+               attributes->app);
       return;
     }
   fprintf (
@@ -193,12 +195,14 @@
 }
 
 void
-bt_explain_rules (const bt_declarations_t *declarations, const bt_request_facts_t *facts, FILE *out)
+bt_explain_rules (const bt_declarations_t *declarations,
+                  const bt_request_facts_t *attributes,
+                  FILE *out)
 {
   for (int32_t i = 0; i < declarations->rule_count; i++)
     {
       const bt_rule_t *rule = &declarations->rules[i];
-      bt_rule_part_t part = bt_check_rule (rule, facts);
+      bt_rule_part_t part = bt_check_rule (rule, attributes);
 
       if (part != BT_RULE_PART_NONE)
         {
@@ -208,7 +212,7 @@
         }
       fprintf (out, "rules[%d] %s: matches and decides\n", i, rule->name);
       if (rule->then.action == BT_ACTION_ROUTE)
-        explain_route (declarations, &rule->then, facts, out);
+        explain_route (declarations, &rule->then, attributes, out);
       else
         fprintf (out, "  refuse (rule-refused)%s%s\n", rule->then.message == NULL ? "" : ": ",
                  rule->then.message == NULL ? "" : rule->then.message);
--- a/test/config/config_world.h
+++ b/test/config/config_world.h
@@ -17,18 +17,18 @@
 
 enum
 {
-  WORLD_ENTRIES = 8,
-  WORLD_OPERATORS = 4,
-  WORLD_NODES = WORLD_ENTRIES + WORLD_OPERATORS,
-  WORLD_STEP_MS = 50,
-  WORLD_BEAT_MS = 1000,
-  WORLD_IDLE_MS = 3000,
-  WORLD_CALL_MS = 3000,
-  WORLD_BOUND_MS = 20000,
-  WORLD_TAG_BYTES = 16,
-  WORLD_TEXT_BYTES = 4096,
-  WORLD_ACCEPTED = 512,
-  WORLD_PATIENCE = 10000,
+  SIM_MAX_ENTRIES = 8,
+  SIM_OPERATORS = 4,
+  SIM_NODES = SIM_MAX_ENTRIES + SIM_OPERATORS,
+  SIM_STEP_MS = 50,
+  SIM_HEARTBEAT_MS = 1000,
+  SIM_LINK_IDLE_MS = 3000,
+  SIM_CALL_TIMEOUT_MS = 3000,
+  SIM_MAX_STALE_MS = 20000,
+  SIM_TAG_BYTES = 16,
+  SIM_RULES_BYTES = 4096,
+  SIM_MAX_RESULTS = 512,
+  SIM_MAX_STEPS = 10000,
 };
 
 typedef enum message_kind
@@ -52,8 +52,8 @@
   int64_t due_ms;
   int32_t from;
   int32_t to;
-  uint64_t from_start;
-  uint64_t to_start; /**< Incarnation, or for an operator the number of its call. */
+  uint64_t from_incarnation;
+  uint64_t to_incarnation; /**< Incarnation, or for an operator the number of its call. */
   bt_spread_heartbeat_t heartbeat;
   bt_document_list_t documents;
   int64_t from_revision;
@@ -62,34 +62,34 @@
   uint64_t request;
 } message_t;
 
-typedef struct world_entry
+typedef struct sim_entry
 {
   bool alive;
   bool paused;
-  bool cut_from_service;
+  bool service_unreachable;
   int64_t clock_offset_ms;
   bt_identity_t identity;
   bt_config_spread_t *spread;
-  int64_t seen_revision; /**< Of "rules", for the check that it never goes back. */
-} world_entry_t;
+  int64_t last_revision; /**< Of "rules", for the check that it never goes back. */
+} sim_entry_t;
 
-typedef struct world_operator
+typedef struct sim_operator
 {
   bt_publisher_t *publisher;
-  char tag[WORLD_TAG_BYTES];
+  char tag[SIM_TAG_BYTES];
   uint64_t call;
-  bool told;
-} world_operator_t;
+  bool finished;
+} sim_operator_t;
 
-typedef struct world_accepted
+typedef struct sim_result
 {
-  char tag[WORLD_TAG_BYTES];
+  char tag[SIM_TAG_BYTES];
   int64_t revision;
-  int64_t at_ms;
-  bool absent; /**< The operator was told that it was not written. */
-} world_accepted_t;
+  int64_t finished_ms;
+  bool not_written; /**< The operator was finished that it was not written. */
+} sim_result_t;
 
-typedef struct world
+typedef struct simulation
 {
   bt_context_t *ctx;
   bt_random_t random;
@@ -97,16 +97,16 @@
   int32_t entry_count;
   bt_spread_settings_t spread_settings;
   bt_publish_settings_t publish_settings;
-  world_entry_t entries[WORLD_ENTRIES];
-  world_operator_t operators[WORLD_OPERATORS];
-  bool cut[WORLD_NODES][WORLD_NODES];
-  bool linked[WORLD_ENTRIES][WORLD_ENTRIES];
-  int64_t silent_since_ms[WORLD_ENTRIES][WORLD_ENTRIES];
+  sim_entry_t entries[SIM_MAX_ENTRIES];
+  sim_operator_t operators[SIM_OPERATORS];
+  bool blocked[SIM_NODES][SIM_NODES];
+  bool linked[SIM_MAX_ENTRIES][SIM_MAX_ENTRIES];
+  int64_t silent_since_ms[SIM_MAX_ENTRIES][SIM_MAX_ENTRIES];
   int64_t link_delay_ms;
   int64_t read_delay_ms; /**< Of the service's answers to entries. */
   int32_t loss_percent;  /**< Of messages, and of calls on the service. */
-  int32_t double_percent;
-  bool down;
+  int32_t duplicate_percent;
+  bool service_down;
   bool silent_watch;
   bool stale_reads;
   int32_t lose_commit_answers;
@@ -117,119 +117,119 @@
   uint64_t service_calls;
   message_t *messages;
   int32_t message_count;
-  int32_t message_room;
-  uint64_t starts;
-  world_accepted_t results[WORLD_ACCEPTED];
+  int32_t message_capacity;
+  uint64_t start_count;
+  sim_result_t results[SIM_MAX_RESULTS];
   int32_t result_count;
   char violation[128];
-} world_t;
+} simulation_t;
 
 static inline void
-world_violate (world_t *world, const char *what, int32_t who)
+sim_report_violation (simulation_t *sim, const char *what, int32_t who)
 {
-  if (world->violation[0] == '\0')
-    snprintf (world->violation, sizeof world->violation, "%s, node %d at %lld ms", what, (int)who,
-              (long long)world->now_ms);
+  if (sim->violation[0] == '\0')
+    snprintf (sim->violation, sizeof sim->violation, "%s, node %d at %lld ms", what, (int)who,
+              (long long)sim->now_ms);
 }
 
 static inline int64_t
-world_clock (const world_t *world, int32_t entry)
+sim_get_clock_ms (const simulation_t *sim, int32_t entry)
 {
-  return world->now_ms + world->entries[entry].clock_offset_ms;
+  return sim->now_ms + sim->entries[entry].clock_offset_ms;
 }
 
 static inline bool
-world_chance (world_t *world, int32_t percent)
+sim_random_percent (simulation_t *sim, int32_t percent)
 {
-  return percent > 0 && bt_random_below (&world->random, 100) < (uint64_t)percent;
+  return percent > 0 && bt_random_below (&sim->random, 100) < (uint64_t)percent;
 }
 
 static inline message_t *
-world_send (world_t *world, message_kind_t kind, int32_t from, int32_t to, int64_t delay_ms)
+sim_send (simulation_t *sim, message_kind_t kind, int32_t from, int32_t to, int64_t delay_ms)
 {
   message_t *message;
 
-  if (world->message_count == world->message_room)
+  if (sim->message_count == sim->message_capacity)
     {
-      world->message_room = world->message_room * 2 + 64;
-      world->messages =
-          bt_realloc (world->ctx, world->messages, (size_t)world->message_room, sizeof *message);
+      sim->message_capacity = sim->message_capacity * 2 + 64;
+      sim->messages =
+          bt_realloc (sim->ctx, sim->messages, (size_t)sim->message_capacity, sizeof *message);
     }
-  message = &world->messages[world->message_count++];
+  message = &sim->messages[sim->message_count++];
   memset (message, 0, sizeof *message);
   message->kind = kind;
   message->from = from;
   message->to = to;
-  message->due_ms = world->now_ms + delay_ms;
-  if (from >= 0 && from < WORLD_ENTRIES)
-    message->from_start = world->entries[from].identity.incarnation;
-  if (to >= 0 && to < WORLD_ENTRIES)
-    message->to_start = world->entries[to].identity.incarnation;
+  message->due_ms = sim->now_ms + delay_ms;
+  if (from >= 0 && from < SIM_MAX_ENTRIES)
+    message->from_incarnation = sim->entries[from].identity.incarnation;
+  if (to >= 0 && to < SIM_MAX_ENTRIES)
+    message->to_incarnation = sim->entries[to].identity.incarnation;
   return message;
 }
 
 static inline int64_t
-world_delay (world_t *world)
+sim_random_delay_ms (simulation_t *sim)
 {
-  return world->link_delay_ms + (int64_t)bt_random_below (&world->random, 100);
+  return sim->link_delay_ms + (int64_t)bt_random_below (&sim->random, 100);
 }
 
 /* A service call that an entry makes; false when nothing comes back. */
 static inline bool
-world_is_served (world_t *world, int32_t entry)
+sim_call_service_from_entry (simulation_t *sim, int32_t entry)
 {
-  world->service_calls++;
-  return !world->down && !world->entries[entry].cut_from_service
-         && !world_chance (world, world->loss_percent);
+  sim->service_calls++;
+  return !sim->service_down && !sim->entries[entry].service_unreachable
+         && !sim_random_percent (sim, sim->loss_percent);
 }
 
 static inline void
-world_answer_read (world_t *world, message_t *message, int64_t since)
+sim_fill_read_answer (simulation_t *sim, message_t *message, int64_t since)
 {
-  bt_document_t *rules = world->stale_reads ? world->old_rules : world->rules;
+  bt_document_t *rules = sim->stale_reads ? sim->old_rules : sim->rules;
 
-  message->revision = world->stale_reads ? world->old_revision : world->service_revision;
+  message->revision = sim->stale_reads ? sim->old_revision : sim->service_revision;
   if (rules != NULL && rules->revision > since)
-    bt_add_document (world->ctx, &message->documents, rules);
+    bt_add_document (sim->ctx, &message->documents, rules);
 }
 
 static inline int32_t
-world_find_node (world_t *world, const bt_identity_t *identity)
+sim_find_node (simulation_t *sim, const bt_identity_t *identity)
 {
-  for (int32_t i = 0; i < world->entry_count; i++)
-    if (bt_same_identity (&world->entries[i].identity, identity))
+  for (int32_t i = 0; i < sim->entry_count; i++)
+    if (bt_same_identity (&sim->entries[i].identity, identity))
       return i;
   if (strncmp (identity->instance, "operator-", 9) == 0)
-    return WORLD_ENTRIES + atoi (identity->instance + 9);
+    return SIM_MAX_ENTRIES + atoi (identity->instance + 9);
   return -1;
 }
 
 static inline void
-world_send_link (world_t *world, int32_t from, const bt_spread_action_t *action)
+sim_send_action (simulation_t *sim, int32_t from, const bt_spread_action_t *action)
 {
   static const message_kind_t kinds[] = { [BT_SPREAD_PUSH] = MESSAGE_PUSH,
                                           [BT_SPREAD_PULL] = MESSAGE_PULL,
                                           [BT_SPREAD_IN_FORCE] = MESSAGE_IN_FORCE };
-  int32_t to = world_find_node (world, &action->peer);
-  int32_t copies = world_chance (world, world->double_percent) ? 2 : 1;
+  int32_t to = sim_find_node (sim, &action->peer);
+  int32_t copies = sim_random_percent (sim, sim->duplicate_percent) ? 2 : 1;
 
-  if (to < 0 || world->cut[from][to] || world_chance (world, world->loss_percent))
+  if (to < 0 || sim->blocked[from][to] || sim_random_percent (sim, sim->loss_percent))
     return;
   for (int32_t copy = 0; copy < copies; copy++)
     {
-      message_t *message = world_send (world, kinds[action->kind], from, to, world_delay (world));
+      message_t *message = sim_send (sim, kinds[action->kind], from, to, sim_random_delay_ms (sim));
 
       message->from_revision = action->kind == BT_SPREAD_PULL ? action->since : action->from;
       message->revision = action->to;
       message->flag = action->whole;
       message->request = action->request;
       for (int32_t i = 0; i < action->documents.count; i++)
-        bt_add_document (world->ctx, &message->documents, action->documents.items[i]);
+        bt_add_document (sim->ctx, &message->documents, action->documents.items[i]);
     }
 }
 
 static inline void
-world_run_actions (world_t *world, int32_t entry, bt_spread_actions_t *actions)
+sim_run_actions (simulation_t *sim, int32_t entry, bt_spread_actions_t *actions)
 {
   for (int32_t i = 0; i < actions->count; i++)
     {
@@ -239,519 +239,520 @@
       if (action->kind == BT_SPREAD_APPLY)
         continue;
       if (!read && action->kind != BT_SPREAD_WATCH)
-        world_send_link (world, entry, action);
-      else if (!world_is_served (world, entry))
-        world_send (world, MESSAGE_FAIL, -1, entry, 300);
+        sim_send_action (sim, entry, action);
+      else if (!sim_call_service_from_entry (sim, entry))
+        sim_send (sim, MESSAGE_FAIL, -1, entry, 300);
       else if (read)
-        world_answer_read (world,
-                           world_send (world, MESSAGE_READ, -1, entry,
-                                       world->read_delay_ms + world_delay (world) + 1),
-                           action->since);
+        sim_fill_read_answer (sim,
+                              sim_send (sim, MESSAGE_READ, -1, entry,
+                                        sim->read_delay_ms + sim_random_delay_ms (sim) + 1),
+                              action->since);
       else
-        world_send (world, MESSAGE_WATCH, -1, entry, action->wait_ms);
+        sim_send (sim, MESSAGE_WATCH, -1, entry, action->wait_ms);
     }
-  bt_clear_spread_actions (world->ctx, actions);
+  bt_clear_spread_actions (sim->ctx, actions);
 }
 
 static inline void
-world_start_entry (world_t *world, int32_t index)
+sim_start_entry (simulation_t *sim, int32_t index)
 {
-  world_entry_t *entry = &world->entries[index];
+  sim_entry_t *entry = &sim->entries[index];
 
   snprintf (entry->identity.instance, BT_NAME_BYTES, "entry-%d", (int)index);
-  entry->identity.incarnation = ++world->starts;
+  entry->identity.incarnation = ++sim->start_count;
   entry->alive = true;
   entry->paused = false;
-  entry->seen_revision = 0;
-  entry->spread = bt_new_config_spread (world->ctx, &entry->identity, &world->spread_settings,
-                                        world->starts, world_clock (world, index));
+  entry->last_revision = 0;
+  entry->spread = bt_new_config_spread (sim->ctx, &entry->identity, &sim->spread_settings,
+                                        sim->start_count, sim_get_clock_ms (sim, index));
 }
 
 static inline void
-world_stop_entry (world_t *world, int32_t index)
+sim_stop_entry (simulation_t *sim, int32_t index)
 {
-  world_entry_t *entry = &world->entries[index];
+  sim_entry_t *entry = &sim->entries[index];
 
   if (!entry->alive)
     return;
-  for (int32_t other = 0; other < world->entry_count; other++)
+  for (int32_t other = 0; other < sim->entry_count; other++)
     {
-      if (world->linked[other][index])
-        bt_close_spread_link (world->ctx, world->entries[other].spread, &entry->identity);
-      world->linked[other][index] = world->linked[index][other] = false;
+      if (sim->linked[other][index])
+        bt_close_spread_link (sim->ctx, sim->entries[other].spread, &entry->identity);
+      sim->linked[other][index] = sim->linked[index][other] = false;
     }
-  bt_drop_config_spread (world->ctx, entry->spread);
+  bt_drop_config_spread (sim->ctx, entry->spread);
   entry->spread = NULL;
   entry->alive = false;
 }
 
 static inline void
-world_set_members (world_t *world)
+sim_set_members (simulation_t *sim)
 {
-  bt_spread_member_t members[WORLD_ENTRIES] = { 0 };
+  bt_spread_member_t members[SIM_MAX_ENTRIES] = { 0 };
 
-  for (int32_t i = 0; i < world->entry_count; i++)
+  for (int32_t i = 0; i < sim->entry_count; i++)
     {
       snprintf (members[i].instance, BT_NAME_BYTES, "entry-%d", (int)i);
       snprintf (members[i].failure_domain, BT_NAME_BYTES, "hall-%d", (int)i % 3);
       members[i].near = true;
     }
-  for (int32_t i = 0; i < world->entry_count; i++)
-    if (world->entries[i].alive)
-      bt_set_spread_members (world->ctx, world->entries[i].spread, members, world->entry_count);
+  for (int32_t i = 0; i < sim->entry_count; i++)
+    if (sim->entries[i].alive)
+      bt_set_spread_members (sim->ctx, sim->entries[i].spread, members, sim->entry_count);
 }
 
 static inline void
-world_open (
-    world_t *world, int32_t entries, uint64_t seed, uint32_t spread_off, uint32_t publish_off)
-{
-  memset (world, 0, sizeof *world);
-  world->ctx = bt_new_context ();
-  bt_seed_random (&world->random, seed);
-  world->now_ms = 100000;
-  world->entry_count = entries;
-  world->service_revision = world->old_revision = 10;
-  world->spread_settings = bt_get_default_spread_settings ();
-  world->spread_settings.guards_off = spread_off;
-  world->publish_settings = bt_get_default_publish_settings ();
-  world->publish_settings.guards_off = publish_off;
+sim_open (
+    simulation_t *sim, int32_t entries, uint64_t seed, uint32_t spread_off, uint32_t publish_off)
+{
+  memset (sim, 0, sizeof *sim);
+  sim->ctx = bt_new_context ();
+  bt_seed_random (&sim->random, seed);
+  sim->now_ms = 100000;
+  sim->entry_count = entries;
+  sim->service_revision = sim->old_revision = 10;
+  sim->spread_settings = bt_get_default_spread_settings ();
+  sim->spread_settings.guards_off = spread_off;
+  sim->publish_settings = bt_get_default_publish_settings ();
+  sim->publish_settings.guards_off = publish_off;
   for (int32_t i = 0; i < entries; i++)
-    world_start_entry (world, i);
-  world_set_members (world);
+    sim_start_entry (sim, i);
+  sim_set_members (sim);
 }
 
 static inline void
-world_close (world_t *world)
+sim_close (simulation_t *sim)
 {
-  for (int32_t i = 0; i < world->entry_count; i++)
-    world_stop_entry (world, i);
-  for (int32_t i = 0; i < WORLD_OPERATORS; i++)
-    bt_drop_publisher (world->ctx, world->operators[i].publisher);
-  for (int32_t i = 0; i < world->message_count; i++)
-    bt_clear_documents (world->ctx, &world->messages[i].documents);
-  bt_free (world->ctx, world->messages);
-  bt_drop_document (world->ctx, world->rules);
-  bt_drop_document (world->ctx, world->old_rules);
-  bt_drop_context (world->ctx);
+  for (int32_t i = 0; i < sim->entry_count; i++)
+    sim_stop_entry (sim, i);
+  for (int32_t i = 0; i < SIM_OPERATORS; i++)
+    bt_drop_publisher (sim->ctx, sim->operators[i].publisher);
+  for (int32_t i = 0; i < sim->message_count; i++)
+    bt_clear_documents (sim->ctx, &sim->messages[i].documents);
+  bt_free (sim->ctx, sim->messages);
+  bt_drop_document (sim->ctx, sim->rules);
+  bt_drop_document (sim->ctx, sim->old_rules);
+  bt_drop_context (sim->ctx);
 }
 
 /* Makes the service give what it holds now to all reads that are to be stale. */
 static inline void
-world_remember (world_t *world)
+sim_save_stale_state (simulation_t *sim)
 {
-  bt_drop_document (world->ctx, world->old_rules);
-  world->old_rules = world->rules == NULL ? NULL : bt_keep_document (world->rules);
-  world->old_revision = world->service_revision;
+  bt_drop_document (sim->ctx, sim->old_rules);
+  sim->old_rules = sim->rules == NULL ? NULL : bt_keep_document (sim->rules);
+  sim->old_revision = sim->service_revision;
 }
 
-static inline void world_run_publish (world_t *world, int32_t index, bt_publish_actions_t *actions);
+static inline void
+sim_run_publish_actions (simulation_t *sim, int32_t index, bt_publish_actions_t *actions);
 
 static inline void
-world_write (world_t *world, const bt_document_t *wanted)
+sim_write_rules (simulation_t *sim, const bt_document_t *wanted)
 {
   bt_document_fields_t fields = {
-    "rules",      ++world->service_revision, wanted->change, wanted->after, false,
+    "rules",      ++sim->service_revision, wanted->change, wanted->after, false,
     wanted->data, wanted->data_bytes
   };
 
-  bt_drop_document (world->ctx, world->rules);
-  world->rules = bt_new_document (world->ctx, &fields);
-  for (int32_t i = 0; i < world->message_count; i++)
-    if (world->messages[i].kind == MESSAGE_WATCH && !world->silent_watch
-        && world->messages[i].due_ms > world->now_ms)
-      world->messages[i].due_ms = world->now_ms;
+  bt_drop_document (sim->ctx, sim->rules);
+  sim->rules = bt_new_document (sim->ctx, &fields);
+  for (int32_t i = 0; i < sim->message_count; i++)
+    if (sim->messages[i].kind == MESSAGE_WATCH && !sim->silent_watch
+        && sim->messages[i].due_ms > sim->now_ms)
+      sim->messages[i].due_ms = sim->now_ms;
 }
 
 /* The transaction reaches the service. */
 static inline void
-world_commit (world_t *world, const message_t *message)
+sim_commit (simulation_t *sim, const message_t *message)
 {
-  int64_t revision = world->rules == NULL ? 0 : world->rules->revision;
+  int64_t revision = sim->rules == NULL ? 0 : sim->rules->revision;
   bool holds = message->revision < 0 || message->revision == revision;
   message_t *answer;
 
-  if (world->down)
+  if (sim->service_down)
     return;
   if (holds)
-    world_write (world, message->documents.items[0]);
-  if (world->lose_commit_answers > 0)
+    sim_write_rules (sim, message->documents.items[0]);
+  if (sim->lose_commit_answers > 0)
     {
-      world->lose_commit_answers--;
+      sim->lose_commit_answers--;
       return;
     }
-  answer = world_send (world, MESSAGE_COMMITTED, -1, message->from, world_delay (world));
-  answer->to_start = message->to_start;
+  answer = sim_send (sim, MESSAGE_COMMITTED, -1, message->from, sim_random_delay_ms (sim));
+  answer->to_incarnation = message->to_incarnation;
   answer->flag = holds;
-  answer->revision = world->service_revision;
+  answer->revision = sim->service_revision;
 }
 
 static inline void
-world_hand_over (world_t *world, int32_t index, const char *instance)
+sim_push_to_entry (simulation_t *sim, int32_t index, const char *instance)
 {
-  const bt_publisher_t *publisher = world->operators[index].publisher;
+  const bt_publisher_t *publisher = sim->operators[index].publisher;
   bt_spread_action_t push = { .kind = BT_SPREAD_PUSH, .request = 1 };
   int32_t entry = atoi (instance + 6);
 
-  push.peer = world->entries[entry].identity;
+  push.peer = sim->entries[entry].identity;
   push.documents = *bt_get_publish_changes (publisher);
-  if (world->entries[entry].alive)
-    world_send_link (world, WORLD_ENTRIES + index, &push);
+  if (sim->entries[entry].alive)
+    sim_send_action (sim, SIM_MAX_ENTRIES + index, &push);
 }
 
 static inline void
-world_call_service (world_t *world, int32_t index, bool commit)
+sim_call_service (simulation_t *sim, int32_t index, bool commit)
 {
-  world_operator_t *operator= & world->operators[index];
-  int32_t node = WORLD_ENTRIES + index;
+  sim_operator_t *operator= & sim->operators[index];
+  int32_t node = SIM_MAX_ENTRIES + index;
   message_t *message;
 
   operator->call++;
-  message = world_send (world, MESSAGE_OPERATOR_FAIL, -1, node, WORLD_CALL_MS);
-  message->to_start = operator->call;
+  message = sim_send (sim, MESSAGE_OPERATOR_FAIL, -1, node, SIM_CALL_TIMEOUT_MS);
+  message->to_incarnation = operator->call;
   message->flag = true;
-  if (world->down || world_chance (world, world->loss_percent))
+  if (sim->service_down || sim_random_percent (sim, sim->loss_percent))
     return;
   if (commit)
     {
-      message = world_send (world, MESSAGE_COMMIT, node, -1, world_delay (world));
+      message = sim_send (sim, MESSAGE_COMMIT, node, -1, sim_random_delay_ms (sim));
       message->revision = bt_get_publish_compare (operator->publisher, 0);
-      bt_add_document (world->ctx, &message->documents,
+      bt_add_document (sim->ctx, &message->documents,
                        bt_get_publish_changes (operator->publisher)->items[0]);
     }
   else
     {
-      message = world_send (world, MESSAGE_OPERATOR_READ, -1, node, world_delay (world));
-      world_answer_read (world, message, 0);
+      message = sim_send (sim, MESSAGE_OPERATOR_READ, -1, node, sim_random_delay_ms (sim));
+      sim_fill_read_answer (sim, message, 0);
     }
-  message->to_start = operator->call;
+  message->to_incarnation = operator->call;
 }
 
 static inline void
-world_note_result (world_t *world, world_operator_t *operator)
+sim_record_result (simulation_t *sim, sim_operator_t *operator)
 {
   bt_publish_result_t result = bt_get_publish_result (operator->publisher);
-  world_accepted_t *noted = &world->results[world->result_count];
+  sim_result_t *noted = &sim->results[sim->result_count];
 
-  operator->told = true;
-  if (world->result_count == WORLD_ACCEPTED || result == BT_PUBLISH_UNKNOWN
+  operator->finished = true;
+  if (sim->result_count == SIM_MAX_RESULTS || result == BT_PUBLISH_UNKNOWN
       || result == BT_PUBLISH_WRITTEN)
     return;
   memcpy (noted->tag, operator->tag, sizeof noted->tag);
-  noted->absent = result != BT_PUBLISH_ACCEPTED;
+  noted->not_written = result != BT_PUBLISH_ACCEPTED;
   noted->revision = bt_get_publish_revision (operator->publisher);
-  noted->at_ms = world->now_ms;
-  world->result_count++;
+  noted->finished_ms = sim->now_ms;
+  sim->result_count++;
 }
 
 static inline void
-world_run_publish (world_t *world, int32_t index, bt_publish_actions_t *actions)
+sim_run_publish_actions (simulation_t *sim, int32_t index, bt_publish_actions_t *actions)
 {
   for (int32_t i = 0; i < actions->count; i++)
     {
       const bt_publish_action_t *action = &actions->items[i];
 
       if (action->kind == BT_PUBLISH_FINISH)
-        world_note_result (world, &world->operators[index]);
+        sim_record_result (sim, &sim->operators[index]);
       else if (action->kind == BT_PUBLISH_HAND_OVER)
-        world_hand_over (world, index, action->instance);
+        sim_push_to_entry (sim, index, action->instance);
       else
-        world_call_service (world, index, action->kind == BT_PUBLISH_COMMIT);
+        sim_call_service (sim, index, action->kind == BT_PUBLISH_COMMIT);
     }
-  bt_clear_publish_actions (world->ctx, actions);
+  bt_clear_publish_actions (sim->ctx, actions);
 }
 
 /* An operator adds a tag of its own to the rules that it believes are there. */
 static inline void
-world_publish (world_t *world, int32_t index, const bt_document_t *base)
+sim_publish (simulation_t *sim, int32_t index, const bt_document_t *base)
 {
   static const char *const names[] = { "entry-0", "entry-1", "entry-2", "entry-3",
                                        "entry-4", "entry-5", "entry-6", "entry-7" };
-  world_operator_t *operator= & world->operators[index];
+  sim_operator_t *operator= & sim->operators[index];
   bt_publish_document_t wanted = { .name = "rules" };
   bt_publish_actions_t actions = { 0 };
   char change[BT_CHANGE_BYTES];
-  char tag[WORLD_TAG_BYTES];
-  char text[WORLD_TEXT_BYTES];
+  char tag[SIM_TAG_BYTES];
+  char text[SIM_RULES_BYTES];
 
-  bt_drop_publisher (world->ctx, operator->publisher);
-  world->starts++;
-  snprintf (tag, sizeof tag, "<%llu>", (unsigned long long)world->starts);
+  bt_drop_publisher (sim->ctx, operator->publisher);
+  sim->start_count++;
+  snprintf (tag, sizeof tag, "<%llu>", (unsigned long long)sim->start_count);
   snprintf (text, sizeof text, "%s%s", base == NULL ? "" : base->data, tag);
   memcpy (operator->tag, tag, sizeof tag);
-  snprintf (change, sizeof change, "%032llx", (unsigned long long)world->starts);
+  snprintf (change, sizeof change, "%032llx", (unsigned long long)sim->start_count);
   wanted.data = text;
   wanted.data_bytes = strlen (text);
   wanted.base_revision = base == NULL ? 0 : base->revision;
-  operator->told = false;
-  operator->publisher = bt_new_publisher (world->ctx, &world->publish_settings, change, &wanted, 1);
-  bt_set_publish_entries (world->ctx, operator->publisher, names, world->entry_count);
-  bt_start_publisher (world->ctx, operator->publisher, world->now_ms, &actions);
-  world_run_publish (world, index, &actions);
+  operator->finished = false;
+  operator->publisher = bt_new_publisher (sim->ctx, &sim->publish_settings, change, &wanted, 1);
+  bt_set_publish_entries (sim->ctx, operator->publisher, names, sim->entry_count);
+  bt_start_publisher (sim->ctx, operator->publisher, sim->now_ms, &actions);
+  sim_run_publish_actions (sim, index, &actions);
 }
 
 static inline void
-world_deliver_entry (world_t *world, const message_t *message)
+sim_deliver_to_entry (simulation_t *sim, const message_t *message)
 {
-  world_entry_t *entry = &world->entries[message->to];
-  int64_t now_ms = world_clock (world, message->to);
+  sim_entry_t *entry = &sim->entries[message->to];
+  int64_t now_ms = sim_get_clock_ms (sim, message->to);
   bt_identity_t source = { "operator-", 0 };
   bt_spread_push_t push = { &message->documents, message->from_revision, message->revision,
                             message->flag, message->request };
   bt_spread_actions_t actions = { 0 };
 
-  if (message->from >= WORLD_ENTRIES)
-    snprintf (source.instance, BT_NAME_BYTES, "operator-%d", (int)(message->from - WORLD_ENTRIES));
+  if (message->from >= SIM_MAX_ENTRIES)
+    snprintf (source.instance, BT_NAME_BYTES, "operator-%d",
+              (int)(message->from - SIM_MAX_ENTRIES));
   else if (message->from >= 0)
     {
-      source = world->entries[message->from].identity;
-      source.incarnation = message->from_start;
+      source = sim->entries[message->from].identity;
+      source.incarnation = message->from_incarnation;
     }
   if (message->kind == MESSAGE_HEARTBEAT)
-    bt_take_spread_heartbeat (world->ctx, entry->spread, &source, &message->heartbeat, now_ms,
+    bt_take_spread_heartbeat (sim->ctx, entry->spread, &source, &message->heartbeat, now_ms,
                               &actions);
   else if (message->kind == MESSAGE_PUSH)
-    bt_take_spread_push (world->ctx, entry->spread, &source, &push, now_ms, &actions);
+    bt_take_spread_push (sim->ctx, entry->spread, &source, &push, now_ms, &actions);
   else if (message->kind == MESSAGE_PULL)
-    bt_take_spread_pull (world->ctx, entry->spread, &source, message->from_revision, &actions);
+    bt_take_spread_pull (sim->ctx, entry->spread, &source, message->from_revision, &actions);
   else if (message->kind == MESSAGE_READ)
-    bt_take_store_read (world->ctx, entry->spread, message->revision, &message->documents, now_ms,
+    bt_take_store_read (sim->ctx, entry->spread, message->revision, &message->documents, now_ms,
                         &actions);
   else if (message->kind == MESSAGE_WATCH)
-    bt_take_store_watch (world->ctx, entry->spread, !world->silent_watch, now_ms, &actions);
+    bt_take_store_watch (sim->ctx, entry->spread, !sim->silent_watch, now_ms, &actions);
   else
-    bt_take_store_failure (world->ctx, entry->spread, now_ms);
-  world_run_actions (world, message->to, &actions);
+    bt_take_store_failure (sim->ctx, entry->spread, now_ms);
+  sim_run_actions (sim, message->to, &actions);
 }
 
 static inline void
-world_deliver_operator (world_t *world, const message_t *message)
+sim_deliver_to_operator (simulation_t *sim, const message_t *message)
 {
-  int32_t index = message->to - WORLD_ENTRIES;
-  world_operator_t *operator= & world->operators[index];
+  int32_t index = message->to - SIM_MAX_ENTRIES;
+  sim_operator_t *operator= & sim->operators[index];
   bt_publish_actions_t actions = { 0 };
-  bool current = message->to_start == operator->call;
+  bool current = message->to_incarnation == operator->call;
 
-  if (operator->publisher == NULL || operator->told)
+  if (operator->publisher == NULL || operator->finished)
     return;
   if (message->kind == MESSAGE_IN_FORCE)
     {
-      if (message->from_start == world->entries[message->from].identity.incarnation)
-        bt_take_publish_in_force (world->ctx, operator->publisher,
-                                  world->entries[message->from].identity.instance, "rules",
-                                  message->documents.items[0]->revision, world->now_ms, &actions);
-      world_run_publish (world, index, &actions);
+      if (message->from_incarnation == sim->entries[message->from].identity.incarnation)
+        bt_take_publish_in_force (sim->ctx, operator->publisher,
+                                  sim->entries[message->from].identity.instance, "rules",
+                                  message->documents.items[0]->revision, sim->now_ms, &actions);
+      sim_run_publish_actions (sim, index, &actions);
       return;
     }
   if (!current)
     return;
   operator->call++;
   if (message->kind == MESSAGE_OPERATOR_READ)
-    bt_take_publish_read (world->ctx, operator->publisher, &message->documents, world->now_ms,
+    bt_take_publish_read (sim->ctx, operator->publisher, &message->documents, sim->now_ms,
                           &actions);
   else if (message->kind == MESSAGE_COMMITTED)
-    bt_take_publish_commit (world->ctx, operator->publisher, message->flag, message->revision,
-                            world->now_ms, &actions);
+    bt_take_publish_commit (sim->ctx, operator->publisher, message->flag, message->revision,
+                            sim->now_ms, &actions);
   else
-    bt_take_publish_failure (world->ctx, operator->publisher, true, world->now_ms, &actions);
-  world_run_publish (world, index, &actions);
+    bt_take_publish_failure (sim->ctx, operator->publisher, true, sim->now_ms, &actions);
+  sim_run_publish_actions (sim, index, &actions);
 }
 
 static inline bool
-world_can_deliver (const world_t *world, const message_t *message)
+sim_can_deliver (const simulation_t *sim, const message_t *message)
 {
-  const world_entry_t *entry;
+  const sim_entry_t *entry;
 
-  if (message->to < 0 || message->to >= WORLD_ENTRIES)
+  if (message->to < 0 || message->to >= SIM_MAX_ENTRIES)
     return true;
-  entry = &world->entries[message->to];
-  return entry->alive && message->to_start == entry->identity.incarnation;
+  entry = &sim->entries[message->to];
+  return entry->alive && message->to_incarnation == entry->identity.incarnation;
 }
 
 static inline void
-world_deliver (world_t *world)
+sim_deliver (simulation_t *sim)
 {
-  for (int32_t i = 0; i < world->message_count;)
+  for (int32_t i = 0; i < sim->message_count;)
     {
-      message_t message = world->messages[i];
+      message_t message = sim->messages[i];
       bool held =
-          message.to >= 0 && message.to < WORLD_ENTRIES && world->entries[message.to].paused;
+          message.to >= 0 && message.to < SIM_MAX_ENTRIES && sim->entries[message.to].paused;
 
-      if (message.due_ms > world->now_ms || held)
+      if (message.due_ms > sim->now_ms || held)
         {
           i++;
           continue;
         }
-      world->messages[i] = world->messages[--world->message_count];
+      sim->messages[i] = sim->messages[--sim->message_count];
       if (message.kind == MESSAGE_COMMIT)
-        world_commit (world, &message);
-      else if (message.to >= WORLD_ENTRIES)
-        world_deliver_operator (world, &message);
-      else if (world_can_deliver (world, &message))
-        world_deliver_entry (world, &message);
-      bt_clear_documents (world->ctx, &message.documents);
+        sim_commit (sim, &message);
+      else if (message.to >= SIM_MAX_ENTRIES)
+        sim_deliver_to_operator (sim, &message);
+      else if (sim_can_deliver (sim, &message))
+        sim_deliver_to_entry (sim, &message);
+      bt_clear_documents (sim->ctx, &message.documents);
     }
 }
 
 static inline void
-world_change_link (world_t *world, int32_t from, int32_t to, bool open)
+sim_set_link (simulation_t *sim, int32_t from, int32_t to, bool open)
 {
   bt_spread_actions_t actions = { 0 };
 
-  world->linked[from][to] = open;
+  sim->linked[from][to] = open;
   if (open)
-    bt_open_spread_link (world->ctx, world->entries[from].spread, &world->entries[to].identity,
-                         world_clock (world, from), &actions);
+    bt_open_spread_link (sim->ctx, sim->entries[from].spread, &sim->entries[to].identity,
+                         sim_get_clock_ms (sim, from), &actions);
   else
-    bt_close_spread_link (world->ctx, world->entries[from].spread, &world->entries[to].identity);
-  world_run_actions (world, from, &actions);
+    bt_close_spread_link (sim->ctx, sim->entries[from].spread, &sim->entries[to].identity);
+  sim_run_actions (sim, from, &actions);
 }
 
 static inline void
-world_beat (world_t *world, int32_t from, int32_t to)
+sim_send_heartbeat (simulation_t *sim, int32_t from, int32_t to)
 {
-  const world_entry_t *entry = &world->entries[from];
+  const sim_entry_t *entry = &sim->entries[from];
   message_t *message;
 
-  if (!entry->alive || !world->entries[to].alive || entry->paused)
+  if (!entry->alive || !sim->entries[to].alive || entry->paused)
     return;
-  if (world->cut[from][to])
+  if (sim->blocked[from][to])
     {
-      world->silent_since_ms[from][to] += WORLD_BEAT_MS;
-      if (world->linked[from][to] && world->silent_since_ms[from][to] > WORLD_IDLE_MS)
-        world_change_link (world, from, to, false);
+      sim->silent_since_ms[from][to] += SIM_HEARTBEAT_MS;
+      if (sim->linked[from][to] && sim->silent_since_ms[from][to] > SIM_LINK_IDLE_MS)
+        sim_set_link (sim, from, to, false);
       return;
     }
-  world->silent_since_ms[from][to] = 0;
-  if (!world->linked[from][to])
-    world_change_link (world, from, to, true);
-  if (world_chance (world, world->loss_percent))
+  sim->silent_since_ms[from][to] = 0;
+  if (!sim->linked[from][to])
+    sim_set_link (sim, from, to, true);
+  if (sim_random_percent (sim, sim->loss_percent))
     return;
-  message = world_send (world, MESSAGE_HEARTBEAT, from, to, world_delay (world));
-  bt_make_spread_heartbeat (entry->spread, &world->entries[to].identity, world_clock (world, from),
+  message = sim_send (sim, MESSAGE_HEARTBEAT, from, to, sim_random_delay_ms (sim));
+  bt_make_spread_heartbeat (entry->spread, &sim->entries[to].identity, sim_get_clock_ms (sim, from),
                             &message->heartbeat);
 }
 
 static inline int64_t
-world_get_revision (const world_t *world, int32_t entry)
+sim_get_revision (const simulation_t *sim, int32_t entry)
 {
   const bt_document_t *rules;
 
-  if (!world->entries[entry].alive)
+  if (!sim->entries[entry].alive)
     return -1;
-  rules = bt_find_document (bt_get_spread_table (world->entries[entry].spread), "rules");
+  rules = bt_find_document (bt_get_spread_table (sim->entries[entry].spread), "rules");
   return rules == NULL ? 0 : rules->revision;
 }
 
 static inline bool
-world_admits (const world_t *world, int32_t entry)
+sim_is_admitting (const simulation_t *sim, int32_t entry)
 {
-  const world_entry_t *at = &world->entries[entry];
+  const sim_entry_t *at = &sim->entries[entry];
 
   return at->alive && !at->paused
-         && bt_get_spread_state (at->spread, world_clock (world, entry)) == BT_SPREAD_READY;
+         && bt_get_spread_state (at->spread, sim_get_clock_ms (sim, entry)) == BT_SPREAD_READY;
 }
 
 static inline void
-world_check (world_t *world)
+sim_check_invariants (simulation_t *sim)
 {
-  for (int32_t i = 0; i < world->entry_count; i++)
+  for (int32_t i = 0; i < sim->entry_count; i++)
     {
-      int64_t revision = world_get_revision (world, i);
+      int64_t revision = sim_get_revision (sim, i);
 
       if (revision < 0)
         continue;
-      if (revision < world->entries[i].seen_revision)
-        world_violate (world, "a revision in force went back", i);
-      world->entries[i].seen_revision = revision;
-      for (int32_t j = 0; j < world->result_count; j++)
-        if (!world->results[j].absent && revision < world->results[j].revision
-            && world->now_ms > world->results[j].at_ms + WORLD_BOUND_MS && world_admits (world, i))
-          world_violate (world, "an entry admits under an older revision", i);
+      if (revision < sim->entries[i].last_revision)
+        sim_report_violation (sim, "a revision in force went back", i);
+      sim->entries[i].last_revision = revision;
+      for (int32_t j = 0; j < sim->result_count; j++)
+        if (!sim->results[j].not_written && revision < sim->results[j].revision
+            && sim->now_ms > sim->results[j].finished_ms + SIM_MAX_STALE_MS
+            && sim_is_admitting (sim, i))
+          sim_report_violation (sim, "an entry admits under an older revision", i);
     }
-  for (int32_t j = 0; j < world->result_count; j++)
+  for (int32_t j = 0; j < sim->result_count; j++)
     {
-      bool there =
-          world->rules != NULL && strstr (world->rules->data, world->results[j].tag) != NULL;
+      bool there = sim->rules != NULL && strstr (sim->rules->data, sim->results[j].tag) != NULL;
 
-      if (there == world->results[j].absent)
-        world_violate (world,
-                       there ? "what was told not written is there" : "an accepted change was lost",
-                       -1);
+      if (there == sim->results[j].not_written)
+        sim_report_violation (
+            sim, there ? "what was finished not written is there" : "an accepted change was lost",
+            -1);
     }
 }
 
 static inline void
-world_step (world_t *world)
+sim_step (simulation_t *sim)
 {
   bt_publish_actions_t publish = { 0 };
 
-  world->now_ms += WORLD_STEP_MS;
-  world_deliver (world);
-  for (int32_t i = 0; i < world->entry_count; i++)
+  sim->now_ms += SIM_STEP_MS;
+  sim_deliver (sim);
+  for (int32_t i = 0; i < sim->entry_count; i++)
     {
       bt_spread_actions_t actions = { 0 };
 
-      if (!world->entries[i].alive || world->entries[i].paused)
+      if (!sim->entries[i].alive || sim->entries[i].paused)
         continue;
-      bt_tick_config_spread (world->ctx, world->entries[i].spread, world_clock (world, i),
-                             &actions);
-      world_run_actions (world, i, &actions);
+      bt_tick_config_spread (sim->ctx, sim->entries[i].spread, sim_get_clock_ms (sim, i), &actions);
+      sim_run_actions (sim, i, &actions);
     }
-  if (world->now_ms % WORLD_BEAT_MS == 0)
-    for (int32_t i = 0; i < world->entry_count; i++)
-      for (int32_t j = 0; j < world->entry_count; j++)
+  if (sim->now_ms % SIM_HEARTBEAT_MS == 0)
+    for (int32_t i = 0; i < sim->entry_count; i++)
+      for (int32_t j = 0; j < sim->entry_count; j++)
         if (i != j)
-          world_beat (world, i, j);
-  for (int32_t i = 0; i < WORLD_OPERATORS; i++)
-    if (world->operators[i].publisher != NULL && !world->operators[i].told)
+          sim_send_heartbeat (sim, i, j);
+  for (int32_t i = 0; i < SIM_OPERATORS; i++)
+    if (sim->operators[i].publisher != NULL && !sim->operators[i].finished)
       {
-        for (int32_t j = 0; j < world->entry_count; j++)
+        for (int32_t j = 0; j < sim->entry_count; j++)
           bt_set_publish_incarnation (
-              world->operators[i].publisher, world->entries[j].identity.instance,
-              world->entries[j].alive ? world->entries[j].identity.incarnation : 0);
-        bt_tick_publisher (world->ctx, world->operators[i].publisher, world->now_ms, &publish);
-        world_run_publish (world, i, &publish);
+              sim->operators[i].publisher, sim->entries[j].identity.instance,
+              sim->entries[j].alive ? sim->entries[j].identity.incarnation : 0);
+        bt_tick_publisher (sim->ctx, sim->operators[i].publisher, sim->now_ms, &publish);
+        sim_run_publish_actions (sim, i, &publish);
       }
-  world_check (world);
+  sim_check_invariants (sim);
 }
 
 static inline void
-world_run (world_t *world, int64_t wait_ms)
+sim_run (simulation_t *sim, int64_t wait_ms)
 {
-  for (int64_t end_ms = world->now_ms + wait_ms; world->now_ms < end_ms;)
-    world_step (world);
+  for (int64_t end_ms = sim->now_ms + wait_ms; sim->now_ms < end_ms;)
+    sim_step (sim);
 }
 
 static inline bt_publish_result_t
-world_result (const world_t *world, int32_t index)
+sim_get_result (const simulation_t *sim, int32_t index)
 {
-  return bt_get_publish_result (world->operators[index].publisher);
+  return bt_get_publish_result (sim->operators[index].publisher);
 }
 
-/* Runs until the operator is told how its publish ended. */
+/* Runs until the operator is finished how its publish ended. */
 static inline bt_publish_result_t
-world_finish (world_t *world, int32_t index)
+sim_run_until_finished (simulation_t *sim, int32_t index)
 {
-  for (int32_t i = 0; i < WORLD_PATIENCE && !world->operators[index].told; i++)
-    world_step (world);
-  return world_result (world, index);
+  for (int32_t i = 0; i < SIM_MAX_STEPS && !sim->operators[index].finished; i++)
+    sim_step (sim);
+  return sim_get_result (sim, index);
 }
 
 /* Cuts a node off from all others, or joins it again. */
 static inline void
-world_cut (world_t *world, int32_t node, bool cut)
+sim_isolate_node (simulation_t *sim, int32_t node, bool cut)
 {
-  for (int32_t i = 0; i < WORLD_NODES; i++)
-    world->cut[node][i] = world->cut[i][node] = cut;
+  for (int32_t i = 0; i < SIM_NODES; i++)
+    sim->blocked[node][i] = sim->blocked[i][node] = cut;
 }
 
 /* An entry is replaced by a new process under its name. */
 static inline void
-world_replace (world_t *world, int32_t index)
+sim_replace_entry (simulation_t *sim, int32_t index)
 {
-  world_stop_entry (world, index);
-  world_start_entry (world, index);
-  world_set_members (world);
+  sim_stop_entry (sim, index);
+  sim_start_entry (sim, index);
+  sim_set_members (sim);
 }
 
 #endif
--- a/test/config/test_config_schedule.c
+++ b/test/config/test_config_schedule.c
@@ -7,100 +7,100 @@
   SCHEDULES = 1200,
   FAULTS = 24,
   FAULT_KINDS = 12,
-  GAP_MS = 4000,
-  CALM_MS = 40000,
+  MAX_GAP_MS = 4000,
+  RECOVERY_MS = 40000,
 };
 
 /* Picks an operator that is free and lets it edit what the service holds, or what it held before.
  */
 static void
-publish_something (world_t *world, bt_document_t **remembered)
+publish_edit (simulation_t *sim, bt_document_t **older_base)
 {
-  for (int32_t i = 0; i < WORLD_OPERATORS; i++)
-    if (world->operators[i].publisher == NULL || world->operators[i].told)
+  for (int32_t i = 0; i < SIM_OPERATORS; i++)
+    if (sim->operators[i].publisher == NULL || sim->operators[i].finished)
       {
-        bool old = world_chance (world, 20);
+        bool old = sim_random_percent (sim, 20);
 
-        world_publish (world, i, old ? *remembered : world->rules);
-        if (world->rules != NULL && !old)
+        sim_publish (sim, i, old ? *older_base : sim->rules);
+        if (sim->rules != NULL && !old)
           {
-            bt_drop_document (world->ctx, *remembered);
-            *remembered = bt_keep_document (world->rules);
+            bt_drop_document (sim->ctx, *older_base);
+            *older_base = bt_keep_document (sim->rules);
           }
         return;
       }
 }
 
 static void
-split (world_t *world)
+partition_network (simulation_t *sim)
 {
-  int32_t at = 1 + (int32_t)bt_random_below (&world->random, (uint64_t)world->entry_count - 1);
+  int32_t at = 1 + (int32_t)bt_random_below (&sim->random, (uint64_t)sim->entry_count - 1);
 
-  for (int32_t node = 0; node < WORLD_NODES; node++)
-    for (int32_t other = 0; other < WORLD_NODES; other++)
-      world->cut[node][other] = (node < at) != (other < at);
-  for (int32_t i = 0; i < world->entry_count; i++)
-    world->entries[i].cut_from_service = i < at;
+  for (int32_t node = 0; node < SIM_NODES; node++)
+    for (int32_t other = 0; other < SIM_NODES; other++)
+      sim->blocked[node][other] = (node < at) != (other < at);
+  for (int32_t i = 0; i < sim->entry_count; i++)
+    sim->entries[i].service_unreachable = i < at;
 }
 
 static void
-heal (world_t *world)
+clear_faults (simulation_t *sim)
 {
-  memset (world->cut, 0, sizeof world->cut);
-  world->down = world->silent_watch = world->stale_reads = false;
-  world->loss_percent = world->double_percent = 0;
-  world->link_delay_ms = 0;
-  for (int32_t i = 0; i < world->entry_count; i++)
+  memset (sim->blocked, 0, sizeof sim->blocked);
+  sim->service_down = sim->silent_watch = sim->stale_reads = false;
+  sim->loss_percent = sim->duplicate_percent = 0;
+  sim->link_delay_ms = 0;
+  for (int32_t i = 0; i < sim->entry_count; i++)
     {
-      world->entries[i].paused = false;
-      world->entries[i].cut_from_service = false;
+      sim->entries[i].paused = false;
+      sim->entries[i].service_unreachable = false;
     }
 }
 
 static void
-strike (world_t *world)
+inject_fault (simulation_t *sim)
 {
-  int32_t entry = (int32_t)bt_random_below (&world->random, (uint64_t)world->entry_count);
-  int32_t other = (int32_t)bt_random_below (&world->random, WORLD_NODES);
+  int32_t entry = (int32_t)bt_random_below (&sim->random, (uint64_t)sim->entry_count);
+  int32_t other = (int32_t)bt_random_below (&sim->random, SIM_NODES);
 
-  switch (bt_random_below (&world->random, FAULT_KINDS))
+  switch (bt_random_below (&sim->random, FAULT_KINDS))
     {
     case 0:
-      world->down = !world->down;
+      sim->service_down = !sim->service_down;
       break;
     case 1:
-      world->cut[entry][other] = world->cut[other][entry] = true;
+      sim->blocked[entry][other] = sim->blocked[other][entry] = true;
       break;
     case 2:
-      world_cut (world, entry, true);
+      sim_isolate_node (sim, entry, true);
       break;
     case 3:
-      world->entries[entry].cut_from_service = !world->entries[entry].cut_from_service;
+      sim->entries[entry].service_unreachable = !sim->entries[entry].service_unreachable;
       break;
     case 4:
-      world->entries[entry].paused = !world->entries[entry].paused;
+      sim->entries[entry].paused = !sim->entries[entry].paused;
       break;
     case 5:
-      world_replace (world, entry);
+      sim_replace_entry (sim, entry);
       break;
     case 6:
-      split (world);
+      partition_network (sim);
       break;
     case 7:
-      world->loss_percent = (int32_t)bt_random_below (&world->random, 40);
-      world->double_percent = (int32_t)bt_random_below (&world->random, 40);
+      sim->loss_percent = (int32_t)bt_random_below (&sim->random, 40);
+      sim->duplicate_percent = (int32_t)bt_random_below (&sim->random, 40);
       break;
     case 8:
-      world->link_delay_ms = (int64_t)bt_random_below (&world->random, 6000);
+      sim->link_delay_ms = (int64_t)bt_random_below (&sim->random, 6000);
       break;
     case 9:
-      world->lose_commit_answers = (int32_t)bt_random_below (&world->random, 3);
+      sim->lose_commit_answers = (int32_t)bt_random_below (&sim->random, 3);
       break;
     case 10:
-      world->silent_watch = !world->silent_watch;
+      sim->silent_watch = !sim->silent_watch;
       break;
     default:
-      heal (world);
+      clear_faults (sim);
     }
 }
 
@@ -108,32 +108,32 @@
 static bool
 run_schedule (uint64_t seed, uint32_t spread_off, uint32_t publish_off, uint64_t *accepted)
 {
-  bt_document_t *remembered = NULL;
-  world_t world;
-  bool good;
+  bt_document_t *older_base = NULL;
+  simulation_t sim;
+  bool passed;
 
-  world_open (&world, 3 + (int32_t)(seed % 3), seed, spread_off, publish_off);
-  for (int32_t i = 0; i < FAULTS && world.violation[0] == '\0'; i++)
+  sim_open (&sim, 3 + (int32_t)(seed % 3), seed, spread_off, publish_off);
+  for (int32_t i = 0; i < FAULTS && sim.violation[0] == '\0'; i++)
     {
-      strike (&world);
-      if (world_chance (&world, 50))
-        publish_something (&world, &remembered);
-      world_run (&world, (int64_t)bt_random_below (&world.random, GAP_MS));
+      inject_fault (&sim);
+      if (sim_random_percent (&sim, 50))
+        publish_edit (&sim, &older_base);
+      sim_run (&sim, (int64_t)bt_random_below (&sim.random, MAX_GAP_MS));
     }
-  heal (&world);
-  world_run (&world, CALM_MS);
-  for (int32_t i = 0; i < world.entry_count; i++)
-    if (!world_admits (&world, i)
-        || world_get_revision (&world, i) != (world.rules == NULL ? 0 : world.rules->revision))
-      world_violate (&world, "an entry did not come up to date", i);
-  for (int32_t i = 0; i < world.result_count; i++)
-    *accepted += world.results[i].absent ? 0 : 1;
-  good = world.violation[0] == '\0';
-  if (!good && spread_off == 0 && publish_off == 0)
-    printf ("seed %llu: %s\n", (unsigned long long)seed, world.violation);
-  bt_drop_document (world.ctx, remembered);
-  world_close (&world);
-  return good;
+  clear_faults (&sim);
+  sim_run (&sim, RECOVERY_MS);
+  for (int32_t i = 0; i < sim.entry_count; i++)
+    if (!sim_is_admitting (&sim, i)
+        || sim_get_revision (&sim, i) != (sim.rules == NULL ? 0 : sim.rules->revision))
+      sim_report_violation (&sim, "an entry did not come up to date", i);
+  for (int32_t i = 0; i < sim.result_count; i++)
+    *accepted += sim.results[i].not_written ? 0 : 1;
+  passed = sim.violation[0] == '\0';
+  if (!passed && spread_off == 0 && publish_off == 0)
+    printf ("seed %llu: %s\n", (unsigned long long)seed, sim.violation);
+  bt_drop_document (sim.ctx, older_base);
+  sim_close (&sim);
+  return passed;
 }
 
 static int32_t
@@ -150,8 +150,8 @@
 }
 
 /* Operators edit while entries, links and the service fail in any order, twice and together. No
- * revision in force goes back on a process, no accepted edit vanishes, nothing that was told not
- * written appears, and no entry admits under older rules beyond the bound. */
+ * revision in force goes back on a process, no accepted edit vanishes, nothing that was finished
+ * not written appears, and no entry admits under older rules beyond the bound. */
 static void
 test_promises_hold_in_all_schedules (void)
 {
@@ -165,7 +165,7 @@
   CU_ASSERT_TRUE (count_violations (150, BT_SPREAD_NEVER_ISOLATED, 0) > 0);
   CU_ASSERT_TRUE (count_violations (150, 0, BT_PUBLISH_NO_READ_BACK) > 0);
   CU_ASSERT_TRUE (count_violations (150, 0, BT_PUBLISH_NO_COMPARE) > 0);
-  CU_ASSERT_TRUE (count_violations (150, 0, BT_PUBLISH_NO_HAND_OVER) > 0);
+  CU_ASSERT_TRUE (count_violations (150, 0, BT_PUBLISH_NO_PUSH) > 0);
 }
 
 int
--- a/test/config/test_config_spread.c
+++ b/test/config/test_config_spread.c
@@ -5,50 +5,50 @@
 enum
 {
   SETTLE_MS = 5000,
-  LONG_MS = 60000,
+  LONG_RUN_MS = 60000,
 };
 
 /* Three entries, and one accepted change in force on all. */
 static void
-open_settled (world_t *world, int32_t entries, uint32_t spread_off, uint32_t publish_off)
+open_settled (simulation_t *sim, int32_t entries, uint32_t spread_off, uint32_t publish_off)
 {
-  world_open (world, entries, 7, spread_off, publish_off);
-  world_run (world, SETTLE_MS);
-  world_publish (world, 0, NULL);
-  world_run (world, SETTLE_MS);
-  CU_ASSERT_EQUAL_FATAL (world_result (world, 0), BT_PUBLISH_ACCEPTED);
+  sim_open (sim, entries, 7, spread_off, publish_off);
+  sim_run (sim, SETTLE_MS);
+  sim_publish (sim, 0, NULL);
+  sim_run (sim, SETTLE_MS);
+  CU_ASSERT_EQUAL_FATAL (sim_get_result (sim, 0), BT_PUBLISH_ACCEPTED);
   for (int32_t i = 0; i < entries; i++)
-    CU_ASSERT_EQUAL (world_get_revision (world, i), world->rules->revision);
+    CU_ASSERT_EQUAL (sim_get_revision (sim, i), sim->rules->revision);
 }
 
 static void
 test_change_is_in_force_everywhere_within_seconds (void)
 {
-  world_t world;
+  simulation_t sim;
   int64_t begun_ms;
 
-  open_settled (&world, 5, 0, 0);
-  begun_ms = world.now_ms;
-  world_publish (&world, 1, world.rules);
-  CU_ASSERT_EQUAL (world_finish (&world, 1), BT_PUBLISH_ACCEPTED);
-  CU_ASSERT_TRUE (world.now_ms - begun_ms <= 2000);
+  open_settled (&sim, 5, 0, 0);
+  begun_ms = sim.now_ms;
+  sim_publish (&sim, 1, sim.rules);
+  CU_ASSERT_EQUAL (sim_run_until_finished (&sim, 1), BT_PUBLISH_ACCEPTED);
+  CU_ASSERT_TRUE (sim.now_ms - begun_ms <= 2000);
   for (int32_t i = 0; i < 5; i++)
-    CU_ASSERT_EQUAL (world_get_revision (&world, i), world.rules->revision);
-  world_run (&world, LONG_MS);
-  CU_ASSERT_STRING_EQUAL (world.violation, "");
-  world_close (&world);
+    CU_ASSERT_EQUAL (sim_get_revision (&sim, i), sim.rules->revision);
+  sim_run (&sim, LONG_RUN_MS);
+  CU_ASSERT_STRING_EQUAL (sim.violation, "");
+  sim_close (&sim);
 }
 
 static void
-run_silent_watch (world_t *world, uint32_t guards_off)
+run_silent_watch (simulation_t *sim, uint32_t guards_off)
 {
-  open_settled (world, 3, guards_off, BT_PUBLISH_NO_HAND_OVER);
-  world->silent_watch = true;
-  world_run (world, SETTLE_MS);
+  open_settled (sim, 3, guards_off, BT_PUBLISH_NO_PUSH);
+  sim->silent_watch = true;
+  sim_run (sim, SETTLE_MS);
   for (int32_t i = 0; i < 3; i++)
-    world->cut[WORLD_ENTRIES + 1][i] = true;
-  world_publish (world, 1, world->rules);
-  world_run (world, LONG_MS);
+    sim->blocked[SIM_MAX_ENTRIES + 1][i] = true;
+  sim_publish (sim, 1, sim->rules);
+  sim_run (sim, LONG_RUN_MS);
 }
 
 /* An edit never arrives, though the service answers everyone who asks. The watches went silent for
@@ -56,26 +56,26 @@
 static void
 test_silent_watch_is_followed_by_read (void)
 {
-  world_t world;
-
-  run_silent_watch (&world, 0);
-  CU_ASSERT_STRING_EQUAL (world.violation, "");
-  CU_ASSERT_EQUAL (world_get_revision (&world, 0), world.rules->revision);
-  world_close (&world);
-  run_silent_watch (&world, BT_SPREAD_TRUST_QUIET_WATCH);
-  CU_ASSERT_STRING_NOT_EQUAL (world.violation, "");
-  world_close (&world);
+  simulation_t sim;
+
+  run_silent_watch (&sim, 0);
+  CU_ASSERT_STRING_EQUAL (sim.violation, "");
+  CU_ASSERT_EQUAL (sim_get_revision (&sim, 0), sim.rules->revision);
+  sim_close (&sim);
+  run_silent_watch (&sim, BT_SPREAD_TRUST_QUIET_WATCH);
+  CU_ASSERT_STRING_NOT_EQUAL (sim.violation, "");
+  sim_close (&sim);
 }
 
 static void
-run_cut_off_entry (world_t *world, uint32_t guards_off)
+run_cut_off_entry (simulation_t *sim, uint32_t guards_off)
 {
-  open_settled (world, 3, guards_off, 0);
-  world_cut (world, 2, true);
-  world->entries[2].cut_from_service = true;
-  world_publish (world, 1, world->rules);
-  CU_ASSERT_EQUAL (world_finish (world, 1), BT_PUBLISH_ACCEPTED);
-  world_run (world, LONG_MS);
+  open_settled (sim, 3, guards_off, 0);
+  sim_isolate_node (sim, 2, true);
+  sim->entries[2].service_unreachable = true;
+  sim_publish (sim, 1, sim->rules);
+  CU_ASSERT_EQUAL (sim_run_until_finished (sim, 1), BT_PUBLISH_ACCEPTED);
+  sim_run (sim, LONG_RUN_MS);
 }
 
 /* An entry loses everyone but its callers. They go on being served by rules that an operator has
@@ -83,33 +83,33 @@
 static void
 test_cut_off_entry_is_isolated (void)
 {
-  world_t world;
+  simulation_t sim;
 
-  run_cut_off_entry (&world, 0);
-  CU_ASSERT_STRING_EQUAL (world.violation, "");
-  CU_ASSERT_EQUAL (bt_get_spread_state (world.entries[2].spread, world_clock (&world, 2)),
+  run_cut_off_entry (&sim, 0);
+  CU_ASSERT_STRING_EQUAL (sim.violation, "");
+  CU_ASSERT_EQUAL (bt_get_spread_state (sim.entries[2].spread, sim_get_clock_ms (&sim, 2)),
                    BT_SPREAD_ISOLATED);
-  world_cut (&world, 2, false);
-  world_run (&world, SETTLE_MS);
-  CU_ASSERT_TRUE (world_admits (&world, 2));
-  CU_ASSERT_EQUAL (world_get_revision (&world, 2), world.rules->revision);
-  world_close (&world);
-  run_cut_off_entry (&world, BT_SPREAD_NEVER_ISOLATED);
-  CU_ASSERT_STRING_NOT_EQUAL (world.violation, "");
-  world_close (&world);
+  sim_isolate_node (&sim, 2, false);
+  sim_run (&sim, SETTLE_MS);
+  CU_ASSERT_TRUE (sim_is_admitting (&sim, 2));
+  CU_ASSERT_EQUAL (sim_get_revision (&sim, 2), sim.rules->revision);
+  sim_close (&sim);
+  run_cut_off_entry (&sim, BT_SPREAD_NEVER_ISOLATED);
+  CU_ASSERT_STRING_NOT_EQUAL (sim.violation, "");
+  sim_close (&sim);
 }
 
 static void
-run_island (world_t *world, uint32_t guards_off)
+run_minority_partition (simulation_t *sim, uint32_t guards_off)
 {
-  open_settled (world, 5, guards_off, 0);
-  for (int32_t node = 0; node < WORLD_NODES; node++)
-    for (int32_t other = 0; other < WORLD_NODES; other++)
-      world->cut[node][other] = (node == 3 || node == 4) != (other == 3 || other == 4);
-  world->entries[3].cut_from_service = world->entries[4].cut_from_service = true;
-  world_publish (world, 1, world->rules);
-  CU_ASSERT_EQUAL (world_finish (world, 1), BT_PUBLISH_ACCEPTED);
-  world_run (world, LONG_MS);
+  open_settled (sim, 5, guards_off, 0);
+  for (int32_t node = 0; node < SIM_NODES; node++)
+    for (int32_t other = 0; other < SIM_NODES; other++)
+      sim->blocked[node][other] = (node == 3 || node == 4) != (other == 3 || other == 4);
+  sim->entries[3].service_unreachable = sim->entries[4].service_unreachable = true;
+  sim_publish (sim, 1, sim->rules);
+  CU_ASSERT_EQUAL (sim_run_until_finished (sim, 1), BT_PUBLISH_ACCEPTED);
+  sim_run (sim, LONG_RUN_MS);
 }
 
 /* Two of five entries are cut off together. Each still hears a peer, so to them it looks as if only
@@ -117,16 +117,16 @@
 static void
 test_island_without_majority_is_isolated (void)
 {
-  world_t world;
-
-  run_island (&world, 0);
-  CU_ASSERT_STRING_EQUAL (world.violation, "");
-  CU_ASSERT_FALSE (world_admits (&world, 3));
-  CU_ASSERT_TRUE (world_admits (&world, 0));
-  world_close (&world);
-  run_island (&world, BT_SPREAD_ANY_PEER);
-  CU_ASSERT_STRING_NOT_EQUAL (world.violation, "");
-  world_close (&world);
+  simulation_t sim;
+
+  run_minority_partition (&sim, 0);
+  CU_ASSERT_STRING_EQUAL (sim.violation, "");
+  CU_ASSERT_FALSE (sim_is_admitting (&sim, 3));
+  CU_ASSERT_TRUE (sim_is_admitting (&sim, 0));
+  sim_close (&sim);
+  run_minority_partition (&sim, BT_SPREAD_ANY_PEER);
+  CU_ASSERT_STRING_NOT_EQUAL (sim.violation, "");
+  sim_close (&sim);
 }
 
 /* The service is down for half an hour. Nothing can be accepted meanwhile, so all entries go on by
@@ -135,40 +135,40 @@
 static void
 test_long_outage_and_replaced_entry (void)
 {
-  world_t world;
-
-  open_settled (&world, 3, 0, 0);
-  world.down = true;
-  world_run (&world, 900000);
-  world_replace (&world, 1);
-  world_run (&world, SETTLE_MS);
-  CU_ASSERT_EQUAL (world_get_revision (&world, 1), world.rules->revision);
-  world_run (&world, 900000);
+  simulation_t sim;
+
+  open_settled (&sim, 3, 0, 0);
+  sim.service_down = true;
+  sim_run (&sim, 900000);
+  sim_replace_entry (&sim, 1);
+  sim_run (&sim, SETTLE_MS);
+  CU_ASSERT_EQUAL (sim_get_revision (&sim, 1), sim.rules->revision);
+  sim_run (&sim, 900000);
   for (int32_t i = 0; i < 3; i++)
-    CU_ASSERT_TRUE (world_admits (&world, i));
-  world.down = false;
-  world_publish (&world, 1, world.rules);
-  CU_ASSERT_EQUAL (world_finish (&world, 1), BT_PUBLISH_ACCEPTED);
-  world_run (&world, LONG_MS);
-  CU_ASSERT_STRING_EQUAL (world.violation, "");
-  world_close (&world);
+    CU_ASSERT_TRUE (sim_is_admitting (&sim, i));
+  sim.service_down = false;
+  sim_publish (&sim, 1, sim.rules);
+  CU_ASSERT_EQUAL (sim_run_until_finished (&sim, 1), BT_PUBLISH_ACCEPTED);
+  sim_run (&sim, LONG_RUN_MS);
+  CU_ASSERT_STRING_EQUAL (sim.violation, "");
+  sim_close (&sim);
 }
 
 static void
-run_start_from_old_peer (world_t *world, uint32_t guards_off)
+run_start_from_old_peer (simulation_t *sim, uint32_t guards_off)
 {
-  open_settled (world, 3, guards_off, 0);
-  world_cut (world, 2, true);
-  world->entries[2].cut_from_service = true;
-  world_publish (world, 1, world->rules);
-  CU_ASSERT_EQUAL (world_finish (world, 1), BT_PUBLISH_ACCEPTED);
-  world->down = true;
-  world_cut (world, 2, false);
-  world_cut (world, 0, true);
-  world->cut[1][2] = world->cut[2][1] = false;
-  world_stop_entry (world, 0);
-  world_replace (world, 1);
-  world_run (world, LONG_MS);
+  open_settled (sim, 3, guards_off, 0);
+  sim_isolate_node (sim, 2, true);
+  sim->entries[2].service_unreachable = true;
+  sim_publish (sim, 1, sim->rules);
+  CU_ASSERT_EQUAL (sim_run_until_finished (sim, 1), BT_PUBLISH_ACCEPTED);
+  sim->service_down = true;
+  sim_isolate_node (sim, 2, false);
+  sim_isolate_node (sim, 0, true);
+  sim->blocked[1][2] = sim->blocked[2][1] = false;
+  sim_stop_entry (sim, 0);
+  sim_replace_entry (sim, 1);
+  sim_run (sim, LONG_RUN_MS);
 }
 
 /* A change was accepted by two of three; the third was away. The service goes down, one of the two
@@ -177,45 +177,45 @@
 static void
 test_start_needs_enough_peers (void)
 {
-  world_t world;
+  simulation_t sim;
 
-  run_start_from_old_peer (&world, 0);
-  CU_ASSERT_STRING_EQUAL (world.violation, "");
-  CU_ASSERT_EQUAL (bt_get_spread_state (world.entries[1].spread, world_clock (&world, 1)),
+  run_start_from_old_peer (&sim, 0);
+  CU_ASSERT_STRING_EQUAL (sim.violation, "");
+  CU_ASSERT_EQUAL (bt_get_spread_state (sim.entries[1].spread, sim_get_clock_ms (&sim, 1)),
                    BT_SPREAD_NOT_READY);
-  world_close (&world);
-  run_start_from_old_peer (&world, BT_SPREAD_ANY_PEER);
-  CU_ASSERT_STRING_NOT_EQUAL (world.violation, "");
-  world_close (&world);
+  sim_close (&sim);
+  run_start_from_old_peer (&sim, BT_SPREAD_ANY_PEER);
+  CU_ASSERT_STRING_NOT_EQUAL (sim.violation, "");
+  sim_close (&sim);
 }
 
 static void
-run_stale_read (world_t *world, uint32_t guards_off)
+run_stale_read (simulation_t *sim, uint32_t guards_off)
 {
-  open_settled (world, 3, guards_off, 0);
-  world_remember (world);
-  world_publish (world, 1, world->rules);
-  CU_ASSERT_EQUAL (world_finish (world, 1), BT_PUBLISH_ACCEPTED);
-  world->down = true;
-  world_run (world, SETTLE_MS);
-  world_replace (world, 1);
-  world_run (world, SETTLE_MS);
-  world->stale_reads = true;
-  world->down = false;
-  world_run (world, LONG_MS);
+  open_settled (sim, 3, guards_off, 0);
+  sim_save_stale_state (sim);
+  sim_publish (sim, 1, sim->rules);
+  CU_ASSERT_EQUAL (sim_run_until_finished (sim, 1), BT_PUBLISH_ACCEPTED);
+  sim->service_down = true;
+  sim_run (sim, SETTLE_MS);
+  sim_replace_entry (sim, 1);
+  sim_run (sim, SETTLE_MS);
+  sim->stale_reads = true;
+  sim->service_down = false;
+  sim_run (sim, LONG_RUN_MS);
 }
 
 static void
-run_stale_first_read (world_t *world, uint32_t guards_off)
+run_stale_first_read (simulation_t *sim, uint32_t guards_off)
 {
-  open_settled (world, 3, guards_off, 0);
-  world_remember (world);
-  world_publish (world, 1, world->rules);
-  CU_ASSERT_EQUAL (world_finish (world, 1), BT_PUBLISH_ACCEPTED);
-  world->stale_reads = true;
-  world->read_delay_ms = 1000;
-  world_replace (world, 1);
-  world_run (world, SETTLE_MS);
+  open_settled (sim, 3, guards_off, 0);
+  sim_save_stale_state (sim);
+  sim_publish (sim, 1, sim->rules);
+  CU_ASSERT_EQUAL (sim_run_until_finished (sim, 1), BT_PUBLISH_ACCEPTED);
+  sim->stale_reads = true;
+  sim->read_delay_ms = 1000;
+  sim_replace_entry (sim, 1);
+  sim_run (sim, SETTLE_MS);
 }
 
 /* A new entry asks the service and its peers together. The peers answer first, with the rules in
@@ -224,16 +224,16 @@
 static void
 test_older_document_is_dropped (void)
 {
-  world_t world;
+  simulation_t sim;
 
-  run_stale_first_read (&world, 0);
-  CU_ASSERT_STRING_EQUAL (world.violation, "");
-  CU_ASSERT_TRUE (bt_count_offers (bt_get_spread_table (world.entries[1].spread), BT_OFFER_OLDER)
+  run_stale_first_read (&sim, 0);
+  CU_ASSERT_STRING_EQUAL (sim.violation, "");
+  CU_ASSERT_TRUE (bt_count_offers (bt_get_spread_table (sim.entries[1].spread), BT_OFFER_OLDER)
                   > 0);
-  world_close (&world);
-  run_stale_first_read (&world, BT_SPREAD_TAKE_OLDER);
-  CU_ASSERT_STRING_NOT_EQUAL (world.violation, "");
-  world_close (&world);
+  sim_close (&sim);
+  run_stale_first_read (&sim, BT_SPREAD_TAKE_OLDER);
+  CU_ASSERT_STRING_NOT_EQUAL (sim.violation, "");
+  sim_close (&sim);
 }
 
 /* After an outage the service answers, for a while, from a replica that lags: nothing may come of
@@ -241,22 +241,22 @@
 static void
 test_stale_read_after_recovery_is_dropped (void)
 {
-  world_t world;
+  simulation_t sim;
   bt_spread_status_t status;
 
-  run_stale_read (&world, 0);
-  CU_ASSERT_STRING_EQUAL (world.violation, "");
-  bt_get_spread_status (world.entries[1].spread, world_clock (&world, 1), &status);
+  run_stale_read (&sim, 0);
+  CU_ASSERT_STRING_EQUAL (sim.violation, "");
+  bt_get_spread_status (sim.entries[1].spread, sim_get_clock_ms (&sim, 1), &status);
   CU_ASSERT_TRUE (status.stale_reads > 0);
-  world_close (&world);
+  sim_close (&sim);
 }
 
 static void
-run_stale_isolated (world_t *world, uint32_t guards_off)
+run_stale_isolated (simulation_t *sim, uint32_t guards_off)
 {
-  run_stale_read (world, guards_off);
-  world_cut (world, 1, true);
-  world_run (world, LONG_MS);
+  run_stale_read (sim, guards_off);
+  sim_isolate_node (sim, 1, true);
+  sim_run (sim, LONG_RUN_MS);
 }
 
 /* The same replica answers one entry that has lost its peers: each stale answer would count as
@@ -264,31 +264,31 @@
 static void
 test_stale_read_is_not_fresh (void)
 {
-  world_t world;
-
-  run_stale_isolated (&world, 0);
-  CU_ASSERT_FALSE (world_admits (&world, 1));
-  world_close (&world);
-  run_stale_isolated (&world, BT_SPREAD_TRUST_STALE_READ);
-  CU_ASSERT_TRUE (world_admits (&world, 1));
-  world_close (&world);
+  simulation_t sim;
+
+  run_stale_isolated (&sim, 0);
+  CU_ASSERT_FALSE (sim_is_admitting (&sim, 1));
+  sim_close (&sim);
+  run_stale_isolated (&sim, BT_SPREAD_TRUST_STALE_READ);
+  CU_ASSERT_TRUE (sim_is_admitting (&sim, 1));
+  sim_close (&sim);
 }
 
 static void
-run_killed_spreader (world_t *world, uint32_t guards_off)
+run_killed_forwarder (simulation_t *sim, uint32_t guards_off)
 {
-  open_settled (world, 3, guards_off, BT_PUBLISH_ANY_ENTRY);
-  world->cut[0][1] = true;
+  open_settled (sim, 3, guards_off, BT_PUBLISH_ANY_ENTRY);
+  sim->blocked[0][1] = true;
   for (int32_t i = 1; i < 3; i++)
-    world->cut[WORLD_ENTRIES + 1][i] = true;
+    sim->blocked[SIM_MAX_ENTRIES + 1][i] = true;
   for (int32_t i = 0; i < 3; i++)
-    world->entries[i].cut_from_service = true;
-  world_publish (world, 1, world->rules);
-  world->cut[2][1] = true;
-  world_run (world, SETTLE_MS);
-  world_stop_entry (world, 0);
-  world->cut[2][1] = false;
-  world_run (world, LONG_MS);
+    sim->entries[i].service_unreachable = true;
+  sim_publish (sim, 1, sim->rules);
+  sim->blocked[2][1] = true;
+  sim_run (sim, SETTLE_MS);
+  sim_stop_entry (sim, 0);
+  sim->blocked[2][1] = false;
+  sim_run (sim, LONG_RUN_MS);
 }
 
 /* The entry that alone got a change from the operator dies when one of two peers has learnt it from
@@ -297,26 +297,26 @@
 static void
 test_entry_killed_while_it_spreads (void)
 {
-  world_t world;
-
-  run_killed_spreader (&world, 0);
-  CU_ASSERT_STRING_EQUAL (world.violation, "");
-  CU_ASSERT_EQUAL (world_get_revision (&world, 1), world.rules->revision);
-  world_close (&world);
-  run_killed_spreader (&world, BT_SPREAD_NO_PULL);
-  CU_ASSERT_TRUE (world_get_revision (&world, 1) < world.rules->revision);
-  world_close (&world);
+  simulation_t sim;
+
+  run_killed_forwarder (&sim, 0);
+  CU_ASSERT_STRING_EQUAL (sim.violation, "");
+  CU_ASSERT_EQUAL (sim_get_revision (&sim, 1), sim.rules->revision);
+  sim_close (&sim);
+  run_killed_forwarder (&sim, BT_SPREAD_NO_PULL);
+  CU_ASSERT_TRUE (sim_get_revision (&sim, 1) < sim.rules->revision);
+  sim_close (&sim);
 }
 
 static void
-run_late_heartbeats (world_t *world, uint32_t guards_off)
+run_late_heartbeats (simulation_t *sim, uint32_t guards_off)
 {
-  open_settled (world, 3, guards_off, 0);
-  world->link_delay_ms = 90000;
-  world->entries[2].cut_from_service = true;
+  open_settled (sim, 3, guards_off, 0);
+  sim->link_delay_ms = 90000;
+  sim->entries[2].service_unreachable = true;
   for (int32_t i = 0; i < 2; i++)
-    world->cut[WORLD_ENTRIES + 1][2] = true;
-  world_run (world, (int64_t)2 * LONG_MS);
+    sim->blocked[SIM_MAX_ENTRIES + 1][2] = true;
+  sim_run (sim, (int64_t)2 * LONG_RUN_MS);
 }
 
 /* Heartbeats reach one entry a minute and a half late, one each second. Dated by their arrival they
@@ -324,14 +324,14 @@
 static void
 test_late_heartbeat_is_not_fresh (void)
 {
-  world_t world;
-
-  run_late_heartbeats (&world, 0);
-  CU_ASSERT_FALSE (world_admits (&world, 2));
-  world_close (&world);
-  run_late_heartbeats (&world, BT_SPREAD_TRUST_ARRIVAL);
-  CU_ASSERT_TRUE (world_admits (&world, 2));
-  world_close (&world);
+  simulation_t sim;
+
+  run_late_heartbeats (&sim, 0);
+  CU_ASSERT_FALSE (sim_is_admitting (&sim, 2));
+  sim_close (&sim);
+  run_late_heartbeats (&sim, BT_SPREAD_TRUST_ARRIVAL);
+  CU_ASSERT_TRUE (sim_is_admitting (&sim, 2));
+  sim_close (&sim);
 }
 
 /* The clocks of the machines are hours apart, one of them far in the past. Readings of different
@@ -340,24 +340,24 @@
 test_clocks_far_off (void)
 {
   static const int64_t offsets[] = { 0, 36000000, 86400000 };
-  world_t world;
+  simulation_t sim;
 
-  open_settled (&world, 3, 0, 0);
+  open_settled (&sim, 3, 0, 0);
   for (int32_t i = 0; i < 3; i++)
     {
-      world.entries[i].clock_offset_ms = offsets[i];
-      world_replace (&world, i);
-      world_run (&world, SETTLE_MS);
+      sim.entries[i].clock_offset_ms = offsets[i];
+      sim_replace_entry (&sim, i);
+      sim_run (&sim, SETTLE_MS);
     }
-  world.down = true;
-  world_run (&world, LONG_MS);
+  sim.service_down = true;
+  sim_run (&sim, LONG_RUN_MS);
   for (int32_t i = 0; i < 3; i++)
-    CU_ASSERT_TRUE (world_admits (&world, i));
-  world_cut (&world, 2, true);
-  world_run (&world, LONG_MS);
-  CU_ASSERT_FALSE (world_admits (&world, 2));
-  CU_ASSERT_STRING_EQUAL (world.violation, "");
-  world_close (&world);
+    CU_ASSERT_TRUE (sim_is_admitting (&sim, i));
+  sim_isolate_node (&sim, 2, true);
+  sim_run (&sim, LONG_RUN_MS);
+  CU_ASSERT_FALSE (sim_is_admitting (&sim, 2));
+  CU_ASSERT_STRING_EQUAL (sim.violation, "");
+  sim_close (&sim);
 }
 
 /* A process is paused for a minute, and a change is accepted meanwhile. When it wakes, its first
@@ -365,19 +365,19 @@
 static void
 test_woken_process_does_not_admit_at_once (void)
 {
-  world_t world;
-
-  open_settled (&world, 3, 0, 0);
-  world.entries[2].paused = true;
-  world_publish (&world, 1, world.rules);
-  CU_ASSERT_EQUAL (world_finish (&world, 1), BT_PUBLISH_ACCEPTED);
-  world_run (&world, LONG_MS);
-  world.entries[2].paused = false;
-  CU_ASSERT_FALSE (world_admits (&world, 2));
-  world_run (&world, SETTLE_MS);
-  CU_ASSERT_TRUE (world_admits (&world, 2));
-  CU_ASSERT_STRING_EQUAL (world.violation, "");
-  world_close (&world);
+  simulation_t sim;
+
+  open_settled (&sim, 3, 0, 0);
+  sim.entries[2].paused = true;
+  sim_publish (&sim, 1, sim.rules);
+  CU_ASSERT_EQUAL (sim_run_until_finished (&sim, 1), BT_PUBLISH_ACCEPTED);
+  sim_run (&sim, LONG_RUN_MS);
+  sim.entries[2].paused = false;
+  CU_ASSERT_FALSE (sim_is_admitting (&sim, 2));
+  sim_run (&sim, SETTLE_MS);
+  CU_ASSERT_TRUE (sim_is_admitting (&sim, 2));
+  CU_ASSERT_STRING_EQUAL (sim.violation, "");
+  sim_close (&sim);
 }
 
 int
--- a/test/config/test_config_table.c
+++ b/test/config/test_config_table.c
@@ -37,7 +37,7 @@
   bt_context_t *ctx = bt_new_context ();
   bt_config_table_t *table = bt_new_config_table (ctx, 0);
 
-  CU_ASSERT_EQUAL (offer (ctx, table, "rules", 5, "new"), BT_OFFER_TAKEN);
+  CU_ASSERT_EQUAL (offer (ctx, table, "rules", 5, "new"), BT_OFFER_APPLIED);
   CU_ASSERT_EQUAL (offer (ctx, table, "rules", 5, "new"), BT_OFFER_SAME);
   CU_ASSERT_EQUAL (offer (ctx, table, "rules", 4, "old"), BT_OFFER_OLDER);
   CU_ASSERT_EQUAL (offer (ctx, table, "rules", 5, "other"), BT_OFFER_DIFFERENT);
@@ -46,7 +46,7 @@
   CU_ASSERT_EQUAL (bt_count_offers (table, BT_OFFER_DIFFERENT), 1);
   CU_ASSERT_EQUAL (bt_get_table_revision (table), 5);
   bt_drop_config_table (ctx, table);
-  table = bt_new_config_table (ctx, BT_TABLE_TAKE_OLDER);
+  table = bt_new_config_table (ctx, BT_TABLE_ACCEPT_OLDER);
   offer (ctx, table, "rules", 5, "new");
   offer (ctx, table, "rules", 4, "old");
   CU_ASSERT_STRING_EQUAL (bt_find_document (table, "rules")->data, "old");
--- a/test/config/test_publisher.c
+++ b/test/config/test_publisher.c
@@ -5,18 +5,18 @@
 enum
 {
   SETTLE_MS = 5000,
-  LONG_MS = 60000,
+  LONG_RUN_MS = 60000,
 };
 
 static void
-run_lost_answer (world_t *world, uint32_t guards_off)
+run_lost_answer (simulation_t *sim, uint32_t guards_off)
 {
-  world_open (world, 3, 7, 0, guards_off);
-  world_run (world, SETTLE_MS);
-  world->lose_commit_answers = 1;
-  world_publish (world, 0, NULL);
-  world_finish (world, 0);
-  world_run (world, LONG_MS);
+  sim_open (sim, 3, 7, 0, guards_off);
+  sim_run (sim, SETTLE_MS);
+  sim->lose_commit_answers = 1;
+  sim_publish (sim, 0, NULL);
+  sim_run_until_finished (sim, 0);
+  sim_run (sim, LONG_RUN_MS);
 }
 
 /* The service writes a change and the answer is lost. Told that it failed, the operator would
@@ -24,34 +24,34 @@
 static void
 test_lost_answer_is_read_back (void)
 {
-  world_t world;
+  simulation_t sim;
 
-  run_lost_answer (&world, 0);
-  CU_ASSERT_STRING_EQUAL (world.violation, "");
-  CU_ASSERT_EQUAL (world_result (&world, 0), BT_PUBLISH_ACCEPTED);
-  CU_ASSERT_EQUAL (world.service_revision, 11);
-  world_close (&world);
-  run_lost_answer (&world, BT_PUBLISH_NO_READ_BACK);
-  CU_ASSERT_STRING_NOT_EQUAL (world.violation, "");
-  world_close (&world);
+  run_lost_answer (&sim, 0);
+  CU_ASSERT_STRING_EQUAL (sim.violation, "");
+  CU_ASSERT_EQUAL (sim_get_result (&sim, 0), BT_PUBLISH_ACCEPTED);
+  CU_ASSERT_EQUAL (sim.service_revision, 11);
+  sim_close (&sim);
+  run_lost_answer (&sim, BT_PUBLISH_NO_READ_BACK);
+  CU_ASSERT_STRING_NOT_EQUAL (sim.violation, "");
+  sim_close (&sim);
 }
 
 static void
-run_race (world_t *world, uint32_t guards_off)
+run_race (simulation_t *sim, uint32_t guards_off)
 {
   bt_document_t *base;
 
-  world_open (world, 3, 7, 0, guards_off);
-  world_run (world, SETTLE_MS);
-  world_publish (world, 0, NULL);
-  world_finish (world, 0);
-  base = bt_keep_document (world->rules);
-  world_publish (world, 1, base);
-  world_finish (world, 1);
-  world_publish (world, 2, base);
-  world_finish (world, 2);
-  bt_drop_document (world->ctx, base);
-  world_run (world, LONG_MS);
+  sim_open (sim, 3, 7, 0, guards_off);
+  sim_run (sim, SETTLE_MS);
+  sim_publish (sim, 0, NULL);
+  sim_run_until_finished (sim, 0);
+  base = bt_keep_document (sim->rules);
+  sim_publish (sim, 1, base);
+  sim_run_until_finished (sim, 1);
+  sim_publish (sim, 2, base);
+  sim_run_until_finished (sim, 2);
+  bt_drop_document (sim->ctx, base);
+  sim_run (sim, LONG_RUN_MS);
 }
 
 /* Two operators edit the same revision. The second publish would undo the first one's accepted edit
@@ -60,21 +60,21 @@
 test_second_of_two_operators_meets_conflict (void)
 {
   const bt_publish_conflict_t *conflict;
-  world_t world;
+  simulation_t sim;
 
-  run_race (&world, 0);
-  CU_ASSERT_STRING_EQUAL (world.violation, "");
-  CU_ASSERT_EQUAL (world_result (&world, 2), BT_PUBLISH_CONFLICT);
-  CU_ASSERT_EQUAL_FATAL (bt_count_publish_conflicts (world.operators[2].publisher), 1);
-  conflict = bt_get_publish_conflict (world.operators[2].publisher, 0);
+  run_race (&sim, 0);
+  CU_ASSERT_STRING_EQUAL (sim.violation, "");
+  CU_ASSERT_EQUAL (sim_get_result (&sim, 2), BT_PUBLISH_CONFLICT);
+  CU_ASSERT_EQUAL_FATAL (bt_count_publish_conflicts (sim.operators[2].publisher), 1);
+  conflict = bt_get_publish_conflict (sim.operators[2].publisher, 0);
   CU_ASSERT_STRING_EQUAL (conflict->name, "rules");
   CU_ASSERT_EQUAL (conflict->base_revision, 11);
   CU_ASSERT_EQUAL (conflict->revision, 12);
-  CU_ASSERT_STRING_EQUAL (conflict->change, world.rules->change);
-  world_close (&world);
-  run_race (&world, BT_PUBLISH_NO_COMPARE);
-  CU_ASSERT_STRING_NOT_EQUAL (world.violation, "");
-  world_close (&world);
+  CU_ASSERT_STRING_EQUAL (conflict->change, sim.rules->change);
+  sim_close (&sim);
+  run_race (&sim, BT_PUBLISH_NO_COMPARE);
+  CU_ASSERT_STRING_NOT_EQUAL (sim.violation, "");
+  sim_close (&sim);
 }
 
 /* Both operators read the base before either writes: only the comparison in the transaction itself
@@ -82,36 +82,36 @@
 static void
 test_race_at_commit (void)
 {
-  world_t world;
+  simulation_t sim;
   bt_publish_result_t first;
   bt_publish_result_t second;
 
-  world_open (&world, 3, 7, 0, 0);
-  world_run (&world, SETTLE_MS);
-  world_publish (&world, 0, NULL);
-  world_publish (&world, 1, NULL);
-  first = world_finish (&world, 0);
-  second = world_finish (&world, 1);
+  sim_open (&sim, 3, 7, 0, 0);
+  sim_run (&sim, SETTLE_MS);
+  sim_publish (&sim, 0, NULL);
+  sim_publish (&sim, 1, NULL);
+  first = sim_run_until_finished (&sim, 0);
+  second = sim_run_until_finished (&sim, 1);
   CU_ASSERT_EQUAL ((first == BT_PUBLISH_ACCEPTED) + (second == BT_PUBLISH_ACCEPTED), 1);
   CU_ASSERT_EQUAL ((first == BT_PUBLISH_CONFLICT) + (second == BT_PUBLISH_CONFLICT), 1);
-  CU_ASSERT_STRING_EQUAL (world.violation, "");
-  world_close (&world);
+  CU_ASSERT_STRING_EQUAL (sim.violation, "");
+  sim_close (&sim);
 }
 
 static void
-run_outage_after_acceptance (world_t *world, uint32_t guards_off)
+run_outage_after_acceptance (simulation_t *sim, uint32_t guards_off)
 {
-  world_open (world, 3, 7, 0, guards_off);
-  world_run (world, SETTLE_MS);
+  sim_open (sim, 3, 7, 0, guards_off);
+  sim_run (sim, SETTLE_MS);
   for (int32_t i = 0; i < 3; i++)
-    world->entries[i].cut_from_service = true;
-  world_publish (world, 0, NULL);
-  world_finish (world, 0);
-  world->down = true;
+    sim->entries[i].service_unreachable = true;
+  sim_publish (sim, 0, NULL);
+  sim_run_until_finished (sim, 0);
+  sim->service_down = true;
   for (int32_t i = 0; i < 3; i++)
-    world->cut[WORLD_ENTRIES][i] = true;
-  world_replace (world, 1);
-  world_run (world, LONG_MS);
+    sim->blocked[SIM_MAX_ENTRIES][i] = true;
+  sim_replace_entry (sim, 1);
+  sim_run (sim, LONG_RUN_MS);
 }
 
 /* The operator reads "accepted"; the service goes down the next moment and an entry is replaced.
@@ -120,31 +120,31 @@
 static void
 test_accepted_change_survives_outage (void)
 {
-  world_t world;
+  simulation_t sim;
 
-  run_outage_after_acceptance (&world, 0);
-  CU_ASSERT_STRING_EQUAL (world.violation, "");
-  CU_ASSERT_EQUAL (world_get_revision (&world, 1), 11);
-  CU_ASSERT_TRUE (world_admits (&world, 1));
-  world_close (&world);
-  run_outage_after_acceptance (&world, BT_PUBLISH_NO_HAND_OVER);
-  CU_ASSERT_STRING_NOT_EQUAL (world.violation, "");
-  world_close (&world);
+  run_outage_after_acceptance (&sim, 0);
+  CU_ASSERT_STRING_EQUAL (sim.violation, "");
+  CU_ASSERT_EQUAL (sim_get_revision (&sim, 1), 11);
+  CU_ASSERT_TRUE (sim_is_admitting (&sim, 1));
+  sim_close (&sim);
+  run_outage_after_acceptance (&sim, BT_PUBLISH_NO_PUSH);
+  CU_ASSERT_STRING_NOT_EQUAL (sim.violation, "");
+  sim_close (&sim);
 }
 
 static void
-run_silent_entries (world_t *world, uint32_t guards_off)
+run_silent_entries (simulation_t *sim, uint32_t guards_off)
 {
-  world_open (world, 3, 7, 0, guards_off);
-  world_run (world, SETTLE_MS);
+  sim_open (sim, 3, 7, 0, guards_off);
+  sim_run (sim, SETTLE_MS);
   for (int32_t i = 0; i < 3; i++)
-    world->entries[i].cut_from_service = true;
-  world->cut[WORLD_ENTRIES][1] = world->cut[WORLD_ENTRIES][2] = true;
-  world_cut (world, 0, true);
-  world->cut[WORLD_ENTRIES][0] = world->cut[0][WORLD_ENTRIES] = false;
-  world_publish (world, 0, NULL);
-  world_finish (world, 0);
-  world_run (world, LONG_MS);
+    sim->entries[i].service_unreachable = true;
+  sim->blocked[SIM_MAX_ENTRIES][1] = sim->blocked[SIM_MAX_ENTRIES][2] = true;
+  sim_isolate_node (sim, 0, true);
+  sim->blocked[SIM_MAX_ENTRIES][0] = sim->blocked[0][SIM_MAX_ENTRIES] = false;
+  sim_publish (sim, 0, NULL);
+  sim_run_until_finished (sim, 0);
+  sim_run (sim, LONG_RUN_MS);
 }
 
 /* Only one entry of three answers the operator. The other two hear each other and go on, rightly if
@@ -153,33 +153,33 @@
 static void
 test_minority_is_not_acceptance (void)
 {
-  world_t world;
+  simulation_t sim;
 
-  run_silent_entries (&world, 0);
-  CU_ASSERT_STRING_EQUAL (world.violation, "");
-  CU_ASSERT_EQUAL (world_result (&world, 0), BT_PUBLISH_WRITTEN);
-  CU_ASSERT_TRUE (bt_get_publish_entry (world.operators[0].publisher, 0)->in_force);
-  CU_ASSERT_FALSE (bt_get_publish_entry (world.operators[0].publisher, 1)->in_force);
-  world_close (&world);
-  run_silent_entries (&world, BT_PUBLISH_ANY_ENTRY);
-  CU_ASSERT_STRING_NOT_EQUAL (world.violation, "");
-  world_close (&world);
+  run_silent_entries (&sim, 0);
+  CU_ASSERT_STRING_EQUAL (sim.violation, "");
+  CU_ASSERT_EQUAL (sim_get_result (&sim, 0), BT_PUBLISH_WRITTEN);
+  CU_ASSERT_TRUE (bt_get_publish_entry (sim.operators[0].publisher, 0)->in_force);
+  CU_ASSERT_FALSE (bt_get_publish_entry (sim.operators[0].publisher, 1)->in_force);
+  sim_close (&sim);
+  run_silent_entries (&sim, BT_PUBLISH_ANY_ENTRY);
+  CU_ASSERT_STRING_NOT_EQUAL (sim.violation, "");
+  sim_close (&sim);
 }
 
-/* The service is out of reach from the first call on: the operator is told so, for certain. */
+/* The service is out of reach from the first call on: the operator is finished so, for certain. */
 static void
 test_unreachable_service_is_reported (void)
 {
-  world_t world;
+  simulation_t sim;
 
-  world_open (&world, 3, 7, 0, 0);
-  world.down = true;
-  world_publish (&world, 0, NULL);
-  CU_ASSERT_EQUAL (world_finish (&world, 0), BT_PUBLISH_NOT_WRITTEN);
-  world.down = false;
-  world_run (&world, LONG_MS);
-  CU_ASSERT_STRING_EQUAL (world.violation, "");
-  world_close (&world);
+  sim_open (&sim, 3, 7, 0, 0);
+  sim.service_down = true;
+  sim_publish (&sim, 0, NULL);
+  CU_ASSERT_EQUAL (sim_run_until_finished (&sim, 0), BT_PUBLISH_NOT_WRITTEN);
+  sim.service_down = false;
+  sim_run (&sim, LONG_RUN_MS);
+  CU_ASSERT_STRING_EQUAL (sim.violation, "");
+  sim_close (&sim);
 }
 
 static bt_document_t *
@@ -196,7 +196,7 @@
   static const char *const names[] = { "entry-0", "entry-1", "entry-2" };
   bt_context_t *ctx = bt_new_context ();
   bt_publish_settings_t settings = bt_get_default_publish_settings ();
-  bt_publish_document_t wanted = { "rules", "r", 1, false, BT_BASE_AS_READ };
+  bt_publish_document_t wanted = { "rules", "r", 1, false, BT_BASE_CURRENT };
   bt_publisher_t *publisher;
   bt_document_t *rules = make_found (ctx, "rules", 6, "r");
   bt_document_list_t found = { 0 };
@@ -242,8 +242,8 @@
   bt_context_t *ctx = bt_new_context ();
   bt_publish_settings_t settings = bt_get_default_publish_settings ();
   bt_publish_document_t wanted[] = {
-    { "accounts", "a", 1, false, BT_BASE_AS_READ },
-    { "rules", "new", 3, false, BT_BASE_AS_READ },
+    { "accounts", "a", 1, false, BT_BASE_CURRENT },
+    { "rules", "new", 3, false, BT_BASE_CURRENT },
   };
   bt_publisher_t *publisher =
       bt_new_publisher (ctx, &settings, "00000000000000000000000000000001", wanted, 2);
--- a/test/config/test_rule.c
+++ b/test/config/test_rule.c
@@ -73,18 +73,18 @@
   for (size_t i = 0; i < count; i++)
     {
       bt_header_t header = { examples[i].header, examples[i].value };
-      bt_request_facts_t facts = { 0 };
+      bt_request_facts_t attributes = { 0 };
       int32_t rule;
 
-      facts.account = examples[i].account;
-      facts.app = "";
-      facts.method = examples[i].method;
-      facts.path = examples[i].path;
-      facts.headers = &header;
-      facts.header_count = examples[i].header == NULL ? 0 : 1;
-      facts.body_bytes = examples[i].body_bytes;
-      facts.priority = BT_PRIORITY_NORMAL;
-      rule = bt_match_rules (declarations, &facts);
+      attributes.account = examples[i].account;
+      attributes.app = "";
+      attributes.method = examples[i].method;
+      attributes.path = examples[i].path;
+      attributes.headers = &header;
+      attributes.header_count = examples[i].header == NULL ? 0 : 1;
+      attributes.body_bytes = examples[i].body_bytes;
+      attributes.priority = BT_PRIORITY_NORMAL;
+      rule = bt_match_rules (declarations, &attributes);
       CU_ASSERT_EQUAL (rule < 0, examples[i].rule == NULL);
       if (rule >= 0 && examples[i].rule != NULL)
         CU_ASSERT_STRING_EQUAL (declarations->rules[rule].name, examples[i].rule);
@@ -130,7 +130,7 @@
 test_explanation_names_the_first_failing_part (void)
 {
   bt_declarations_t *declarations;
-  bt_request_facts_t facts = { 0 };
+  bt_request_facts_t attributes = { 0 };
   char *text = NULL;
   size_t bytes = 0;
   FILE *out = open_memstream (&text, &bytes);
@@ -138,11 +138,11 @@
   ctx = bt_new_context ();
   declarations = load_example ("haiyun");
   CU_ASSERT_PTR_NOT_NULL_FATAL (declarations);
-  facts.account = "buyers-north";
-  facts.app = "";
-  facts.method = "POST";
-  facts.path = "/v1/completions";
-  bt_explain_rules (declarations, &facts, out);
+  attributes.account = "buyers-north";
+  attributes.app = "";
+  attributes.method = "POST";
+  attributes.path = "/v1/completions";
+  bt_explain_rules (declarations, &attributes, out);
   fclose (out);
   CU_ASSERT_PTR_NOT_NULL (strstr (text, "driver-pings: does not match, by account"));
   CU_ASSERT_PTR_NOT_NULL (strstr (text, "oversized: does not match, by body_bytes"));
