--- a/include/bilberrytray/config/declarations.h
+++ b/include/bilberrytray/config/declarations.h
@@ -3,7 +3,8 @@
 
 /** @file
  * The operators' declarations: client accounts, apps (models and plain services), endpoints and the
- * ordered rules. Four JSON documents, checked whole; see docs/RULES.md.
+ * ordered rules. They are read from four JSON documents, which are validated together; see
+ * docs/RULES.md.
  */
 
 #include <stdbool.h>
@@ -13,7 +14,7 @@
 #include "bilberrytray/base/findings.h"
 #include "bilberrytray/core/identity.h"
 
-/** The documents, each one key in the key-value service. */
+/** The documents; each is one key in the key-value store. */
 typedef enum bt_document_kind
 {
   BT_DOCUMENT_ACCOUNTS = 0,
@@ -40,8 +41,8 @@
   char name[BT_NAME_BYTES];
   uint8_t (*token_hashes)[BT_TOKEN_HASH_BYTES];
   int32_t token_count;
-  int32_t share;    /**< Weight in fair sharing, from 1 up. */
-  int32_t priority; /**< A bt_priority_t that goes before the rule's; -1: the rule decides. */
+  int32_t share;    /**< Weight in fair queueing, at least 1. */
+  int32_t priority; /**< A bt_priority_t that overrides the rule's; -1: the rule decides. */
 } bt_account_t;
 
 typedef enum bt_app_kind
@@ -50,23 +51,23 @@
   BT_APP_SERVICE,   /**< A plain HTTP service. */
 } bt_app_kind_t;
 
-/** What a model's engines are: their size, their speed, and the experts of their group. */
+/** The capacity and speed of a model's engines, and the experts of their group. */
 typedef struct bt_engine
 {
-  int32_t slots;             /**< Requests that one engine runs at a time. */
-  int64_t memory_tokens;     /**< Tokens that its memory holds. */
+  int32_t slots;             /**< Requests that one engine runs concurrently. */
+  int64_t memory_tokens;     /**< Tokens that fit into its memory. */
   int32_t stride;            /**< Token steps in one pass of a group. */
-  double step_ms;            /**< Time of one token step, without its requests. */
-  double step_request_ms;    /**< Added to a step for each request that writes. */
+  double step_ms;            /**< Duration of one token step without any request. */
+  double step_request_ms;    /**< Added to a step for each request that generates tokens. */
   double step_context_ms;    /**< Added to a step for each 1,000 tokens of context. */
-  double read_tokens_per_ms; /**< Prompt tokens read. */
+  double read_tokens_per_ms; /**< Prompt tokens processed in one millisecond. */
   int32_t expert_sets;       /**< Sets of layers that share one placement; 0: no experts. */
-  int32_t experts;           /**< Experts of a set. */
-  int32_t places;            /**< Experts of a set that one rank holds. */
-  int32_t spare_places;      /**< New experts of a set that one rank can copy in one round. */
-  double expert_mb;          /**< Size of one expert of a set. */
+  int32_t experts;           /**< Experts in one set. */
+  int32_t places;            /**< Experts of one set that one rank holds. */
+  int32_t spare_places;      /**< New experts of one set that one rank can copy in one round. */
+  double expert_mb;          /**< Size of one expert of one set, in MB. */
   double link_mbps;          /**< Speed at which experts are copied. */
-  double expert_share;       /**< Part of a token's work that experts do, from 0 to 1. */
+  double expert_share;       /**< Share of a token's work done by experts, from 0 to 1. */
 } bt_engine_t;
 
 /** A model or a plain service. */
@@ -74,8 +75,8 @@
 {
   char name[BT_NAME_BYTES];
   bt_app_kind_t kind;
-  int64_t deadline_ms; /**< For requests whose rule sets none. */
-  bt_engine_t engine;  /**< Of a model whose ranks work in a group; all 0 otherwise. */
+  int64_t deadline_ms; /**< Deadline of requests whose rule sets none. */
+  bt_engine_t engine;  /**< Only for a model whose ranks work in a group; all 0 otherwise. */
 } bt_app_t;
 
 /** One endpoint of an app. */
@@ -83,20 +84,20 @@
 {
   char name[BT_NAME_BYTES];
   int32_t app;        /**< Index into the apps. */
-  int32_t slots;      /**< Requests that run at a time. */
-  int32_t queue;      /**< Requests that may wait before it. */
-  bool checks_orders; /**< It refuses an order that carries an old fencing number. */
+  int32_t slots;      /**< Requests that run concurrently. */
+  int32_t queue;      /**< Requests that may be queued for it. */
+  bool checks_orders; /**< It refuses an order with an outdated fencing number. */
 } bt_declared_endpoint_t;
 
-/** Which values of a header satisfy a rule. */
+/** The values of one header that satisfy a rule. */
 typedef struct bt_header_condition
 {
   char *name;
   char **values;
-  int32_t value_count; /**< 0: present with any value. */
+  int32_t value_count; /**< 0: the header is present with any value. */
 } bt_header_condition_t;
 
-/** When a rule holds; an absent part always holds. */
+/** The condition of a rule; an absent part matches every request. */
 typedef struct bt_rule_when
 {
   char **accounts;
@@ -105,10 +106,10 @@
   int32_t app_count;
   char **methods;
   int32_t method_count;
-  char *path; /**< NULL: any. A closing '*' stands for any rest. */
+  char *path; /**< NULL: any path. A '*' at the end matches any suffix. */
   bt_header_condition_t *headers;
   int32_t header_count;
-  int32_t idempotent; /**< -1: either; 0 or 1. */
+  int32_t idempotent; /**< 0 or 1; -1: either. */
   int64_t min_body_bytes;
   int64_t max_body_bytes;
   uint32_t priorities; /**< One bit for each bt_priority_t; 0: any. */
@@ -120,26 +121,28 @@
   BT_ACTION_REFUSE,
 } bt_rule_action_t;
 
-/** What a rule has done with a request. */
+/** The action of a rule on a request that it matches. */
 typedef struct bt_rule_then
 {
   bt_rule_action_t action;
-  int32_t app;           /**< Index into the apps; -1: the app the request names. */
+  int32_t app;           /**< Index into the apps; -1: the app that the request names. */
   int32_t priority;      /**< A bt_priority_t; -1: the request's own. */
   int64_t deadline_ms;   /**< 0: the app's. */
   int32_t idempotent;    /**< -1: as the request says; 0 or 1. */
-  bool key_required;     /**< Refuse a non-idempotent request without a key of ours. */
+  bool key_required;     /**< Refuse a non-idempotent request without an idempotency key that this
+                            program issued. */
   int64_t limit_per_s;   /**< 0: none. */
-  int64_t limit_burst;   /**< Requests at once; 0 with no limit. */
-  int32_t retries;       /**< Further attempts at most. */
-  char *affinity_header; /**< Requests with the same value go together; NULL: none. */
+  int64_t limit_burst;   /**< Largest burst, in requests; 0 without a limit. */
+  int32_t retries;       /**< Maximum number of further attempts. */
+  char *affinity_header; /**< Requests with the same value prefer the same endpoint; NULL: none. */
   int64_t affinity_prefix_bytes;
   bool open;        /**< Callers need no client account. */
   bool streamed;    /**< The answer is a stream of events. */
-  bool resumable;   /**< A stream that was cut may go on elsewhere behind its last event. */
-  int64_t aim_ms;   /**< Time to the answer, or its first event, that callers expect; 0: none. */
+  bool resumable;   /**< A stream that was cut off may continue on another endpoint after its last
+                       event. */
+  int64_t aim_ms;   /**< Time to the answer, or to its first event, that callers expect; 0: none. */
   int64_t pause_ms; /**< Longest pause between events that callers expect; 0: none. */
-  char *message;    /**< Told to a refused caller; NULL: none. */
+  char *message;    /**< Sent to a refused caller; NULL: none. */
   int64_t retry_after_ms;
 } bt_rule_then_t;
 
@@ -150,16 +153,16 @@
   bt_rule_then_t then;
 } bt_rule_t;
 
-/** Bounds on what one caller may send; 0 leaves a bound to the program's own settings. */
+/** Limits on what one caller may send; 0: the limit comes from the program's settings. */
 typedef struct bt_caller_limits
 {
   int64_t head_bytes; /**< Request line and headers. */
   int64_t body_bytes;
-  int64_t head_ms; /**< Time to send the head. */
+  int64_t head_ms; /**< Time in which the request line and headers must arrive. */
   int64_t idle_ms; /**< Time that a connection may stay open without a request. */
 } bt_caller_limits_t;
 
-/** All declarations in force at one time; never changed once made, so any thread may read. */
+/** All declarations in force at one time. Immutable once built, so any thread may read them. */
 typedef struct bt_declarations
 {
   bt_account_t *accounts;
@@ -171,50 +174,50 @@
   bt_rule_t *rules;
   int32_t rule_count;
   bt_caller_limits_t limits;
-  int64_t revision; /**< Highest revision of the documents, from the service; 0 from files. */
+  int64_t revision; /**< Highest store revision of the documents; 0 when read from files. */
 } bt_declarations_t;
 
 /** The text of one document. */
 typedef struct bt_document_text
 {
-  const char *file; /**< Named in findings. */
+  const char *file; /**< File name for findings. */
   const char *data;
   size_t bytes;
 } bt_document_text_t;
 
-/** The name of a document, which is its file name without ".json" and the end of its key. */
+/** The name of a document: its file name without ".json", and the last part of its store key. */
 const char *bt_name_document (bt_document_kind_t kind);
 
 /** Reads the four documents, in the order of bt_document_kind_t. Returns declarations with one
- * reference; or NULL, with every fault of every document added to @p findings. */
+ * reference, or NULL after adding every error in every document to @p findings. */
 bt_declarations_t *bt_new_declarations (bt_context_t *ctx,
                                         const bt_document_text_t texts[BT_DOCUMENT_COUNT],
                                         bt_findings_t *findings);
 
-/** Makes declarations that hold nothing, with one reference, to be filled by the calls below before
- * any other thread sees them. */
+/** Creates empty declarations with one reference. Fill them with the functions below before sharing
+ * them with other threads. */
 bt_declarations_t *bt_new_empty_declarations (bt_context_t *ctx);
 
-/** Adds an account with a share of 1. The pointer is good until the next account is added. */
+/** Adds an account with a share of 1. The pointer is valid until the next account is added. */
 bt_account_t *bt_add_account (bt_context_t *ctx, bt_declarations_t *declarations, const char *name);
 
 /** Adds a bearer token to an account. */
 void bt_add_account_token (bt_context_t *ctx, bt_account_t *account, const char *token);
 
-/** Adds an app. The pointer is good until the next app is added. */
+/** Adds an app. The pointer is valid until the next app is added. */
 bt_app_t *bt_add_app (bt_context_t *ctx, bt_declarations_t *declarations, const char *name);
 
-/** Adds a rule behind the others: it matches every request and routes to @p app. The pointer is
- * good until the next rule is added. */
+/** Adds a rule after the others: it matches every request and routes to @p app. The pointer is
+ * valid until the next rule is added. */
 bt_rule_t *
 bt_add_rule (bt_context_t *ctx, bt_declarations_t *declarations, const char *name, int32_t app);
 
-/** Has a rule ask for a header of exactly this value. */
+/** Makes a rule require a header with exactly this value. */
 void bt_add_rule_header (bt_context_t *ctx, bt_rule_t *rule, const char *name, const char *value);
 
 bt_declarations_t *bt_keep_declarations (bt_declarations_t *declarations);
 
-/** Drops a reference. NULL is accepted. */
+/** Releases a reference. NULL is accepted. */
 void bt_drop_declarations (bt_context_t *ctx, bt_declarations_t *declarations);
 
 /** The index of an app, or -1. */
@@ -223,8 +226,8 @@
 /** The index of an account by its name, or -1. */
 int32_t bt_find_account (const bt_declarations_t *declarations, const char *name);
 
-/** The index of the account that a bearer token belongs to, or -1. Every hash is compared, so that
- * the time taken tells nothing. */
+/** The index of the account that a bearer token belongs to, or -1. It compares every hash, so that
+ * its duration reveals nothing about the token. */
 int32_t bt_find_token (const bt_declarations_t *declarations, const char *token);
 
 /** The index of an endpoint, or -1. */
--- a/include/bilberrytray/config/document.h
+++ b/include/bilberrytray/config/document.h
@@ -2,7 +2,7 @@
 #define BILBERRYTRAY_CONFIG_DOCUMENT_H
 
 /** @file
- * One document of the configuration at one revision. Documents never change; they are counted and
+ * One document of the configuration at one revision. Documents are immutable, reference-counted and
  * shared between threads.
  */
 
@@ -14,28 +14,28 @@
 #include "bilberrytray/base/error.h"
 #include "bilberrytray/core/identity.h"
 
-/** Size of a change id, 32 hexadecimal digits with their zero, in bytes. */
+/** Size of a change id in bytes: 32 hexadecimal digits and a terminating zero. */
 #define BT_CHANGE_BYTES 33
 
-/** Largest document, in bytes: the service's limit for a value less the header line. */
+/** Largest document in bytes: the store's limit for a value minus the header line. */
 #define BT_DOCUMENT_BYTES (1000 * 1000)
 
-/** A document. A deleted one is a document without data, kept so that an older one cannot return.
- */
+/** A document. A deleted one stays as a document without data, so that an older revision cannot
+ * come back into force. */
 typedef struct bt_document
 {
   uint32_t references;
   bool deleted;
   char name[BT_NAME_BYTES];
-  int64_t revision;             /**< The service's revision that wrote it. */
+  int64_t revision;             /**< Store revision of the write. */
   char change[BT_CHANGE_BYTES]; /**< Random id of the change that wrote it; "" if none. */
   char after[BT_CHANGE_BYTES];  /**< Id of the change it replaced; "" if none or not known. */
-  uint64_t digest;              /**< Of all of the above but the revision, and of the data. */
-  char *data;                   /**< Followed by a zero byte. */
+  uint64_t digest; /**< Of the name, change id, deleted flag and data; not of the revision. */
+  char *data;      /**< Followed by a zero byte. */
   size_t data_bytes;
 } bt_document_t;
 
-/** What a document is made of; strings are copied, NULL strings are "". */
+/** Contents of a new document. Strings are copied; a NULL string counts as "". */
 typedef struct bt_document_fields
 {
   const char *name;
@@ -53,12 +53,12 @@
 /** NULL is accepted. */
 void bt_drop_document (bt_context_t *ctx, bt_document_t *document);
 
-/** The value that the service keeps: one header line with the change ids, then the data. The caller
- * frees it with bt_free. */
+/** Encodes a document as the value to store: one header line with the change ids, then the data.
+ * The caller frees it with bt_free. */
 char *bt_encode_document (bt_context_t *ctx, const bt_document_t *document, size_t *bytes);
 
-/** Reads a value of the service. One without a header line was written by other means than
- * `publish` and is all data. NULL with BT_ERROR_FORMAT when its header line is malformed. */
+/** Decodes a value of the store. A value without a header line was not written by `publish` and is
+ * data only. Returns NULL with BT_ERROR_FORMAT when the header line is malformed. */
 bt_document_t *bt_decode_document (bt_context_t *ctx,
                                    const char *name,
                                    int64_t revision,
@@ -66,7 +66,7 @@
                                    size_t bytes,
                                    bt_error_t *error);
 
-/** A list of documents, each kept. Zero-initialise it. */
+/** A list of documents that holds a reference to each. Must be zero-initialised. */
 typedef struct bt_document_list
 {
   bt_document_t **items;
@@ -74,13 +74,13 @@
   int32_t capacity;
 } bt_document_list_t;
 
-/** Adds a document, which is kept once more. */
+/** Adds a document and a reference to it. */
 void bt_add_document (bt_context_t *ctx, bt_document_list_t *list, bt_document_t *document);
 
-/** Drops all documents and the memory of the list. */
+/** Releases all documents and the memory of the list. */
 void bt_clear_documents (bt_context_t *ctx, bt_document_list_t *list);
 
-/** The document of this name; NULL when there is none. */
+/** The document named @p name, or NULL when there is none. */
 bt_document_t *bt_find_listed_document (const bt_document_list_t *list, const char *name);
 
 #endif
--- a/include/bilberrytray/config/rule.h
+++ b/include/bilberrytray/config/rule.h
@@ -2,25 +2,25 @@
 #define BILBERRYTRAY_CONFIG_RULE_H
 
 /** @file
- * Which rule decides a request: the first that matches.
+ * Matches requests against the ordered rules; the first rule that matches decides.
  */
 
 #include <stdio.h>
 
 #include "bilberrytray/config/declarations.h"
 
-/** One header of a request. Names are compared without regard to case. */
+/** One header of a request. Names are case-insensitive. */
 typedef struct bt_header
 {
   const char *name;
   const char *value;
 } bt_header_t;
 
-/** What rules can ask of a request. */
+/** The attributes of a request that rules can match on. */
 typedef struct bt_request_facts
 {
   const char *account;
-  const char *app; /**< The model or service it names; "" for none. */
+  const char *app; /**< Name of the requested model or service; "" for none. */
   const char *method;
   const char *path;
   const bt_header_t *headers;
@@ -30,10 +30,10 @@
   bt_priority_t priority;
 } bt_request_facts_t;
 
-/** The part of a condition that a request fails. */
+/** The part of a rule's condition that a request does not satisfy. */
 typedef enum bt_rule_part
 {
-  BT_RULE_PART_NONE = 0, /**< Every part holds: the rule matches. */
+  BT_RULE_PART_NONE = 0, /**< The request satisfies every part: the rule matches. */
   BT_RULE_PART_ACCOUNT,
   BT_RULE_PART_APP,
   BT_RULE_PART_METHOD,
@@ -48,18 +48,18 @@
 int32_t bt_match_rules (const bt_declarations_t *declarations,
                         const bt_request_facts_t *attributes);
 
-/** The first part of a rule's condition that the request fails. */
+/** The first part of a rule's condition that the request does not satisfy. */
 bt_rule_part_t bt_check_rule (const bt_rule_t *rule, const bt_request_facts_t *attributes);
 
 const char *bt_name_rule_part (bt_rule_part_t part);
 
-/** Prints why each rule up to the deciding one did not match, and what the deciding one does. */
+/** Prints why each rule before the deciding one does not match, and what the deciding rule does. */
 void bt_explain_rules (const bt_declarations_t *declarations,
                        const bt_request_facts_t *attributes,
                        FILE *out);
 
-/** True when every request that @p later matches is matched by @p earlier too, so that @p later can
- * never decide behind it. */
+/** True when @p earlier matches every request that @p later matches. @p later then never decides a
+ * request when it stands after @p earlier. */
 bool bt_covers_rule (const bt_rule_t *earlier, const bt_rule_t *later);
 
 #endif
--- a/source/config/config_spread.c
+++ b/source/config/config_spread.c
@@ -26,9 +26,9 @@
 }
 
 bool
-bt_has_spread_guard (const bt_config_spread_t *spread, uint32_t guard)
+bt_has_spread_guard (const bt_config_spread_t *sync, uint32_t guard)
 {
-  return (spread->settings.guards_off & guard) == 0;
+  return (sync->settings.guards_off & guard) == 0;
 }
 
 bt_config_spread_t *
@@ -38,28 +38,28 @@
                       uint64_t seed,
                       int64_t now_ms)
 {
-  bt_config_spread_t *spread = bt_calloc (ctx, 1, sizeof *spread);
+  bt_config_spread_t *sync = bt_calloc (ctx, 1, sizeof *sync);
   bool accept_older = (settings->guards_off & BT_SPREAD_TAKE_OLDER) != 0;
 
-  spread->self = *self;
-  spread->settings = *settings;
-  bt_seed_random (&spread->random, seed);
-  spread->table = bt_new_config_table (ctx, accept_older ? BT_TABLE_ACCEPT_OLDER : 0);
-  spread->fresh_ms = NEVER_MS;
-  spread->next_store_ms = now_ms;
-  return spread;
+  sync->self = *self;
+  sync->settings = *settings;
+  bt_seed_random (&sync->random, seed);
+  sync->table = bt_new_config_table (ctx, accept_older ? BT_TABLE_ACCEPT_OLDER : 0);
+  sync->fresh_ms = NEVER_MS;
+  sync->next_store_ms = now_ms;
+  return sync;
 }
 
 void
-bt_drop_config_spread (bt_context_t *ctx, bt_config_spread_t *spread)
+bt_drop_config_spread (bt_context_t *ctx, bt_config_spread_t *sync)
 {
-  if (spread == NULL)
+  if (sync == NULL)
     return;
-  bt_drop_config_table (ctx, spread->table);
-  bt_free (ctx, spread->peers);
-  bt_free (ctx, spread->members);
-  bt_free (ctx, spread->near_members);
-  bt_free (ctx, spread);
+  bt_drop_config_table (ctx, sync->table);
+  bt_free (ctx, sync->peers);
+  bt_free (ctx, sync->members);
+  bt_free (ctx, sync->near_members);
+  bt_free (ctx, sync);
 }
 
 void
@@ -95,41 +95,41 @@
     bt_add_document (ctx, to, from->items[i]);
 }
 
-/* The peer of this name, whatever its incarnation. */
+/* Returns the peer with this name, of any incarnation. */
 static peer_t *
-find_peer (const bt_config_spread_t *spread, const char *instance)
+find_peer (const bt_config_spread_t *sync, const char *instance)
 {
-  for (int32_t i = 0; i < spread->peer_count; i++)
-    if (strcmp (spread->peers[i].identity.instance, instance) == 0)
-      return &spread->peers[i];
+  for (int32_t i = 0; i < sync->peer_count; i++)
+    if (strcmp (sync->peers[i].identity.instance, instance) == 0)
+      return &sync->peers[i];
   return NULL;
 }
 
-/* The peer if it is linked under this very incarnation. */
+/* Returns the peer if it is linked with the same incarnation. */
 static peer_t *
-find_linked_peer (const bt_config_spread_t *spread, const bt_identity_t *identity)
+find_linked_peer (const bt_config_spread_t *sync, const bt_identity_t *identity)
 {
-  peer_t *peer = find_peer (spread, identity->instance);
+  peer_t *peer = find_peer (sync, identity->instance);
 
   if (peer == NULL || !peer->linked || !bt_same_identity (&peer->identity, identity))
     return NULL;
   return peer;
 }
 
+/* Adds a peer, or resets the state of a peer with the same name. */
 static peer_t *
-make_peer (bt_context_t *ctx, bt_config_spread_t *spread, const bt_identity_t *identity)
+make_peer (bt_context_t *ctx, bt_config_spread_t *sync, const bt_identity_t *identity)
 {
-  peer_t *peer = find_peer (spread, identity->instance);
+  peer_t *peer = find_peer (sync, identity->instance);
 
   if (peer == NULL)
     {
-      if (spread->peer_count == spread->peer_capacity)
+      if (sync->peer_count == sync->peer_capacity)
         {
-          spread->peer_capacity = spread->peer_capacity * 2 + INITIAL_CAPACITY;
-          spread->peers =
-              bt_realloc (ctx, spread->peers, (size_t)spread->peer_capacity, sizeof *peer);
+          sync->peer_capacity = sync->peer_capacity * 2 + INITIAL_CAPACITY;
+          sync->peers = bt_realloc (ctx, sync->peers, (size_t)sync->peer_capacity, sizeof *peer);
         }
-      peer = &spread->peers[spread->peer_count++];
+      peer = &sync->peers[sync->peer_count++];
     }
   memset (peer, 0, sizeof *peer);
   peer->identity = *identity;
@@ -141,67 +141,67 @@
 }
 
 static bool
-is_member (const bt_config_spread_t *spread, const char *instance, bool *near)
+is_member (const bt_config_spread_t *sync, const char *instance, bool *near)
 {
-  for (int32_t i = 0; i < spread->member_count; i++)
-    if (strcmp (spread->members[i].instance, instance) == 0)
+  for (int32_t i = 0; i < sync->member_count; i++)
+    if (strcmp (sync->members[i].instance, instance) == 0)
       {
-        *near = spread->near_members[i];
+        *near = sync->near_members[i];
         return true;
       }
   return false;
 }
 
-/* Peers whose instance is gone from the list and whose link is gone: forget them, so that a fleet
- * that is replaced day by day does not fill the table. */
+/* Removes peers that are neither members nor linked. Otherwise the table would grow without end in
+ * a fleet whose instances are replaced every day. */
 static void
-remove_unlinked_peers (bt_config_spread_t *spread)
+remove_unlinked_peers (bt_config_spread_t *sync)
 {
   int32_t kept = 0;
   bool near;
 
-  for (int32_t i = 0; i < spread->peer_count; i++)
-    if (spread->peers[i].linked || is_member (spread, spread->peers[i].identity.instance, &near))
-      spread->peers[kept++] = spread->peers[i];
-  spread->peer_count = kept;
+  for (int32_t i = 0; i < sync->peer_count; i++)
+    if (sync->peers[i].linked || is_member (sync, sync->peers[i].identity.instance, &near))
+      sync->peers[kept++] = sync->peers[i];
+  sync->peer_count = kept;
 }
 
 static void
-choose_watchers (bt_context_t *ctx, bt_config_spread_t *spread)
+choose_watchers (bt_context_t *ctx, bt_config_spread_t *sync)
 {
-  int32_t wanted = spread->settings.watchers;
+  int32_t wanted = sync->settings.watchers;
   int32_t *chosen = bt_calloc (ctx, (size_t)wanted, sizeof *chosen);
   int32_t count =
-      bt_choose_subset (ctx, watch_purpose, spread->members, spread->member_count, wanted, chosen);
+      bt_choose_subset (ctx, watch_purpose, sync->members, sync->member_count, wanted, chosen);
 
-  spread->watcher = false;
+  sync->watcher = false;
   for (int32_t i = 0; i < count; i++)
-    if (strcmp (spread->members[chosen[i]].instance, spread->self.instance) == 0)
-      spread->watcher = true;
+    if (strcmp (sync->members[chosen[i]].instance, sync->self.instance) == 0)
+      sync->watcher = true;
   bt_free (ctx, chosen);
 }
 
 void
 bt_set_spread_members (bt_context_t *ctx,
-                       bt_config_spread_t *spread,
+                       bt_config_spread_t *sync,
                        const bt_spread_member_t *members,
                        int32_t count)
 {
-  spread->members = bt_realloc (ctx, spread->members, (size_t)count, sizeof *spread->members);
-  spread->near_members = bt_realloc (ctx, spread->near_members, (size_t)count, sizeof (bool));
-  spread->member_count = count;
-  spread->near_count = 1;
+  sync->members = bt_realloc (ctx, sync->members, (size_t)count, sizeof *sync->members);
+  sync->near_members = bt_realloc (ctx, sync->near_members, (size_t)count, sizeof (bool));
+  sync->member_count = count;
+  sync->near_count = 1;
   for (int32_t i = 0; i < count; i++)
     {
-      bool self = strcmp (members[i].instance, spread->self.instance) == 0;
+      bool self = strcmp (members[i].instance, sync->self.instance) == 0;
 
-      bt_copy_name (spread->members[i].instance, members[i].instance);
-      bt_copy_name (spread->members[i].failure_domain, members[i].failure_domain);
-      spread->near_members[i] = members[i].near && !self;
-      spread->near_count += spread->near_members[i] ? 1 : 0;
+      bt_copy_name (sync->members[i].instance, members[i].instance);
+      bt_copy_name (sync->members[i].failure_domain, members[i].failure_domain);
+      sync->near_members[i] = members[i].near && !self;
+      sync->near_count += sync->near_members[i] ? 1 : 0;
     }
-  choose_watchers (ctx, spread);
-  remove_unlinked_peers (spread);
+  choose_watchers (ctx, sync);
+  remove_unlinked_peers (sync);
 }
 
 static bool
@@ -210,98 +210,100 @@
   return time_ms != NEVER_MS && now_ms - time_ms <= limit_ms;
 }
 
-/* Near members that agreed within the isolation limit, or that answered our first pull. */
+/* Counts the near members that had the same documents within the isolation limit or, with
+ * @p start_quorum, those that count towards the start quorum. */
 static int32_t
-count_peers (const bt_config_spread_t *spread, int64_t now_ms, bool start_quorum)
+count_peers (const bt_config_spread_t *sync, int64_t now_ms, bool start_quorum)
 {
   int32_t count = 0;
   bool near;
 
-  for (int32_t i = 0; i < spread->peer_count; i++)
+  for (int32_t i = 0; i < sync->peer_count; i++)
     {
-      const peer_t *peer = &spread->peers[i];
+      const peer_t *peer = &sync->peers[i];
 
-      if (!is_member (spread, peer->identity.instance, &near) || !near)
+      if (!is_member (sync, peer->identity.instance, &near) || !near)
         continue;
       if (start_quorum ? peer->in_start_quorum
-                       : is_within (peer->agreed_ms, now_ms, spread->settings.isolation_ms))
+                       : is_within (peer->agreed_ms, now_ms, sync->settings.isolation_ms))
         count++;
     }
   return count;
 }
 
-/* Has enough of the others answered for this instance to start without the service? A change is
- * accepted once more than half of the entries have it, and this instance may stand in the place of
- * one of those. Of the others then at least half of all have to be asked to meet one that has it;
- * with a single peer the rules of before the last change could come back. */
+/* Returns whether enough peers have answered for this instance to start without the store. A change
+ * is accepted once more than half of the entries have it, and this instance may replace one of
+ * those. So it must hear from peers that make up at least half of all entries, of which at least
+ * one then has the change. With a single peer, the rules from before the last change could come
+ * back. */
 static bool
-has_start_quorum (const bt_config_spread_t *spread)
+has_start_quorum (const bt_config_spread_t *sync)
 {
-  int32_t needed = (spread->near_count + 1) / 2;
+  int32_t needed = (sync->near_count + 1) / 2;
 
-  if (!bt_has_spread_guard (spread, BT_SPREAD_ANY_PEER))
+  if (!bt_has_spread_guard (sync, BT_SPREAD_ANY_PEER))
     needed = 1;
-  return spread->member_count > 0 && count_peers (spread, 0, true) >= needed && needed > 0
-         && spread->near_count > 1;
+  return sync->member_count > 0 && count_peers (sync, 0, true) >= needed && needed > 0
+         && sync->near_count > 1;
 }
 
-/* Does this instance hear from so many that no change can be accepted without one of them? While
- * the service is down for all, nothing is accepted and all go on together; but a few instances that
- * are cut off from the rest see the same thing. More than half, this one counted, cannot be cut
- * off from a change that more than half have. */
+/* Returns whether this instance hears from a majority of the entries, itself included. While the
+ * store is down for all entries, no change is accepted and all may continue. A minority that is
+ * partitioned from the rest also sees the store as down, but changes may be accepted on the other
+ * side. Every majority includes an entry that has the accepted change. */
 static bool
-has_quorum (const bt_config_spread_t *spread, int64_t now_ms)
+has_quorum (const bt_config_spread_t *sync, int64_t now_ms)
 {
-  int32_t agreed = count_peers (spread, now_ms, false);
+  int32_t agreed = count_peers (sync, now_ms, false);
 
-  if (!bt_has_spread_guard (spread, BT_SPREAD_ANY_PEER))
+  if (!bt_has_spread_guard (sync, BT_SPREAD_ANY_PEER))
     return agreed > 0;
-  return spread->member_count > 0 && 2 * (agreed + 1) > spread->near_count;
+  return sync->member_count > 0 && 2 * (agreed + 1) > sync->near_count;
 }
 
 bt_spread_state_t
-bt_get_spread_state (const bt_config_spread_t *spread, int64_t now_ms)
+bt_get_spread_state (const bt_config_spread_t *sync, int64_t now_ms)
 {
-  if (!spread->ready)
+  if (!sync->ready)
     return BT_SPREAD_NOT_READY;
-  if (is_within (spread->fresh_ms, now_ms, spread->settings.isolation_ms))
+  if (is_within (sync->fresh_ms, now_ms, sync->settings.isolation_ms))
     return BT_SPREAD_READY;
-  /* An instance that hears neither the service nor most peers would serve rules that an operator
-   * has long replaced; its callers would see old decisions with no sign of a fault. It cannot know,
-   * so after the limit it stops. */
-  if (has_quorum (spread, now_ms) || !bt_has_spread_guard (spread, BT_SPREAD_NEVER_ISOLATED))
+  /* An instance that reaches neither the store nor a majority of its peers may serve rules that an
+   * operator replaced long ago, and its callers would see no sign of a fault. It cannot detect
+   * this, so it stops admitting requests after the limit. */
+  if (has_quorum (sync, now_ms) || !bt_has_spread_guard (sync, BT_SPREAD_NEVER_ISOLATED))
     return BT_SPREAD_READY;
   return BT_SPREAD_ISOLATED;
 }
 
 static void
 send_pull (bt_context_t *ctx,
-           bt_config_spread_t *spread,
+           bt_config_spread_t *sync,
            peer_t *peer,
            int64_t now_ms,
            bt_spread_actions_t *actions)
 {
   bt_spread_action_t *action;
 
-  if (now_ms < peer->next_pull_ms || !bt_has_spread_guard (spread, BT_SPREAD_NO_PULL))
+  if (now_ms < peer->next_pull_ms || !bt_has_spread_guard (sync, BT_SPREAD_NO_PULL))
     return;
-  peer->next_pull_ms = now_ms + spread->settings.pull_retry_ms;
-  spread->pulls++;
+  peer->next_pull_ms = now_ms + sync->settings.pull_retry_ms;
+  sync->pulls++;
   action = bt_add_spread_action (ctx, actions, BT_SPREAD_PULL);
   action->peer = peer->identity;
-  action->since = spread->floor;
+  action->since = sync->floor;
 }
 
 static void
 send_push (bt_context_t *ctx,
-           bt_config_spread_t *spread,
+           bt_config_spread_t *sync,
            const bt_identity_t *peer,
            const bt_spread_push_t *push,
            bt_spread_actions_t *actions)
 {
   bt_spread_action_t *action = bt_add_spread_action (ctx, actions, BT_SPREAD_PUSH);
 
-  spread->pushes++;
+  sync->pushes++;
   action->peer = *peer;
   action->from = push->from;
   action->to = push->to;
@@ -309,90 +311,91 @@
   append_documents (ctx, push->documents, &action->documents);
 }
 
-/* Tells every linked peer but the one it came from. All documents go, not only the new ones: the
- * push claims that nothing is missing between its two revisions, and a peer may lack just the one
- * that we had before. */
+/* Forwards a push to every linked peer except its source. All documents are sent, not only those
+ * that were new here: the push claims to be complete between its two revisions, and a peer may lack
+ * exactly the document that this instance already had. */
 static void
 forward_push (bt_context_t *ctx,
-              bt_config_spread_t *spread,
+              bt_config_spread_t *sync,
               const bt_identity_t *source,
               const bt_spread_push_t *push,
               bt_spread_actions_t *actions)
 {
-  for (int32_t i = 0; i < spread->peer_count; i++)
+  for (int32_t i = 0; i < sync->peer_count; i++)
     {
-      const peer_t *peer = &spread->peers[i];
+      const peer_t *peer = &sync->peers[i];
 
       if (peer->linked && (source == NULL || !bt_same_identity (&peer->identity, source)))
-        send_push (ctx, spread, &peer->identity, push, actions);
+        send_push (ctx, sync, &peer->identity, push, actions);
     }
 }
 
-/* Puts in force what is newer, and passes it on. One that is not ready is filling an empty table:
- * what is new to it is old to everyone else. And an operator hands over to all entries at once:
- * were each to pass it on, every entry would get every document from every peer. Whom the operator
- * missed is told by the next heartbeat's digest. */
+/* Puts newer documents in force and forwards them, with two exceptions. An instance that is not
+ * ready is filling an empty table, so what is new to it is old to all others. And an operator
+ * pushes to all entries at once: if each of them forwarded the push, every entry would get every
+ * document from every peer. An entry that the operator missed notices it by the digest in the next
+ * heartbeat. */
 void
 bt_take_spread_documents (bt_context_t *ctx,
-                          bt_config_spread_t *spread,
+                          bt_config_spread_t *sync,
                           const bt_identity_t *source,
                           const bt_spread_push_t *push,
                           bt_spread_actions_t *actions)
 {
   bt_spread_push_t forwarded = { push->documents, push->from, push->to, false, 0 };
-  bool from_operator = source != NULL && find_linked_peer (spread, source) == NULL;
+  bool from_operator = source != NULL && find_linked_peer (sync, source) == NULL;
   bt_document_list_t applied = { 0 };
 
   for (int32_t i = 0; i < push->documents->count; i++)
-    if (bt_offer_document (ctx, spread->table, push->documents->items[i]) == BT_OFFER_APPLIED)
+    if (bt_offer_document (ctx, sync->table, push->documents->items[i]) == BT_OFFER_APPLIED)
       bt_add_document (ctx, &applied, push->documents->items[i]);
   if (applied.count > 0)
     append_documents (ctx, &applied,
                       &bt_add_spread_action (ctx, actions, BT_SPREAD_APPLY)->documents);
-  if (applied.count > 0 && spread->ready && !from_operator)
-    forward_push (ctx, spread, source, &forwarded, actions);
+  if (applied.count > 0 && sync->ready && !from_operator)
+    forward_push (ctx, sync, source, &forwarded, actions);
   bt_clear_documents (ctx, &applied);
 }
 
 void
 bt_open_spread_link (bt_context_t *ctx,
-                     bt_config_spread_t *spread,
+                     bt_config_spread_t *sync,
                      const bt_identity_t *identity,
                      int64_t now_ms,
                      bt_spread_actions_t *actions)
 {
-  peer_t *peer = make_peer (ctx, spread, identity);
+  peer_t *peer = make_peer (ctx, sync, identity);
 
   peer->linked = true;
-  send_pull (ctx, spread, peer, now_ms, actions);
+  send_pull (ctx, sync, peer, now_ms, actions);
 }
 
 void
-bt_close_spread_link (bt_context_t *ctx, bt_config_spread_t *spread, const bt_identity_t *identity)
+bt_close_spread_link (bt_context_t *ctx, bt_config_spread_t *sync, const bt_identity_t *identity)
 {
-  peer_t *peer = find_linked_peer (spread, identity);
+  peer_t *peer = find_linked_peer (sync, identity);
 
   if (peer == NULL)
     return;
   peer->linked = false;
   peer->in_start_quorum = false;
-  remove_unlinked_peers (spread);
+  remove_unlinked_peers (sync);
 }
 
 void
-bt_make_spread_heartbeat (const bt_config_spread_t *spread,
+bt_make_spread_heartbeat (const bt_config_spread_t *sync,
                           const bt_identity_t *identity,
                           int64_t now_ms,
                           bt_spread_heartbeat_t *heartbeat)
 {
-  const peer_t *peer = find_linked_peer (spread, identity);
+  const peer_t *peer = find_linked_peer (sync, identity);
 
   heartbeat->now_ms = now_ms;
   heartbeat->echo_ms = peer == NULL ? -1 : peer->clock_ms;
-  heartbeat->floor = spread->ready ? spread->floor : 0;
-  heartbeat->fresh_age_ms = spread->fresh_ms == NEVER_MS ? -1 : now_ms - spread->fresh_ms;
-  heartbeat->revision = bt_get_table_revision (spread->table);
-  heartbeat->digest = bt_get_table_digest (spread->table);
+  heartbeat->floor = sync->ready ? sync->floor : 0;
+  heartbeat->fresh_age_ms = sync->fresh_ms == NEVER_MS ? -1 : now_ms - sync->fresh_ms;
+  heartbeat->revision = bt_get_table_revision (sync->table);
+  heartbeat->digest = bt_get_table_digest (sync->table);
 }
 
 void
@@ -402,22 +405,21 @@
     *time_ms = candidate_ms;
 }
 
-/* Learns from a peer whose table we hold to be ours, too. */
+/* Raises the floor to that of a peer with the same digest. If this table is complete up to the
+ * peer's floor, also takes over the time of the peer's freshest read, dated by the local clock. */
 static void
-update_freshness (bt_config_spread_t *spread,
-                  const bt_spread_heartbeat_t *heartbeat,
-                  int64_t sent_ms)
+update_freshness (bt_config_spread_t *sync, const bt_spread_heartbeat_t *heartbeat, int64_t sent_ms)
 {
-  if (heartbeat->digest == bt_get_table_digest (spread->table) && heartbeat->floor > spread->floor)
-    spread->floor = heartbeat->floor;
-  if (heartbeat->floor > 0 && heartbeat->floor <= spread->floor && heartbeat->fresh_age_ms >= 0)
-    bt_raise_spread_time (&spread->fresh_ms, sent_ms - heartbeat->fresh_age_ms);
+  if (heartbeat->digest == bt_get_table_digest (sync->table) && heartbeat->floor > sync->floor)
+    sync->floor = heartbeat->floor;
+  if (heartbeat->floor > 0 && heartbeat->floor <= sync->floor && heartbeat->fresh_age_ms >= 0)
+    bt_raise_spread_time (&sync->fresh_ms, sent_ms - heartbeat->fresh_age_ms);
 }
 
-/* Only a peer that is ready and has the same documents counts towards a majority. One that is not
- * ready knows nothing of what is in force: a replaced process beside one that had missed a change
- * would make a majority of two that know the old rules only. And one that has other documents shows
- * that ours may be old. */
+/* Records that a peer has the same documents. Only such a peer counts towards a quorum, and only if
+ * it is ready. A peer that is not ready does not know what is in force: a restarted process and an
+ * entry that missed a change would form a majority of two that has only the old rules. A peer with
+ * other documents shows that the local ones may be old. */
 static void
 record_agreement (peer_t *peer,
                   const bt_spread_heartbeat_t *heartbeat,
@@ -434,39 +436,39 @@
 
 void
 bt_take_spread_heartbeat (bt_context_t *ctx,
-                          bt_config_spread_t *spread,
+                          bt_config_spread_t *sync,
                           const bt_identity_t *identity,
                           const bt_spread_heartbeat_t *heartbeat,
                           int64_t now_ms,
                           bt_spread_actions_t *actions)
 {
-  peer_t *peer = find_linked_peer (spread, identity);
-  /* A heartbeat may lie in a buffer for minutes, behind a pause of either process; dated by its
-   * arrival, news of before a change would look like news of after it. The echo is a reading of
-   * our own clock, applied before the heartbeat was sent, so the news is at least that old. */
+  peer_t *peer = find_linked_peer (sync, identity);
+  /* A heartbeat may stay in a buffer for minutes while either process is paused. Dated by its
+   * arrival, state from before a change would look newer than the change. The echo is a reading of
+   * the local clock from before the heartbeat was sent, so the date is never too late. */
   int64_t sent_ms =
-      bt_has_spread_guard (spread, BT_SPREAD_TRUST_ARRIVAL) ? heartbeat->echo_ms : now_ms;
+      bt_has_spread_guard (sync, BT_SPREAD_TRUST_ARRIVAL) ? heartbeat->echo_ms : now_ms;
 
   if (peer == NULL)
     return;
   peer->clock_ms = heartbeat->now_ms;
   peer->last_heartbeat = *heartbeat;
   if (sent_ms >= 0 && sent_ms <= now_ms)
-    update_freshness (spread, heartbeat, sent_ms);
-  if (heartbeat->digest == bt_get_table_digest (spread->table))
+    update_freshness (sync, heartbeat, sent_ms);
+  if (heartbeat->digest == bt_get_table_digest (sync->table))
     {
       record_agreement (peer, heartbeat, sent_ms, now_ms);
       return;
     }
   if (peer->differs_since_ms == NEVER_MS)
     peer->differs_since_ms = now_ms;
-  if (now_ms - peer->differs_since_ms >= spread->settings.pull_grace_ms || !spread->ready)
-    send_pull (ctx, spread, peer, now_ms, actions);
+  if (now_ms - peer->differs_since_ms >= sync->settings.pull_grace_ms || !sync->ready)
+    send_pull (ctx, sync, peer, now_ms, actions);
 }
 
 static void
 reply_in_force (bt_context_t *ctx,
-                bt_config_spread_t *spread,
+                bt_config_spread_t *sync,
                 const bt_identity_t *source,
                 const bt_spread_push_t *push,
                 bt_spread_actions_t *actions)
@@ -477,103 +479,103 @@
   action->request = push->request;
   for (int32_t i = 0; i < push->documents->count; i++)
     bt_add_document (ctx, &action->documents,
-                     bt_find_document (spread->table, push->documents->items[i]->name));
+                     bt_find_document (sync->table, push->documents->items[i]->name));
 }
 
 void
 bt_take_spread_push (bt_context_t *ctx,
-                     bt_config_spread_t *spread,
+                     bt_config_spread_t *sync,
                      const bt_identity_t *source,
                      const bt_spread_push_t *push,
                      int64_t now_ms,
                      bt_spread_actions_t *actions)
 {
-  peer_t *peer = find_linked_peer (spread, source);
+  peer_t *peer = find_linked_peer (sync, source);
 
-  bt_take_spread_documents (ctx, spread, source, push, actions);
-  if (push->to > 0 && push->from <= spread->floor)
+  bt_take_spread_documents (ctx, sync, source, push, actions);
+  if (push->to > 0 && push->from <= sync->floor)
     {
-      if (push->to > spread->floor)
-        spread->floor = push->to;
+      if (push->to > sync->floor)
+        sync->floor = push->to;
       if (peer != NULL && push->whole)
         peer->in_start_quorum = true;
     }
   else if (peer != NULL && push->to > 0)
-    send_pull (ctx, spread, peer, now_ms, actions);
-  if (!spread->ready && has_start_quorum (spread))
-    spread->ready = true;
+    send_pull (ctx, sync, peer, now_ms, actions);
+  if (!sync->ready && has_start_quorum (sync))
+    sync->ready = true;
   if (push->request != 0)
-    reply_in_force (ctx, spread, source, push, actions);
+    reply_in_force (ctx, sync, source, push, actions);
 }
 
 void
 bt_take_spread_pull (bt_context_t *ctx,
-                     bt_config_spread_t *spread,
+                     bt_config_spread_t *sync,
                      const bt_identity_t *source,
                      int64_t since,
                      bt_spread_actions_t *actions)
 {
   bt_document_list_t documents = { 0 };
-  /* One that is not ready itself gives what it has, but claims nothing: two that start together
-   * must not take each other for witnesses of what is in force. */
-  bt_spread_push_t push = { &documents, since, spread->ready ? spread->floor : 0, true, 0 };
+  /* An instance that is not ready sends what it has but does not claim to be complete: two
+   * instances that start at the same time must not count towards each other's start quorum. */
+  bt_spread_push_t push = { &documents, since, sync->ready ? sync->floor : 0, true, 0 };
 
-  bt_list_documents_above (ctx, spread->table, since, &documents);
-  send_push (ctx, spread, source, &push, actions);
+  bt_list_documents_above (ctx, sync->table, since, &documents);
+  send_push (ctx, sync, source, &push, actions);
   bt_clear_documents (ctx, &documents);
 }
 
 static void
 pull_gaps (bt_context_t *ctx,
-           bt_config_spread_t *spread,
+           bt_config_spread_t *sync,
            int64_t now_ms,
            bt_spread_actions_t *actions)
 {
-  for (int32_t i = 0; i < spread->peer_count; i++)
+  for (int32_t i = 0; i < sync->peer_count; i++)
     {
-      peer_t *peer = &spread->peers[i];
+      peer_t *peer = &sync->peers[i];
       bool gap = peer->differs_since_ms != NEVER_MS
-                 && now_ms - peer->differs_since_ms >= spread->settings.pull_grace_ms
-                 && peer->last_heartbeat.digest != bt_get_table_digest (spread->table);
+                 && now_ms - peer->differs_since_ms >= sync->settings.pull_grace_ms
+                 && peer->last_heartbeat.digest != bt_get_table_digest (sync->table);
 
-      if (peer->linked && (gap || (!spread->ready && !peer->in_start_quorum)))
-        send_pull (ctx, spread, peer, now_ms, actions);
+      if (peer->linked && (gap || (!sync->ready && !peer->in_start_quorum)))
+        send_pull (ctx, sync, peer, now_ms, actions);
     }
 }
 
 void
 bt_tick_config_spread (bt_context_t *ctx,
-                       bt_config_spread_t *spread,
+                       bt_config_spread_t *sync,
                        int64_t now_ms,
                        bt_spread_actions_t *actions)
 {
-  bool stale = !is_within (spread->fresh_ms, now_ms, spread->settings.fallback_ms);
+  bool stale = !is_within (sync->fresh_ms, now_ms, sync->settings.fallback_ms);
 
-  pull_gaps (ctx, spread, now_ms, actions);
-  if (!spread->ready && has_start_quorum (spread))
-    spread->ready = true;
-  if (spread->store_call == STORE_IDLE && now_ms >= spread->next_store_ms
-      && (spread->watcher || !spread->has_read || stale))
-    bt_begin_spread_read (ctx, spread, now_ms, actions);
+  pull_gaps (ctx, sync, now_ms, actions);
+  if (!sync->ready && has_start_quorum (sync))
+    sync->ready = true;
+  if (sync->store_call == STORE_IDLE && now_ms >= sync->next_store_ms
+      && (sync->watcher || !sync->has_read || stale))
+    bt_begin_spread_read (ctx, sync, now_ms, actions);
 }
 
 const bt_config_table_t *
-bt_get_spread_table (const bt_config_spread_t *spread)
+bt_get_spread_table (const bt_config_spread_t *sync)
 {
-  return spread->table;
+  return sync->table;
 }
 
 void
-bt_get_spread_status (const bt_config_spread_t *spread, int64_t now_ms, bt_spread_status_t *status)
+bt_get_spread_status (const bt_config_spread_t *sync, int64_t now_ms, bt_spread_status_t *status)
 {
   memset (status, 0, sizeof *status);
-  status->floor = spread->floor;
-  status->revision = bt_get_table_revision (spread->table);
-  status->fresh_age_ms = spread->fresh_ms == NEVER_MS ? -1 : now_ms - spread->fresh_ms;
-  status->members = spread->near_count;
-  status->peers_agreed = count_peers (spread, now_ms, false);
-  status->watcher = spread->watcher;
-  status->stale_reads = spread->stale_reads;
-  status->pulls = spread->pulls;
-  status->pushes = spread->pushes;
+  status->floor = sync->floor;
+  status->revision = bt_get_table_revision (sync->table);
+  status->fresh_age_ms = sync->fresh_ms == NEVER_MS ? -1 : now_ms - sync->fresh_ms;
+  status->members = sync->near_count;
+  status->peers_agreed = count_peers (sync, now_ms, false);
+  status->watcher = sync->watcher;
+  status->stale_reads = sync->stale_reads;
+  status->pulls = sync->pulls;
+  status->pushes = sync->pushes;
 }
--- a/source/config/config_spread_private.h
+++ b/source/config/config_spread_private.h
@@ -2,8 +2,8 @@
 #define BILBERRYTRAY_SOURCE_CONFIG_CONFIG_SPREAD_PRIVATE_H
 
 /** @file
- * What the exchange with peers (config_spread.c) and the calls on the service
- * (config_spread_store.c) share.
+ * State shared by the exchange with peers (config_spread.c) and the calls to the key-value store
+ * (config_spread_store.c).
  */
 
 #include "bilberrytray/base/random.h"
@@ -23,12 +23,12 @@
 {
   bt_identity_t identity;
   bool linked;
-  bool in_start_quorum;     /**< Answered a pull of ours while it was ready itself. */
-  int64_t clock_ms;         /**< Its latest now_ms, echoed back to it; -1 if none. */
-  int64_t agreed_ms;        /**< We know that it lived at this time of ours. */
-  int64_t differs_since_ms; /**< Since when its digest differs; NEVER_MS while it agrees. */
-  int64_t next_pull_ms;     /**< Not before this a further pull. */
-  bt_spread_heartbeat_t last_heartbeat; /**< Its latest heartbeat. */
+  bool in_start_quorum;     /**< While ready, it answered a pull or had the same digest. */
+  int64_t clock_ms;         /**< Latest now_ms of its clock, echoed back to it; -1 if none. */
+  int64_t agreed_ms;        /**< Latest local time at which it had the same documents. */
+  int64_t differs_since_ms; /**< When its digest began to differ; NEVER_MS while it is the same. */
+  int64_t next_pull_ms;     /**< Earliest time of the next pull. */
+  bt_spread_heartbeat_t last_heartbeat;
 } peer_t;
 
 struct bt_config_spread
@@ -43,43 +43,43 @@
   bt_subset_candidate_t *members;
   bool *near_members;
   int32_t member_count;
-  int32_t near_count; /**< Near members, this instance among them. */
+  int32_t near_count; /**< Near members, including this instance. */
   bool watcher;
-  bool has_read; /**< The service was read since the start. */
-  bool ready;    /**< It was learnt what is in force. */
+  bool has_read; /**< The store was read since the start. */
+  bool ready;    /**< This instance knows what is in force. */
   int64_t floor;
-  int64_t fresh_ms; /**< Start of the freshest read of the service; NEVER_MS without one. */
+  int64_t fresh_ms; /**< Start of the freshest read, here or at a peer; NEVER_MS: none. */
   store_call_t store_call;
-  int64_t store_since; /**< The floor that the call in flight was sent with. */
+  int64_t store_since; /**< The floor when the read in flight was sent. */
   int64_t store_started_ms;
   int64_t next_store_ms;
-  int32_t store_failures; /**< Since the last answer. */
+  int32_t store_failures; /**< Failed store calls since the last answer. */
   uint64_t stale_reads;
   uint64_t pulls;
   uint64_t pushes;
 };
 
-/** True unless the guard is switched off for a test. */
-bool bt_has_spread_guard (const bt_config_spread_t *spread, uint32_t guard);
+/** True unless a test disabled the guard. */
+bool bt_has_spread_guard (const bt_config_spread_t *sync, uint32_t guard);
 
-/** Appends an action of a kind, to be filled in. */
+/** Appends an action of kind @p kind; the caller fills in the other members. */
 bt_spread_action_t *bt_add_spread_action (bt_context_t *ctx,
                                           bt_spread_actions_t *actions,
                                           bt_spread_action_kind_t kind);
 
-/** Puts pushed or read documents in force where they are newer, and passes on what was new. */
+/** Puts pushed or read documents in force where they are newer, and forwards them if any was. */
 void bt_take_spread_documents (bt_context_t *ctx,
-                               bt_config_spread_t *spread,
+                               bt_config_spread_t *sync,
                                const bt_identity_t *source,
                                const bt_spread_push_t *push,
                                bt_spread_actions_t *actions);
 
-/** Moves a time up to a candidate, never down. */
+/** Sets a time to the candidate if the candidate is later. */
 void bt_raise_spread_time (int64_t *time_ms, int64_t candidate_ms);
 
-/** Starts a plain read of the service. */
+/** Starts a read of the store. */
 void bt_begin_spread_read (bt_context_t *ctx,
-                           bt_config_spread_t *spread,
+                           bt_config_spread_t *sync,
                            int64_t now_ms,
                            bt_spread_actions_t *actions);
 
--- a/source/config/config_spread_store.c
+++ b/source/config/config_spread_store.c
@@ -6,96 +6,96 @@
 };
 
 static void
-schedule_retry (bt_config_spread_t *spread, int64_t now_ms)
+schedule_retry (bt_config_spread_t *sync, int64_t now_ms)
 {
-  int64_t max_delay_ms = spread->settings.store_retry_ms;
+  int64_t max_delay_ms = sync->settings.store_retry_ms;
   int64_t min_delay_ms;
 
-  for (int32_t i = 0; i < spread->store_failures && max_delay_ms < MAX_RETRY_MS; i++)
+  for (int32_t i = 0; i < sync->store_failures && max_delay_ms < MAX_RETRY_MS; i++)
     max_delay_ms *= 2;
   min_delay_ms = max_delay_ms / 2;
-  spread->store_failures++;
-  spread->store_call = STORE_IDLE;
-  spread->next_store_ms = now_ms + min_delay_ms
-                          + (int64_t)bt_random_below (&spread->random, (uint64_t)min_delay_ms + 1);
+  sync->store_failures++;
+  sync->store_call = STORE_IDLE;
+  sync->next_store_ms =
+      now_ms + min_delay_ms + (int64_t)bt_random_below (&sync->random, (uint64_t)min_delay_ms + 1);
 }
 
 void
 bt_begin_spread_read (bt_context_t *ctx,
-                      bt_config_spread_t *spread,
+                      bt_config_spread_t *sync,
                       int64_t now_ms,
                       bt_spread_actions_t *actions)
 {
   bt_spread_action_t *action = bt_add_spread_action (ctx, actions, BT_SPREAD_READ);
 
-  spread->store_call = STORE_READING;
-  spread->store_since = spread->floor;
-  spread->store_started_ms = now_ms;
-  action->since = spread->floor;
+  sync->store_call = STORE_READING;
+  sync->store_since = sync->floor;
+  sync->store_started_ms = now_ms;
+  action->since = sync->floor;
 }
 
 static void
-begin_watch (bt_context_t *ctx, bt_config_spread_t *spread, bt_spread_actions_t *actions)
+begin_watch (bt_context_t *ctx, bt_config_spread_t *sync, bt_spread_actions_t *actions)
 {
   bt_spread_action_t *action = bt_add_spread_action (ctx, actions, BT_SPREAD_WATCH);
 
-  spread->store_call = STORE_WATCHING;
-  action->since = spread->floor;
-  action->wait_ms = spread->settings.watch_wait_ms;
+  sync->store_call = STORE_WATCHING;
+  action->since = sync->floor;
+  action->wait_ms = sync->settings.watch_wait_ms;
 }
 
 void
 bt_take_store_read (bt_context_t *ctx,
-                    bt_config_spread_t *spread,
+                    bt_config_spread_t *sync,
                     int64_t revision,
                     const bt_document_list_t *documents,
                     int64_t now_ms,
                     bt_spread_actions_t *actions)
 {
-  bt_spread_push_t push = { documents, spread->store_since, revision, false, 0 };
+  bt_spread_push_t push = { documents, sync->store_since, revision, false, 0 };
 
-  /* After a recovery a replica of the service may answer with how things stood long before. Seen
-   * as fresh, that would keep an instance admitting under old rules. Revisions never go back, so an
-   * answer below the floor that the read was sent with is known to be old. */
-  if (revision < spread->store_since && bt_has_spread_guard (spread, BT_SPREAD_TRUST_STALE_READ))
+  /* After a recovery, a replica of the store may answer with a state from long before. Treated as
+   * fresh, it would keep an instance admitting requests under old rules. Revisions never decrease,
+   * so an answer older than the floor at the time of the request is known to be stale. */
+  if (revision < sync->store_since && bt_has_spread_guard (sync, BT_SPREAD_TRUST_STALE_READ))
     {
-      spread->stale_reads++;
-      schedule_retry (spread, now_ms);
+      sync->stale_reads++;
+      schedule_retry (sync, now_ms);
       return;
     }
-  bt_take_spread_documents (ctx, spread, NULL, &push, actions);
-  if (revision > spread->floor)
-    spread->floor = revision;
-  /* Dated from before the read was sent: it may have been answered at any time since. */
-  bt_raise_spread_time (&spread->fresh_ms, spread->store_started_ms);
-  spread->has_read = true;
-  spread->store_failures = 0;
-  spread->ready = true;
-  spread->store_call = STORE_IDLE;
-  if (spread->watcher)
-    begin_watch (ctx, spread, actions);
+  bt_take_spread_documents (ctx, sync, NULL, &push, actions);
+  if (revision > sync->floor)
+    sync->floor = revision;
+  /* Dated by the start of the read, as the store may have answered at any time since. */
+  bt_raise_spread_time (&sync->fresh_ms, sync->store_started_ms);
+  sync->has_read = true;
+  sync->store_failures = 0;
+  sync->ready = true;
+  sync->store_call = STORE_IDLE;
+  if (sync->watcher)
+    begin_watch (ctx, sync, actions);
 }
 
 void
 bt_take_store_watch (bt_context_t *ctx,
-                     bt_config_spread_t *spread,
+                     bt_config_spread_t *sync,
                      bool events,
                      int64_t now_ms,
                      bt_spread_actions_t *actions)
 {
-  /* A watch whose connection went silent looks like one on which nothing happened, and changes
-   * would never arrive. So a plain read, on a connection of its own, follows every watch. */
-  if (!events && !bt_has_spread_guard (spread, BT_SPREAD_TRUST_QUIET_WATCH))
+  /* A watch on a dead connection looks like a watch without events, and changes would never arrive.
+   * So every watch is followed by a read on a connection of its own. */
+  if (!events && !bt_has_spread_guard (sync, BT_SPREAD_TRUST_QUIET_WATCH))
     {
-      bt_raise_spread_time (&spread->fresh_ms, now_ms);
-      begin_watch (ctx, spread, actions);
+      bt_raise_spread_time (&sync->fresh_ms, now_ms);
+      begin_watch (ctx, sync, actions);
       return;
     }
-  bt_begin_spread_read (ctx, spread, now_ms, actions);
+  bt_begin_spread_read (ctx, sync, now_ms, actions);
 }
 
 void
-bt_take_store_failure (bt_context_t *ctx, bt_config_spread_t *spread, int64_t now_ms)
+bt_take_store_failure (bt_context_t *ctx, bt_config_spread_t *sync, int64_t now_ms)
 {
-  schedule_retry (spread, now_ms);
+  schedule_retry (sync, now_ms);
 }
--- a/source/config/config_table.c
+++ b/source/config/config_table.c
@@ -14,7 +14,7 @@
   int32_t count;
   int32_t capacity;
   int64_t revision;
-  uint64_t digest; /**< Sum of the documents' own, so that one can be exchanged alone. */
+  uint64_t digest; /**< Sum over the documents, so that one can be replaced alone. */
   uint64_t offers[BT_OFFER_COUNT];
 };
 
@@ -38,7 +38,7 @@
   bt_free (ctx, table);
 }
 
-/* The index of a name, or where it would stand. */
+/* Returns the index of a name, or the index at which to insert it. */
 static int32_t
 find_index (const bt_config_table_t *table, const char *name, bool *found)
 {
@@ -64,6 +64,7 @@
   return bt_hash_bytes (&document->revision, sizeof document->revision, document->digest);
 }
 
+/* Makes room for a document at an index; the caller stores it. */
 static void
 insert_slot (bt_context_t *ctx, bt_config_table_t *table, int32_t index)
 {
@@ -87,9 +88,9 @@
     return BT_OFFER_APPLIED;
   if (offered->revision == current->revision)
     return offered->digest == current->digest ? BT_OFFER_SAME : BT_OFFER_DIFFERENT;
-  /* An accepted change would vanish again if a read of a lagging replica, a late push or a peer
-   * that was away could put an older document in force. The service gives every write a higher
-   * revision, so comparing revisions keeps all of them out, whatever way they came. */
+  /* An accepted change would be lost if a read from a lagging replica, a delayed push or a peer
+   * that was disconnected could put an older document in force. The store gives every write a
+   * higher revision, so comparing revisions rejects older documents from any source. */
   return (table->guards_off & BT_TABLE_ACCEPT_OLDER) != 0 ? BT_OFFER_APPLIED : BT_OFFER_OLDER;
 }
 
--- a/source/config/declarations.c
+++ b/source/config/declarations.c
@@ -17,7 +17,7 @@
   DEFAULT_QUEUE = 32,
 };
 
-/** Declarations with their count of references, which readers need not see. */
+/** Declarations with their reference count, which is hidden from readers. */
 typedef struct counted_declarations
 {
   bt_declarations_t base;
@@ -108,7 +108,7 @@
       bt_check_json_fields (reader, object, path, fields);
       if (bt_read_json_name (reader, object, path, "name", account->name)
           && bt_find_account (declarations, account->name) >= 0)
-        bt_add_json_finding (reader, path, "The account \"%s\" stands twice.", account->name);
+        bt_add_json_finding (reader, path, "The account \"%s\" is declared twice.", account->name);
       read_token_hashes (reader, object, path, account);
       account->share =
           (int32_t)bt_read_json_integer (reader, object, path, "share", 1, MAX_SHARE, 1);
@@ -140,7 +140,7 @@
       bt_check_json_fields (reader, object, path, fields);
       if (bt_read_json_name (reader, object, path, "name", app->name)
           && bt_find_app (declarations, app->name) >= 0)
-        bt_add_json_finding (reader, path, "The app \"%s\" stands twice.", app->name);
+        bt_add_json_finding (reader, path, "The app \"%s\" is declared twice.", app->name);
       app->kind =
           (bt_app_kind_t)bt_read_json_choice (reader, object, path, "kind", kinds, 2, BT_APP_MODEL);
       app->deadline_ms = bt_read_json_integer (reader, object, path, "deadline_ms", 1,
@@ -193,7 +193,8 @@
       bt_check_json_fields (reader, object, path, fields);
       if (bt_read_json_name (reader, object, path, "name", endpoint->name)
           && bt_find_endpoint (declarations, endpoint->name) >= 0)
-        bt_add_json_finding (reader, path, "The endpoint \"%s\" stands twice.", endpoint->name);
+        bt_add_json_finding (reader, path, "The endpoint \"%s\" is declared twice.",
+                             endpoint->name);
       endpoint->app = read_app (reader, object, path, declarations);
       endpoint->slots = (int32_t)bt_read_json_integer (reader, object, path, "slots", 1, MAX_SLOTS,
                                                        DEFAULT_SLOTS);
--- a/source/config/declarations_build.c
+++ b/source/config/declarations_build.c
@@ -4,11 +4,11 @@
 
 enum
 {
-  /* Longest body that a rule can ask for; a built rule matches any. */
+  /* Upper limit of the body size in a rule that matches any body. */
   ANY_BODY_BYTES = INT32_MAX,
 };
 
-/* Room grows by doubling: a configuration of some hundred rules is built within one call. */
+/* Arrays grow by doubling, as one call may add several hundred rules. */
 static bool
 is_full (int32_t count)
 {
--- a/source/config/declarations_rules.c
+++ b/source/config/declarations_rules.c
@@ -56,7 +56,7 @@
   if (when->path[0] != '/')
     bt_add_json_finding (reader, field_path, "A path starts with '/'.");
   else if (star != NULL && star[1] != '\0')
-    bt_add_json_finding (reader, field_path, "'*' may stand only at the end.");
+    bt_add_json_finding (reader, field_path, "'*' is allowed only at the end.");
 }
 
 static void
@@ -173,7 +173,7 @@
   then->limit_burst =
       bt_read_json_integer (reader, limit, field_path, "burst", 1, MAX_PER_S, then->limit_per_s);
   if (then->limit_per_s == 0)
-    bt_add_json_finding (reader, field_path, "A limit needs per_s.");
+    bt_add_json_finding (reader, field_path, "A limit requires per_s.");
 }
 
 static void
@@ -195,7 +195,7 @@
       bt_read_json_integer (reader, affinity, field_path, "prefix_bytes", 1, MAX_PREFIX_BYTES, 0);
 }
 
-/* What callers expect of the answer; absent words mean false and 0. */
+/* Reads what callers expect of the answer; an absent field means false or 0. */
 static void
 read_answer (bt_json_reader_t *reader, const json_t *object, const char *path, bt_rule_then_t *then)
 {
@@ -280,7 +280,7 @@
       const bt_rule_t *earlier = &declarations->rules[i];
 
       if (strcmp (earlier->name, rule->name) == 0)
-        bt_add_json_finding (reader, path, "The rule \"%s\" stands twice.", rule->name);
+        bt_add_json_finding (reader, path, "The rule \"%s\" is declared twice.", rule->name);
       if (bt_covers_rule (earlier, rule))
         {
           bt_add_json_finding (reader, path,
--- a/source/config/document.c
+++ b/source/config/document.c
@@ -91,7 +91,7 @@
   return strcmp (text, "-") == 0 || (digits == CHANGE_DIGITS && text[digits] == '\0');
 }
 
-/* Reads the header line, without its end, of a value that begins with one. */
+/* Parses a header line, given without its line feed. */
 static bool
 read_header (const char *line,
              char change[BT_CHANGE_BYTES],
--- a/source/config/json_lines.c
+++ b/source/config/json_lines.c
@@ -65,7 +65,7 @@
   return scanner->cursor < scanner->end;
 }
 
-/* Copies a string's text without decoding escapes: field names of ours hold none. */
+/* Copies the text of a string without decoding escapes; no known field name has any. */
 static void
 scan_string (scanner_t *scanner, char *text, size_t bytes)
 {
--- a/source/config/json_lines.h
+++ b/source/config/json_lines.h
@@ -2,7 +2,7 @@
 #define BILBERRYTRAY_SOURCE_CONFIG_JSON_LINES_H
 
 /** @file
- * The line on which each value of a JSON text stands, which jansson does not keep.
+ * Line numbers of the values in a JSON text, which jansson does not record.
  */
 
 #include <stdint.h>
@@ -11,13 +11,13 @@
 
 typedef struct bt_json_lines bt_json_lines_t;
 
-/** Scans a text that jansson has already read without error. */
+/** Scans a text that jansson has already parsed without error. */
 bt_json_lines_t *bt_new_json_lines (bt_context_t *ctx, const char *data, size_t bytes);
 
 void bt_drop_json_lines (bt_context_t *ctx, bt_json_lines_t *lines);
 
-/** The line, from 1, of the value at a path such as "rules[2].when.path"; 1 when it is not there.
- */
+/** The line number, from 1, of the value at a path such as "rules[2].when.path"; 1 when the path
+ * does not exist. */
 int32_t bt_find_json_line (const bt_json_lines_t *lines, const char *path);
 
 #endif
--- a/source/config/json_reader.c
+++ b/source/config/json_reader.c
@@ -26,7 +26,7 @@
   if (reader->root == NULL)
     {
       bt_add_finding (ctx, findings, text->file, error.line < 1 ? 1 : error.line, NULL,
-                      "This is not JSON: %s.", error.text);
+                      "Invalid JSON: %s.", error.text);
       return;
     }
   if (!json_is_object (reader->root))
@@ -141,7 +141,7 @@
     return NULL;
   if (!json_is_string (value) || json_string_length (value) == 0)
     {
-      report_field (reader, path, field, "Expected text.");
+      report_field (reader, path, field, "Expected a non-empty string.");
       return NULL;
     }
   return bt_strdup (reader->ctx, json_string_value (value));
@@ -239,7 +239,7 @@
         strings[(*count)++] = bt_strdup (reader->ctx, json_string_value (item));
     }
   if (size == 0 || (size_t)*count < size)
-    report_field (reader, path, field, "Expected text or a list of strings, not empty.");
+    report_field (reader, path, field, "Expected a non-empty string or a non-empty list of them.");
   return strings;
 }
 
--- a/source/config/publisher.c
+++ b/source/config/publisher.c
@@ -18,28 +18,28 @@
   STEP_DONE,
 } step_t;
 
-/* What is known of the transaction. */
+/* The known state of the transaction. */
 typedef enum commit_state
 {
   COMMIT_NOT_SENT = 0,
-  COMMIT_UNKNOWN, /**< An answer was lost. */
+  COMMIT_UNKNOWN, /**< Its answer was lost; it may have taken effect. */
   COMMIT_REFUSED, /**< A comparison failed. */
   COMMIT_SUCCEEDED,
 } commit_state_t;
 
-/* One document that the operator wants in force. */
+/* One document that the operator wants to put in force. */
 typedef struct wanted
 {
   bt_document_t *document; /**< Revision 0. */
-  int64_t base_revision;   /**< As the operator gave it. */
+  int64_t base_revision;   /**< Given by the operator, or BT_BASE_CURRENT. */
 } wanted_t;
 
 typedef struct entry
 {
   bt_publish_entry_t status;
   uint64_t incarnation;
-  int64_t *revisions;   /**< In force there, one for each change. */
-  int64_t next_push_ms; /**< When to hand over again. */
+  int64_t *revisions;   /**< Revisions in force there, one for each change. */
+  int64_t next_push_ms; /**< Time of the next push. */
 } entry_t;
 
 struct bt_publisher
@@ -49,15 +49,15 @@
   wanted_t *wanted;
   int32_t wanted_count;
   bt_document_list_t changes;
-  int64_t *compare_revisions; /**< Base revision of each change. */
+  int64_t *compare_revisions; /**< The revision that each change replaces. */
   step_t step;
   commit_state_t commit;
-  bool answer_lost;   /**< Some answer to the transaction was lost. */
-  bool retry_pending; /**< Nothing is in flight: the step begins again at retry_ms. */
+  bool answer_lost;   /**< The answer to a transaction was lost at least once. */
+  bool retry_pending; /**< No call is in flight; the step is repeated at retry_ms. */
   int64_t retry_ms;
   int64_t write_deadline_ms;
   int64_t push_deadline_ms;
-  int64_t majority_since_ms; /**< When more than half had it; NEVER_MS before. */
+  int64_t majority_since_ms; /**< When more than half got the change; NEVER_MS: not yet. */
   int64_t revision;
   bt_publish_result_t result;
   bt_publish_conflict_t *conflicts;
@@ -209,9 +209,9 @@
   add_action (ctx, actions, BT_PUBLISH_FINISH, "");
 }
 
-/* How a publish ends that can go on no further with the service. */
+/* The result of a publish that stops because the store does not answer in time. */
 static bt_publish_result_t
-get_result_without_service (const bt_publisher_t *publisher)
+get_result_without_store (const bt_publisher_t *publisher)
 {
   if (publisher->commit == COMMIT_SUCCEEDED)
     return BT_PUBLISH_WRITTEN;
@@ -263,8 +263,9 @@
   else if (publisher->majority_since_ms == NEVER_MS)
     publisher->majority_since_ms = now_ms;
   accepted = count > 0 && count == publisher->entry_count;
-  /* An entry that does not answer may be alive, cut off and admitting by the old rules. More than
-   * half have the change, so it meets one of them and learns, or it is isolated after the limit. */
+  /* An entry that does not answer may be alive, partitioned and admitting requests under the old
+   * rules. More than half of the entries have the change, so it either receives the change from one
+   * of them or is isolated after the limit. */
   if (publisher->majority_since_ms != NEVER_MS
       && now_ms - publisher->majority_since_ms >= publisher->settings.isolation_ms)
     accepted = true;
@@ -299,8 +300,8 @@
   check_acceptance (ctx, publisher, now_ms, actions);
 }
 
-/* Puts the documents as the service holds them, at revisions of ours or later, for the hand-over.
- */
+/* Starts the push with the documents as they are in the store, at the committed revision or a later
+ * one. */
 static void
 begin_push (bt_context_t *ctx,
             bt_publisher_t *publisher,
@@ -349,7 +350,7 @@
          && memcmp (left->data, right->data, left->data_bytes) == 0;
 }
 
-/* Notes a document to write, unless it is there already. */
+/* Adds a document to the changes, unless the store already has the same content. */
 static void
 add_change (bt_context_t *ctx,
             bt_publisher_t *publisher,
@@ -373,8 +374,8 @@
   bt_drop_document (ctx, changed);
 }
 
-/* Nothing differs from what the service has: hand that over, so that `accepted` still means what
- * it says. */
+/* Pushes the documents although nothing differs from the store, so that `accepted` still means that
+ * they are in force on the entries. */
 static void
 push_unchanged (bt_context_t *ctx,
                 bt_publisher_t *publisher,
@@ -405,8 +406,8 @@
       const bt_document_t *document = bt_find_listed_document (found, wanted->document->name);
       int64_t revision = document == NULL ? 0 : document->revision;
 
-      /* Two operators edit the same revision. The second one's file lacks the first one's edit, and
-       * writing it would undo that edit without anyone having decided so. */
+      /* Two operators edit the same revision. The second operator's file lacks the first one's
+       * edit, and writing it would silently undo that edit. */
       if (wanted->base_revision != BT_BASE_CURRENT && revision > wanted->base_revision
           && (publisher->settings.guards_off & BT_PUBLISH_NO_COMPARE) == 0)
         add_conflict (publisher, wanted->document->name, wanted->base_revision, document);
@@ -420,11 +421,11 @@
     begin_step (ctx, publisher, STEP_COMMIT, actions);
 }
 
-/* What a read-back tells of the transaction, which wrote all documents or none. */
+/* What a read-back shows about the transaction, which wrote either all documents or none. */
 typedef struct read_back
 {
-  bool ours;        /**< Some document carries our change id, or directly replaced ours. */
-  bool all_at_base; /**< All are as they were before. */
+  bool ours; /**< A document carries the id of this change, or directly replaced one that did. */
+  bool all_at_base; /**< No document has changed since the base was read. */
   bool all_exist;
 } read_back_t;
 
@@ -464,15 +465,15 @@
       if ((document == NULL ? 0 : document->revision) != publisher->compare_revisions[i])
         add_conflict (publisher, name, publisher->compare_revisions[i], document);
     }
-  /* Ours may have been written, its answer lost, and been replaced more than once since. */
+  /* If an answer was lost, this change may have been written and replaced more than once since. */
   finish (ctx, publisher, publisher->answer_lost ? BT_PUBLISH_UNKNOWN : BT_PUBLISH_CONFLICT,
           actions);
 }
 
-/* A transaction whose answer was lost may have taken effect: said to have failed, the operator
- * would repeat it over someone's newer edit, or believe that the old rules still hold. The change
- * id in the value tells. Where it is not there, the same transaction is sent again: it
- * compare_revisions the same revisions, so it cannot happen twice. */
+/* A transaction whose answer was lost may have taken effect. If it were reported as failed, the
+ * operator would repeat it over a newer edit, or believe that the old rules are still in force. The
+ * change id in the stored value shows whether it was written. If it was not, the same transaction
+ * is sent again: it compares the same revisions, so it cannot take effect twice. */
 static void
 handle_read_back (bt_context_t *ctx,
                   bt_publisher_t *publisher,
@@ -490,7 +491,7 @@
   else if (publisher->commit == COMMIT_UNKNOWN)
     begin_step (ctx, publisher, STEP_COMMIT, actions);
   else
-    /* The read is older than the transaction: a replica that lags. */
+    /* The read came from a lagging replica and is older than the transaction. */
     schedule_step (publisher, STEP_READ_BACK, now_ms);
 }
 
@@ -547,7 +548,7 @@
       return;
     }
   if (now_ms >= publisher->write_deadline_ms)
-    finish (ctx, publisher, get_result_without_service (publisher), actions);
+    finish (ctx, publisher, get_result_without_store (publisher), actions);
   else
     schedule_step (publisher, committing && unknown ? STEP_READ_BACK : publisher->step, now_ms);
 }
@@ -560,8 +561,9 @@
   if (entry == NULL || entry->incarnation == incarnation)
     return;
   entry->incarnation = incarnation;
-  /* An entry confirms and is replaced while others are waited for. The new process may have started
-   * from peers that lack the change; counted, it would make up a majority that does not exist. */
+  /* An entry may confirm and be replaced before the others confirm. The new process may have
+   * started from peers that lack the change; counting it would report a majority that does not
+   * exist. */
   if ((publisher->settings.guards_off & BT_PUBLISH_KEEP_CONFIRMED) != 0)
     return;
   entry->status.in_force = false;
@@ -608,7 +610,7 @@
            && now_ms >= publisher->retry_ms)
     {
       if (now_ms >= publisher->write_deadline_ms)
-        finish (ctx, publisher, get_result_without_service (publisher), actions);
+        finish (ctx, publisher, get_result_without_store (publisher), actions);
       else
         begin_step (ctx, publisher, publisher->step, actions);
     }
--- a/source/config/rule.c
+++ b/source/config/rule.c
@@ -12,6 +12,7 @@
   return part_names[part];
 }
 
+/* Returns whether a list contains a value; an empty list accepts every value. */
 static bool
 accepts_value (char *const *values, int32_t count, const char *value)
 {
@@ -91,6 +92,7 @@
   return -1;
 }
 
+/* Returns whether the list @p wide accepts every value that the list @p narrow accepts. */
 static bool
 covers_values (char *const *wide, int32_t wide_count, char *const *narrow, int32_t narrow_count)
 {
--- a/test/config/config_world.h
+++ b/test/config/config_world.h
@@ -2,9 +2,9 @@
 #define TEST_CONFIG_WORLD_H
 
 /** @file
- * Entry instances, operators and a key-value service around the pure core, in one thread under a
- * made-up time: messages are delayed, lost and doubled as a test or a seed says, and what was
- * promised to operators is checked after each step.
+ * Deterministic simulation of entry instances, operators and a key-value store around the modules
+ * under test, in one thread with simulated time. Messages are delayed, lost and duplicated as a
+ * test or a seed decides. After each step, the guarantees to operators are checked.
  */
 
 #include <stdio.h>
@@ -24,7 +24,7 @@
   SIM_HEARTBEAT_MS = 1000,
   SIM_LINK_IDLE_MS = 3000,
   SIM_CALL_TIMEOUT_MS = 3000,
-  SIM_MAX_STALE_MS = 20000,
+  SIM_MAX_STALE_MS = 20000, /**< Longest time to admit under rules older than an accepted change. */
   SIM_TAG_BYTES = 16,
   SIM_RULES_BYTES = 4096,
   SIM_MAX_RESULTS = 512,
@@ -37,11 +37,11 @@
   MESSAGE_PUSH,
   MESSAGE_PULL,
   MESSAGE_IN_FORCE,
-  MESSAGE_READ,  /**< Answer of the service to an entry. */
+  MESSAGE_READ,  /**< Answer of the store to a read by an entry. */
   MESSAGE_WATCH, /**< End of a watch. */
-  MESSAGE_FAIL,  /**< The service did not answer an entry. */
+  MESSAGE_FAIL,  /**< The store did not answer an entry. */
   MESSAGE_OPERATOR_READ,
-  MESSAGE_COMMIT, /**< A transaction on its way to the service. */
+  MESSAGE_COMMIT, /**< A transaction in flight to the store. */
   MESSAGE_COMMITTED,
   MESSAGE_OPERATOR_FAIL,
 } message_kind_t;
@@ -53,7 +53,7 @@
   int32_t from;
   int32_t to;
   uint64_t from_incarnation;
-  uint64_t to_incarnation; /**< Incarnation, or for an operator the number of its call. */
+  uint64_t to_incarnation; /**< For an operator, the number of its call instead. */
   bt_spread_heartbeat_t heartbeat;
   bt_document_list_t documents;
   int64_t from_revision;
@@ -66,18 +66,18 @@
 {
   bool alive;
   bool paused;
-  bool service_unreachable;
+  bool store_unreachable;
   int64_t clock_offset_ms;
   bt_identity_t identity;
-  bt_config_spread_t *spread;
-  int64_t last_revision; /**< Of "rules", for the check that it never goes back. */
+  bt_config_spread_t *sync;
+  int64_t last_revision; /**< Of "rules", to check that it never decreases. */
 } sim_entry_t;
 
 typedef struct sim_operator
 {
   bt_publisher_t *publisher;
-  char tag[SIM_TAG_BYTES];
-  uint64_t call;
+  char tag[SIM_TAG_BYTES]; /**< Text that the edit appends. */
+  uint64_t call;           /**< Number of the latest store call. */
   bool finished;
 } sim_operator_t;
 
@@ -86,7 +86,7 @@
   char tag[SIM_TAG_BYTES];
   int64_t revision;
   int64_t finished_ms;
-  bool not_written; /**< The operator was finished that it was not written. */
+  bool not_written; /**< The result said that the change was not written. */
 } sim_result_t;
 
 typedef struct simulation
@@ -95,26 +95,26 @@
   bt_random_t random;
   int64_t now_ms;
   int32_t entry_count;
-  bt_spread_settings_t spread_settings;
+  bt_spread_settings_t sync_settings;
   bt_publish_settings_t publish_settings;
   sim_entry_t entries[SIM_MAX_ENTRIES];
   sim_operator_t operators[SIM_OPERATORS];
   bool blocked[SIM_NODES][SIM_NODES];
   bool linked[SIM_MAX_ENTRIES][SIM_MAX_ENTRIES];
-  int64_t silent_since_ms[SIM_MAX_ENTRIES][SIM_MAX_ENTRIES];
+  int64_t silent_ms[SIM_MAX_ENTRIES][SIM_MAX_ENTRIES];
   int64_t link_delay_ms;
-  int64_t read_delay_ms; /**< Of the service's answers to entries. */
-  int32_t loss_percent;  /**< Of messages, and of calls on the service. */
+  int64_t read_delay_ms; /**< Added to the store's answers to reads by entries. */
+  int32_t loss_percent;  /**< Applies to messages and to store calls. */
   int32_t duplicate_percent;
-  bool service_down;
+  bool store_down;
   bool silent_watch;
   bool stale_reads;
   int32_t lose_commit_answers;
-  bt_document_t *rules;     /**< What the service holds. */
-  bt_document_t *old_rules; /**< What a stale read gives. */
-  int64_t service_revision;
+  bt_document_t *rules;     /**< The rules in the store. */
+  bt_document_t *old_rules; /**< The rules that a stale read returns. */
+  int64_t store_revision;
   int64_t old_revision;
-  uint64_t service_calls;
+  uint64_t store_calls;
   message_t *messages;
   int32_t message_count;
   int32_t message_capacity;
@@ -125,10 +125,10 @@
 } simulation_t;
 
 static inline void
-sim_report_violation (simulation_t *sim, const char *what, int32_t who)
+sim_report_violation (simulation_t *sim, const char *what, int32_t node)
 {
   if (sim->violation[0] == '\0')
-    snprintf (sim->violation, sizeof sim->violation, "%s, node %d at %lld ms", what, (int)who,
+    snprintf (sim->violation, sizeof sim->violation, "%s, node %d at %lld ms", what, (int)node,
               (long long)sim->now_ms);
 }
 
@@ -174,12 +174,12 @@
   return sim->link_delay_ms + (int64_t)bt_random_below (&sim->random, 100);
 }
 
-/* A service call that an entry makes; false when nothing comes back. */
+/* Counts a store call by an entry; returns false when the call gets no answer. */
 static inline bool
-sim_call_service_from_entry (simulation_t *sim, int32_t entry)
+sim_call_store_from_entry (simulation_t *sim, int32_t entry)
 {
-  sim->service_calls++;
-  return !sim->service_down && !sim->entries[entry].service_unreachable
+  sim->store_calls++;
+  return !sim->store_down && !sim->entries[entry].store_unreachable
          && !sim_random_percent (sim, sim->loss_percent);
 }
 
@@ -188,7 +188,7 @@
 {
   bt_document_t *rules = sim->stale_reads ? sim->old_rules : sim->rules;
 
-  message->revision = sim->stale_reads ? sim->old_revision : sim->service_revision;
+  message->revision = sim->stale_reads ? sim->old_revision : sim->store_revision;
   if (rules != NULL && rules->revision > since)
     bt_add_document (sim->ctx, &message->documents, rules);
 }
@@ -240,7 +240,7 @@
         continue;
       if (!read && action->kind != BT_SPREAD_WATCH)
         sim_send_action (sim, entry, action);
-      else if (!sim_call_service_from_entry (sim, entry))
+      else if (!sim_call_store_from_entry (sim, entry))
         sim_send (sim, MESSAGE_FAIL, -1, entry, 300);
       else if (read)
         sim_fill_read_answer (sim,
@@ -263,8 +263,8 @@
   entry->alive = true;
   entry->paused = false;
   entry->last_revision = 0;
-  entry->spread = bt_new_config_spread (sim->ctx, &entry->identity, &sim->spread_settings,
-                                        sim->start_count, sim_get_clock_ms (sim, index));
+  entry->sync = bt_new_config_spread (sim->ctx, &entry->identity, &sim->sync_settings,
+                                      sim->start_count, sim_get_clock_ms (sim, index));
 }
 
 static inline void
@@ -277,11 +277,11 @@
   for (int32_t other = 0; other < sim->entry_count; other++)
     {
       if (sim->linked[other][index])
-        bt_close_spread_link (sim->ctx, sim->entries[other].spread, &entry->identity);
+        bt_close_spread_link (sim->ctx, sim->entries[other].sync, &entry->identity);
       sim->linked[other][index] = sim->linked[index][other] = false;
     }
-  bt_drop_config_spread (sim->ctx, entry->spread);
-  entry->spread = NULL;
+  bt_drop_config_spread (sim->ctx, entry->sync);
+  entry->sync = NULL;
   entry->alive = false;
 }
 
@@ -298,23 +298,26 @@
     }
   for (int32_t i = 0; i < sim->entry_count; i++)
     if (sim->entries[i].alive)
-      bt_set_spread_members (sim->ctx, sim->entries[i].spread, members, sim->entry_count);
+      bt_set_spread_members (sim->ctx, sim->entries[i].sync, members, sim->entry_count);
 }
 
 static inline void
-sim_open (
-    simulation_t *sim, int32_t entries, uint64_t seed, uint32_t spread_off, uint32_t publish_off)
+sim_open (simulation_t *sim,
+          int32_t entries,
+          uint64_t seed,
+          uint32_t sync_guards_off,
+          uint32_t publish_guards_off)
 {
   memset (sim, 0, sizeof *sim);
   sim->ctx = bt_new_context ();
   bt_seed_random (&sim->random, seed);
   sim->now_ms = 100000;
   sim->entry_count = entries;
-  sim->service_revision = sim->old_revision = 10;
-  sim->spread_settings = bt_get_default_spread_settings ();
-  sim->spread_settings.guards_off = spread_off;
+  sim->store_revision = sim->old_revision = 10;
+  sim->sync_settings = bt_get_default_spread_settings ();
+  sim->sync_settings.guards_off = sync_guards_off;
   sim->publish_settings = bt_get_default_publish_settings ();
-  sim->publish_settings.guards_off = publish_off;
+  sim->publish_settings.guards_off = publish_guards_off;
   for (int32_t i = 0; i < entries; i++)
     sim_start_entry (sim, i);
   sim_set_members (sim);
@@ -335,13 +338,13 @@
   bt_drop_context (sim->ctx);
 }
 
-/* Makes the service give what it holds now to all reads that are to be stale. */
+/* Saves the current contents of the store as the answer to stale reads. */
 static inline void
 sim_save_stale_state (simulation_t *sim)
 {
   bt_drop_document (sim->ctx, sim->old_rules);
   sim->old_rules = sim->rules == NULL ? NULL : bt_keep_document (sim->rules);
-  sim->old_revision = sim->service_revision;
+  sim->old_revision = sim->store_revision;
 }
 
 static inline void
@@ -350,10 +353,8 @@
 static inline void
 sim_write_rules (simulation_t *sim, const bt_document_t *wanted)
 {
-  bt_document_fields_t fields = {
-    "rules",      ++sim->service_revision, wanted->change, wanted->after, false,
-    wanted->data, wanted->data_bytes
-  };
+  bt_document_fields_t fields = { "rules", ++sim->store_revision, wanted->change,    wanted->after,
+                                  false,   wanted->data,          wanted->data_bytes };
 
   bt_drop_document (sim->ctx, sim->rules);
   sim->rules = bt_new_document (sim->ctx, &fields);
@@ -363,17 +364,17 @@
       sim->messages[i].due_ms = sim->now_ms;
 }
 
-/* The transaction reaches the service. */
+/* Executes a transaction that reaches the store. */
 static inline void
 sim_commit (simulation_t *sim, const message_t *message)
 {
   int64_t revision = sim->rules == NULL ? 0 : sim->rules->revision;
-  bool holds = message->revision < 0 || message->revision == revision;
+  bool matches = message->revision < 0 || message->revision == revision;
   message_t *answer;
 
-  if (sim->service_down)
+  if (sim->store_down)
     return;
-  if (holds)
+  if (matches)
     sim_write_rules (sim, message->documents.items[0]);
   if (sim->lose_commit_answers > 0)
     {
@@ -382,8 +383,8 @@
     }
   answer = sim_send (sim, MESSAGE_COMMITTED, -1, message->from, sim_random_delay_ms (sim));
   answer->to_incarnation = message->to_incarnation;
-  answer->flag = holds;
-  answer->revision = sim->service_revision;
+  answer->flag = matches;
+  answer->revision = sim->store_revision;
 }
 
 static inline void
@@ -400,7 +401,7 @@
 }
 
 static inline void
-sim_call_service (simulation_t *sim, int32_t index, bool commit)
+sim_call_store (simulation_t *sim, int32_t index, bool commit)
 {
   sim_operator_t *operator= & sim->operators[index];
   int32_t node = SIM_MAX_ENTRIES + index;
@@ -410,7 +411,7 @@
   message = sim_send (sim, MESSAGE_OPERATOR_FAIL, -1, node, SIM_CALL_TIMEOUT_MS);
   message->to_incarnation = operator->call;
   message->flag = true;
-  if (sim->service_down || sim_random_percent (sim, sim->loss_percent))
+  if (sim->store_down || sim_random_percent (sim, sim->loss_percent))
     return;
   if (commit)
     {
@@ -431,16 +432,16 @@
 sim_record_result (simulation_t *sim, sim_operator_t *operator)
 {
   bt_publish_result_t result = bt_get_publish_result (operator->publisher);
-  sim_result_t *noted = &sim->results[sim->result_count];
+  sim_result_t *result_entry = &sim->results[sim->result_count];
 
   operator->finished = true;
   if (sim->result_count == SIM_MAX_RESULTS || result == BT_PUBLISH_UNKNOWN
       || result == BT_PUBLISH_WRITTEN)
     return;
-  memcpy (noted->tag, operator->tag, sizeof noted->tag);
-  noted->not_written = result != BT_PUBLISH_ACCEPTED;
-  noted->revision = bt_get_publish_revision (operator->publisher);
-  noted->finished_ms = sim->now_ms;
+  memcpy (result_entry->tag, operator->tag, sizeof result_entry->tag);
+  result_entry->not_written = result != BT_PUBLISH_ACCEPTED;
+  result_entry->revision = bt_get_publish_revision (operator->publisher);
+  result_entry->finished_ms = sim->now_ms;
   sim->result_count++;
 }
 
@@ -456,12 +457,12 @@
       else if (action->kind == BT_PUBLISH_HAND_OVER)
         sim_push_to_entry (sim, index, action->instance);
       else
-        sim_call_service (sim, index, action->kind == BT_PUBLISH_COMMIT);
+        sim_call_store (sim, index, action->kind == BT_PUBLISH_COMMIT);
     }
   bt_clear_publish_actions (sim->ctx, actions);
 }
 
-/* An operator adds a tag of its own to the rules that it believes are there. */
+/* Publishes an edit that appends a unique tag to the rules in @p base. */
 static inline void
 sim_publish (simulation_t *sim, int32_t index, const bt_document_t *base)
 {
@@ -509,19 +510,19 @@
       source.incarnation = message->from_incarnation;
     }
   if (message->kind == MESSAGE_HEARTBEAT)
-    bt_take_spread_heartbeat (sim->ctx, entry->spread, &source, &message->heartbeat, now_ms,
+    bt_take_spread_heartbeat (sim->ctx, entry->sync, &source, &message->heartbeat, now_ms,
                               &actions);
   else if (message->kind == MESSAGE_PUSH)
-    bt_take_spread_push (sim->ctx, entry->spread, &source, &push, now_ms, &actions);
+    bt_take_spread_push (sim->ctx, entry->sync, &source, &push, now_ms, &actions);
   else if (message->kind == MESSAGE_PULL)
-    bt_take_spread_pull (sim->ctx, entry->spread, &source, message->from_revision, &actions);
+    bt_take_spread_pull (sim->ctx, entry->sync, &source, message->from_revision, &actions);
   else if (message->kind == MESSAGE_READ)
-    bt_take_store_read (sim->ctx, entry->spread, message->revision, &message->documents, now_ms,
+    bt_take_store_read (sim->ctx, entry->sync, message->revision, &message->documents, now_ms,
                         &actions);
   else if (message->kind == MESSAGE_WATCH)
-    bt_take_store_watch (sim->ctx, entry->spread, !sim->silent_watch, now_ms, &actions);
+    bt_take_store_watch (sim->ctx, entry->sync, !sim->silent_watch, now_ms, &actions);
   else
-    bt_take_store_failure (sim->ctx, entry->spread, now_ms);
+    bt_take_store_failure (sim->ctx, entry->sync, now_ms);
   sim_run_actions (sim, message->to, &actions);
 }
 
@@ -601,10 +602,10 @@
 
   sim->linked[from][to] = open;
   if (open)
-    bt_open_spread_link (sim->ctx, sim->entries[from].spread, &sim->entries[to].identity,
+    bt_open_spread_link (sim->ctx, sim->entries[from].sync, &sim->entries[to].identity,
                          sim_get_clock_ms (sim, from), &actions);
   else
-    bt_close_spread_link (sim->ctx, sim->entries[from].spread, &sim->entries[to].identity);
+    bt_close_spread_link (sim->ctx, sim->entries[from].sync, &sim->entries[to].identity);
   sim_run_actions (sim, from, &actions);
 }
 
@@ -618,18 +619,18 @@
     return;
   if (sim->blocked[from][to])
     {
-      sim->silent_since_ms[from][to] += SIM_HEARTBEAT_MS;
-      if (sim->linked[from][to] && sim->silent_since_ms[from][to] > SIM_LINK_IDLE_MS)
+      sim->silent_ms[from][to] += SIM_HEARTBEAT_MS;
+      if (sim->linked[from][to] && sim->silent_ms[from][to] > SIM_LINK_IDLE_MS)
         sim_set_link (sim, from, to, false);
       return;
     }
-  sim->silent_since_ms[from][to] = 0;
+  sim->silent_ms[from][to] = 0;
   if (!sim->linked[from][to])
     sim_set_link (sim, from, to, true);
   if (sim_random_percent (sim, sim->loss_percent))
     return;
   message = sim_send (sim, MESSAGE_HEARTBEAT, from, to, sim_random_delay_ms (sim));
-  bt_make_spread_heartbeat (entry->spread, &sim->entries[to].identity, sim_get_clock_ms (sim, from),
+  bt_make_spread_heartbeat (entry->sync, &sim->entries[to].identity, sim_get_clock_ms (sim, from),
                             &message->heartbeat);
 }
 
@@ -640,17 +641,18 @@
 
   if (!sim->entries[entry].alive)
     return -1;
-  rules = bt_find_document (bt_get_spread_table (sim->entries[entry].spread), "rules");
+  rules = bt_find_document (bt_get_spread_table (sim->entries[entry].sync), "rules");
   return rules == NULL ? 0 : rules->revision;
 }
 
 static inline bool
 sim_is_admitting (const simulation_t *sim, int32_t entry)
 {
-  const sim_entry_t *at = &sim->entries[entry];
+  const sim_entry_t *instance_state = &sim->entries[entry];
 
-  return at->alive && !at->paused
-         && bt_get_spread_state (at->spread, sim_get_clock_ms (sim, entry)) == BT_SPREAD_READY;
+  return instance_state->alive && !instance_state->paused
+         && bt_get_spread_state (instance_state->sync, sim_get_clock_ms (sim, entry))
+                == BT_SPREAD_READY;
 }
 
 static inline void
@@ -673,12 +675,13 @@
     }
   for (int32_t j = 0; j < sim->result_count; j++)
     {
-      bool there = sim->rules != NULL && strstr (sim->rules->data, sim->results[j].tag) != NULL;
+      bool present = sim->rules != NULL && strstr (sim->rules->data, sim->results[j].tag) != NULL;
 
-      if (there == sim->results[j].not_written)
-        sim_report_violation (
-            sim, there ? "what was finished not written is there" : "an accepted change was lost",
-            -1);
+      if (present == sim->results[j].not_written)
+        sim_report_violation (sim,
+                              present ? "a change reported as not written exists"
+                                      : "an accepted change was lost",
+                              -1);
     }
 }
 
@@ -695,7 +698,7 @@
 
       if (!sim->entries[i].alive || sim->entries[i].paused)
         continue;
-      bt_tick_config_spread (sim->ctx, sim->entries[i].spread, sim_get_clock_ms (sim, i), &actions);
+      bt_tick_config_spread (sim->ctx, sim->entries[i].sync, sim_get_clock_ms (sim, i), &actions);
       sim_run_actions (sim, i, &actions);
     }
   if (sim->now_ms % SIM_HEARTBEAT_MS == 0)
@@ -729,7 +732,7 @@
   return bt_get_publish_result (sim->operators[index].publisher);
 }
 
-/* Runs until the operator is finished how its publish ended. */
+/* Runs until the operator's publish has finished, for at most SIM_MAX_STEPS steps. */
 static inline bt_publish_result_t
 sim_run_until_finished (simulation_t *sim, int32_t index)
 {
@@ -738,7 +741,7 @@
   return sim_get_result (sim, index);
 }
 
-/* Cuts a node off from all others, or joins it again. */
+/* Blocks all messages to and from a node, or lets them through again. */
 static inline void
 sim_isolate_node (simulation_t *sim, int32_t node, bool cut)
 {
@@ -746,7 +749,7 @@
     sim->blocked[node][i] = sim->blocked[i][node] = cut;
 }
 
-/* An entry is replaced by a new process under its name. */
+/* Replaces an entry by a new process with the same instance name. */
 static inline void
 sim_replace_entry (simulation_t *sim, int32_t index)
 {
--- a/test/config/test_config_schedule.c
+++ b/test/config/test_config_schedule.c
@@ -11,8 +11,8 @@
   RECOVERY_MS = 40000,
 };
 
-/* Picks an operator that is free and lets it edit what the service holds, or what it held before.
- */
+/* Lets an operator that is not publishing edit the current rules or, in 20% of cases, an older
+ * base. */
 static void
 publish_edit (simulation_t *sim, bt_document_t **older_base)
 {
@@ -40,20 +40,20 @@
     for (int32_t other = 0; other < SIM_NODES; other++)
       sim->blocked[node][other] = (node < at) != (other < at);
   for (int32_t i = 0; i < sim->entry_count; i++)
-    sim->entries[i].service_unreachable = i < at;
+    sim->entries[i].store_unreachable = i < at;
 }
 
 static void
 clear_faults (simulation_t *sim)
 {
   memset (sim->blocked, 0, sizeof sim->blocked);
-  sim->service_down = sim->silent_watch = sim->stale_reads = false;
+  sim->store_down = sim->silent_watch = sim->stale_reads = false;
   sim->loss_percent = sim->duplicate_percent = 0;
   sim->link_delay_ms = 0;
   for (int32_t i = 0; i < sim->entry_count; i++)
     {
       sim->entries[i].paused = false;
-      sim->entries[i].service_unreachable = false;
+      sim->entries[i].store_unreachable = false;
     }
 }
 
@@ -66,7 +66,7 @@
   switch (bt_random_below (&sim->random, FAULT_KINDS))
     {
     case 0:
-      sim->service_down = !sim->service_down;
+      sim->store_down = !sim->store_down;
       break;
     case 1:
       sim->blocked[entry][other] = sim->blocked[other][entry] = true;
@@ -75,7 +75,7 @@
       sim_isolate_node (sim, entry, true);
       break;
     case 3:
-      sim->entries[entry].service_unreachable = !sim->entries[entry].service_unreachable;
+      sim->entries[entry].store_unreachable = !sim->entries[entry].store_unreachable;
       break;
     case 4:
       sim->entries[entry].paused = !sim->entries[entry].paused;
@@ -104,15 +104,19 @@
     }
 }
 
-/* Runs one schedule of faults and edits; then all heals, and everyone must have the same. */
+/* Runs one random sequence of faults and edits. Then all faults are cleared, and every entry must
+ * admit requests under the rules in the store. Returns false after a violation. */
 static bool
-run_schedule (uint64_t seed, uint32_t spread_off, uint32_t publish_off, uint64_t *accepted)
+run_schedule (uint64_t seed,
+              uint32_t sync_guards_off,
+              uint32_t publish_guards_off,
+              uint64_t *accepted)
 {
   bt_document_t *older_base = NULL;
   simulation_t sim;
   bool passed;
 
-  sim_open (&sim, 3 + (int32_t)(seed % 3), seed, spread_off, publish_off);
+  sim_open (&sim, 3 + (int32_t)(seed % 3), seed, sync_guards_off, publish_guards_off);
   for (int32_t i = 0; i < FAULTS && sim.violation[0] == '\0'; i++)
     {
       inject_fault (&sim);
@@ -125,11 +129,11 @@
   for (int32_t i = 0; i < sim.entry_count; i++)
     if (!sim_is_admitting (&sim, i)
         || sim_get_revision (&sim, i) != (sim.rules == NULL ? 0 : sim.rules->revision))
-      sim_report_violation (&sim, "an entry did not come up to date", i);
+      sim_report_violation (&sim, "an entry does not admit under the current rules", i);
   for (int32_t i = 0; i < sim.result_count; i++)
     *accepted += sim.results[i].not_written ? 0 : 1;
   passed = sim.violation[0] == '\0';
-  if (!passed && spread_off == 0 && publish_off == 0)
+  if (!passed && sync_guards_off == 0 && publish_guards_off == 0)
     printf ("seed %llu: %s\n", (unsigned long long)seed, sim.violation);
   bt_drop_document (sim.ctx, older_base);
   sim_close (&sim);
@@ -137,30 +141,31 @@
 }
 
 static int32_t
-count_violations (int32_t schedules, uint32_t spread_off, uint32_t publish_off)
+count_violations (int32_t schedules, uint32_t sync_guards_off, uint32_t publish_guards_off)
 {
   int32_t violations = 0;
   uint64_t accepted = 0;
 
   for (int32_t i = 0; i < schedules; i++)
-    violations += run_schedule ((uint64_t)i + 1, spread_off, publish_off, &accepted) ? 0 : 1;
+    violations +=
+        run_schedule ((uint64_t)i + 1, sync_guards_off, publish_guards_off, &accepted) ? 0 : 1;
   printf ("%d of %d schedules violate, %llu changes accepted ", (int)violations, (int)schedules,
           (unsigned long long)accepted);
   return violations;
 }
 
-/* Operators edit while entries, links and the service fail in any order, twice and together. No
- * revision in force goes back on a process, no accepted edit vanishes, nothing that was finished
- * not written appears, and no entry admits under older rules beyond the bound. */
+/* Operators edit while entries, links and the store fail in any order, repeatedly and at the same
+ * time. No revision in force decreases within a process, no accepted edit is lost, no edit reported
+ * as not written appears, and no entry admits under older rules beyond the time limit. */
 static void
-test_promises_hold_in_all_schedules (void)
+test_invariants_hold_in_random_schedules (void)
 {
   CU_ASSERT_EQUAL (count_violations (SCHEDULES, 0, 0), 0);
 }
 
-/* The same schedules find each missing guard that they can reach. */
+/* The same schedules detect each disabled guard that they can exercise. */
 static void
-test_missing_guards_are_found (void)
+test_disabled_guards_are_detected (void)
 {
   CU_ASSERT_TRUE (count_violations (150, BT_SPREAD_NEVER_ISOLATED, 0) > 0);
   CU_ASSERT_TRUE (count_violations (150, 0, BT_PUBLISH_NO_READ_BACK) > 0);
@@ -176,8 +181,8 @@
 
   CU_initialize_registry ();
   suite = CU_add_suite ("config_schedule", NULL, NULL);
-  CU_ADD_TEST (suite, test_promises_hold_in_all_schedules);
-  CU_ADD_TEST (suite, test_missing_guards_are_found);
+  CU_ADD_TEST (suite, test_invariants_hold_in_random_schedules);
+  CU_ADD_TEST (suite, test_disabled_guards_are_detected);
   CU_basic_set_mode (CU_BRM_VERBOSE);
   CU_basic_run_tests ();
   failed = CU_get_number_of_failures ();
--- a/test/config/test_config_spread.c
+++ b/test/config/test_config_spread.c
@@ -8,11 +8,14 @@
   LONG_RUN_MS = 60000,
 };
 
-/* Three entries, and one accepted change in force on all. */
+/* Starts a simulation with one accepted change in force on all entries. */
 static void
-open_settled (simulation_t *sim, int32_t entries, uint32_t spread_off, uint32_t publish_off)
+open_settled (simulation_t *sim,
+              int32_t entries,
+              uint32_t sync_guards_off,
+              uint32_t publish_guards_off)
 {
-  sim_open (sim, entries, 7, spread_off, publish_off);
+  sim_open (sim, entries, 7, sync_guards_off, publish_guards_off);
   sim_run (sim, SETTLE_MS);
   sim_publish (sim, 0, NULL);
   sim_run (sim, SETTLE_MS);
@@ -22,7 +25,7 @@
 }
 
 static void
-test_change_is_in_force_everywhere_within_seconds (void)
+test_change_is_in_force_on_all_entries_within_seconds (void)
 {
   simulation_t sim;
   int64_t begun_ms;
@@ -51,8 +54,9 @@
   sim_run (sim, LONG_RUN_MS);
 }
 
-/* An edit never arrives, though the service answers everyone who asks. The watches went silent for
- * good, which looks like a quiet time; the hand-over does not reach anyone either. */
+/* Guards against edits that never reach the entries although the store answers every read. All
+ * watches are on dead connections, which look like watches without events, and the push reaches no
+ * entry. */
 static void
 test_silent_watch_is_followed_by_read (void)
 {
@@ -72,14 +76,15 @@
 {
   open_settled (sim, 3, guards_off, 0);
   sim_isolate_node (sim, 2, true);
-  sim->entries[2].service_unreachable = true;
+  sim->entries[2].store_unreachable = true;
   sim_publish (sim, 1, sim->rules);
   CU_ASSERT_EQUAL (sim_run_until_finished (sim, 1), BT_PUBLISH_ACCEPTED);
   sim_run (sim, LONG_RUN_MS);
 }
 
-/* An entry loses everyone but its callers. They go on being served by rules that an operator has
- * replaced, and nothing shows it. After the limit it must refuse, and once joined again go on. */
+/* Guards against serving replaced rules without end: an entry loses the store and all peers but
+ * keeps its callers. It must refuse requests after the limit, and admit them again once
+ * reconnected. */
 static void
 test_cut_off_entry_is_isolated (void)
 {
@@ -87,7 +92,7 @@
 
   run_cut_off_entry (&sim, 0);
   CU_ASSERT_STRING_EQUAL (sim.violation, "");
-  CU_ASSERT_EQUAL (bt_get_spread_state (sim.entries[2].spread, sim_get_clock_ms (&sim, 2)),
+  CU_ASSERT_EQUAL (bt_get_spread_state (sim.entries[2].sync, sim_get_clock_ms (&sim, 2)),
                    BT_SPREAD_ISOLATED);
   sim_isolate_node (&sim, 2, false);
   sim_run (&sim, SETTLE_MS);
@@ -106,16 +111,16 @@
   for (int32_t node = 0; node < SIM_NODES; node++)
     for (int32_t other = 0; other < SIM_NODES; other++)
       sim->blocked[node][other] = (node == 3 || node == 4) != (other == 3 || other == 4);
-  sim->entries[3].service_unreachable = sim->entries[4].service_unreachable = true;
+  sim->entries[3].store_unreachable = sim->entries[4].store_unreachable = true;
   sim_publish (sim, 1, sim->rules);
   CU_ASSERT_EQUAL (sim_run_until_finished (sim, 1), BT_PUBLISH_ACCEPTED);
   sim_run (sim, LONG_RUN_MS);
 }
 
-/* Two of five entries are cut off together. Each still hears a peer, so to them it looks as if only
- * the service were down; but a change was accepted on the other side. */
+/* Two of five entries are partitioned from the rest. Each still hears a peer, so it looks to them
+ * as if only the store were down, but the majority accepts a change. They must not continue. */
 static void
-test_island_without_majority_is_isolated (void)
+test_minority_partition_is_isolated (void)
 {
   simulation_t sim;
 
@@ -129,16 +134,16 @@
   sim_close (&sim);
 }
 
-/* The service is down for half an hour. Nothing can be accepted meanwhile, so all entries go on by
- * the highest revision, one that is replaced learns it from its peers, and after the outage the
- * next change arrives as ever. */
+/* The store is down for half an hour. No change can be accepted meanwhile, so all entries continue
+ * under the highest revision, and a replaced entry gets it from its peers. After the outage the
+ * next change is accepted as usual. */
 static void
 test_long_outage_and_replaced_entry (void)
 {
   simulation_t sim;
 
   open_settled (&sim, 3, 0, 0);
-  sim.service_down = true;
+  sim.store_down = true;
   sim_run (&sim, 900000);
   sim_replace_entry (&sim, 1);
   sim_run (&sim, SETTLE_MS);
@@ -146,7 +151,7 @@
   sim_run (&sim, 900000);
   for (int32_t i = 0; i < 3; i++)
     CU_ASSERT_TRUE (sim_is_admitting (&sim, i));
-  sim.service_down = false;
+  sim.store_down = false;
   sim_publish (&sim, 1, sim.rules);
   CU_ASSERT_EQUAL (sim_run_until_finished (&sim, 1), BT_PUBLISH_ACCEPTED);
   sim_run (&sim, LONG_RUN_MS);
@@ -159,10 +164,10 @@
 {
   open_settled (sim, 3, guards_off, 0);
   sim_isolate_node (sim, 2, true);
-  sim->entries[2].service_unreachable = true;
+  sim->entries[2].store_unreachable = true;
   sim_publish (sim, 1, sim->rules);
   CU_ASSERT_EQUAL (sim_run_until_finished (sim, 1), BT_PUBLISH_ACCEPTED);
-  sim->service_down = true;
+  sim->store_down = true;
   sim_isolate_node (sim, 2, false);
   sim_isolate_node (sim, 0, true);
   sim->blocked[1][2] = sim->blocked[2][1] = false;
@@ -171,17 +176,18 @@
   sim_run (sim, LONG_RUN_MS);
 }
 
-/* A change was accepted by two of three; the third was away. The service goes down, one of the two
- * is unreachable and the other is replaced: the new process meets only the one that was away, and
- * would start with rules that had been replaced. It has to stay unready. */
+/* Two of three entries accepted a change while the third was disconnected. Then the store goes
+ * down, one of the two becomes unreachable and the other is replaced. The new process reaches only
+ * the entry that missed the change. It must not become ready, or replaced rules would come back in
+ * force. */
 static void
-test_start_needs_enough_peers (void)
+test_start_needs_quorum (void)
 {
   simulation_t sim;
 
   run_start_from_old_peer (&sim, 0);
   CU_ASSERT_STRING_EQUAL (sim.violation, "");
-  CU_ASSERT_EQUAL (bt_get_spread_state (sim.entries[1].spread, sim_get_clock_ms (&sim, 1)),
+  CU_ASSERT_EQUAL (bt_get_spread_state (sim.entries[1].sync, sim_get_clock_ms (&sim, 1)),
                    BT_SPREAD_NOT_READY);
   sim_close (&sim);
   run_start_from_old_peer (&sim, BT_SPREAD_ANY_PEER);
@@ -196,12 +202,12 @@
   sim_save_stale_state (sim);
   sim_publish (sim, 1, sim->rules);
   CU_ASSERT_EQUAL (sim_run_until_finished (sim, 1), BT_PUBLISH_ACCEPTED);
-  sim->service_down = true;
+  sim->store_down = true;
   sim_run (sim, SETTLE_MS);
   sim_replace_entry (sim, 1);
   sim_run (sim, SETTLE_MS);
   sim->stale_reads = true;
-  sim->service_down = false;
+  sim->store_down = false;
   sim_run (sim, LONG_RUN_MS);
 }
 
@@ -218,9 +224,9 @@
   sim_run (sim, SETTLE_MS);
 }
 
-/* A new entry asks the service and its peers together. The peers answer first, with the rules in
- * force; then comes the service's answer, from a replica that lags, with the rules before. They
- * must not come back in force. */
+/* A new entry reads from the store and its peers at the same time. The peers answer first, with the
+ * rules in force; then a lagging replica of the store answers with the previous rules. These must
+ * not come back in force. */
 static void
 test_older_document_is_dropped (void)
 {
@@ -228,16 +234,15 @@
 
   run_stale_first_read (&sim, 0);
   CU_ASSERT_STRING_EQUAL (sim.violation, "");
-  CU_ASSERT_TRUE (bt_count_offers (bt_get_spread_table (sim.entries[1].spread), BT_OFFER_OLDER)
-                  > 0);
+  CU_ASSERT_TRUE (bt_count_offers (bt_get_spread_table (sim.entries[1].sync), BT_OFFER_OLDER) > 0);
   sim_close (&sim);
   run_stale_first_read (&sim, BT_SPREAD_TAKE_OLDER);
   CU_ASSERT_STRING_NOT_EQUAL (sim.violation, "");
   sim_close (&sim);
 }
 
-/* After an outage the service answers, for a while, from a replica that lags: nothing may come of
- * it but a count. */
+/* After an outage a lagging replica of the store answers for a while. Its answers must be dropped
+ * and counted. */
 static void
 test_stale_read_after_recovery_is_dropped (void)
 {
@@ -246,7 +251,7 @@
 
   run_stale_read (&sim, 0);
   CU_ASSERT_STRING_EQUAL (sim.violation, "");
-  bt_get_spread_status (sim.entries[1].spread, sim_get_clock_ms (&sim, 1), &status);
+  bt_get_spread_status (sim.entries[1].sync, sim_get_clock_ms (&sim, 1), &status);
   CU_ASSERT_TRUE (status.stale_reads > 0);
   sim_close (&sim);
 }
@@ -259,8 +264,8 @@
   sim_run (sim, LONG_RUN_MS);
 }
 
-/* The same replica answers one entry that has lost its peers: each stale answer would count as
- * fresh news, and it would go on admitting without end. */
+/* A lagging replica answers an entry that has lost its peers. If stale answers counted as fresh,
+ * the entry would admit requests under old rules without end. */
 static void
 test_stale_read_is_not_fresh (void)
 {
@@ -282,7 +287,7 @@
   for (int32_t i = 1; i < 3; i++)
     sim->blocked[SIM_MAX_ENTRIES + 1][i] = true;
   for (int32_t i = 0; i < 3; i++)
-    sim->entries[i].service_unreachable = true;
+    sim->entries[i].store_unreachable = true;
   sim_publish (sim, 1, sim->rules);
   sim->blocked[2][1] = true;
   sim_run (sim, SETTLE_MS);
@@ -291,11 +296,11 @@
   sim_run (sim, LONG_RUN_MS);
 }
 
-/* The entry that alone got a change from the operator dies when one of two peers has learnt it from
- * its heartbeats; what that one sends to the last is lost, and the service is out of reach. The
- * last one would keep the old rules for good, if heartbeats did not show the difference. */
+/* Only one entry gets a change from the operator, and it is killed after one of its two peers has
+ * pulled the change. That peer's push to the last entry is lost, and the store is unreachable. The
+ * last entry would keep the old rules forever if heartbeats did not reveal the difference. */
 static void
-test_entry_killed_while_it_spreads (void)
+test_entry_killed_while_it_forwards (void)
 {
   simulation_t sim;
 
@@ -309,35 +314,35 @@
 }
 
 static void
-run_late_heartbeats (simulation_t *sim, uint32_t guards_off)
+run_delayed_heartbeats (simulation_t *sim, uint32_t guards_off)
 {
   open_settled (sim, 3, guards_off, 0);
   sim->link_delay_ms = 90000;
-  sim->entries[2].service_unreachable = true;
+  sim->entries[2].store_unreachable = true;
   for (int32_t i = 0; i < 2; i++)
     sim->blocked[SIM_MAX_ENTRIES + 1][2] = true;
   sim_run (sim, (int64_t)2 * LONG_RUN_MS);
 }
 
-/* Heartbeats reach one entry a minute and a half late, one each second. Dated by their arrival they
- * look like fresh news, and it goes on by rules that may have been replaced since. */
+/* Heartbeats, one each second, reach an entry 90 seconds late. Dated by their arrival they would
+ * look fresh, and the entry would continue under rules that may have been replaced since. */
 static void
-test_late_heartbeat_is_not_fresh (void)
+test_delayed_heartbeat_is_not_fresh (void)
 {
   simulation_t sim;
 
-  run_late_heartbeats (&sim, 0);
+  run_delayed_heartbeats (&sim, 0);
   CU_ASSERT_FALSE (sim_is_admitting (&sim, 2));
   sim_close (&sim);
-  run_late_heartbeats (&sim, BT_SPREAD_TRUST_ARRIVAL);
+  run_delayed_heartbeats (&sim, BT_SPREAD_TRUST_ARRIVAL);
   CU_ASSERT_TRUE (sim_is_admitting (&sim, 2));
   sim_close (&sim);
 }
 
-/* The clocks of the machines are hours apart, one of them far in the past. Readings of different
- * clocks are never compared, so nothing may change. */
+/* The clocks of the machines differ by up to a day. Readings of different clocks are never
+ * compared, so the behaviour must stay the same. */
 static void
-test_clocks_far_off (void)
+test_clocks_differ (void)
 {
   static const int64_t offsets[] = { 0, 36000000, 86400000 };
   simulation_t sim;
@@ -349,7 +354,7 @@
       sim_replace_entry (&sim, i);
       sim_run (&sim, SETTLE_MS);
     }
-  sim.service_down = true;
+  sim.store_down = true;
   sim_run (&sim, LONG_RUN_MS);
   for (int32_t i = 0; i < 3; i++)
     CU_ASSERT_TRUE (sim_is_admitting (&sim, i));
@@ -360,10 +365,10 @@
   sim_close (&sim);
 }
 
-/* A process is paused for a minute, and a change is accepted meanwhile. When it wakes, its first
- * thought must not be to admit by what it believed before. */
+/* A process is paused for a minute while a change is accepted. After the pause it must not admit
+ * requests by its state from before the pause. */
 static void
-test_woken_process_does_not_admit_at_once (void)
+test_resumed_process_does_not_admit_at_once (void)
 {
   simulation_t sim;
 
@@ -388,19 +393,19 @@
 
   CU_initialize_registry ();
   suite = CU_add_suite ("config_spread", NULL, NULL);
-  CU_ADD_TEST (suite, test_change_is_in_force_everywhere_within_seconds);
+  CU_ADD_TEST (suite, test_change_is_in_force_on_all_entries_within_seconds);
   CU_ADD_TEST (suite, test_silent_watch_is_followed_by_read);
   CU_ADD_TEST (suite, test_cut_off_entry_is_isolated);
-  CU_ADD_TEST (suite, test_island_without_majority_is_isolated);
+  CU_ADD_TEST (suite, test_minority_partition_is_isolated);
   CU_ADD_TEST (suite, test_long_outage_and_replaced_entry);
-  CU_ADD_TEST (suite, test_start_needs_enough_peers);
+  CU_ADD_TEST (suite, test_start_needs_quorum);
   CU_ADD_TEST (suite, test_older_document_is_dropped);
   CU_ADD_TEST (suite, test_stale_read_after_recovery_is_dropped);
   CU_ADD_TEST (suite, test_stale_read_is_not_fresh);
-  CU_ADD_TEST (suite, test_entry_killed_while_it_spreads);
-  CU_ADD_TEST (suite, test_late_heartbeat_is_not_fresh);
-  CU_ADD_TEST (suite, test_clocks_far_off);
-  CU_ADD_TEST (suite, test_woken_process_does_not_admit_at_once);
+  CU_ADD_TEST (suite, test_entry_killed_while_it_forwards);
+  CU_ADD_TEST (suite, test_delayed_heartbeat_is_not_fresh);
+  CU_ADD_TEST (suite, test_clocks_differ);
+  CU_ADD_TEST (suite, test_resumed_process_does_not_admit_at_once);
   CU_basic_set_mode (CU_BRM_VERBOSE);
   CU_basic_run_tests ();
   failed = CU_get_number_of_failures ();
--- a/test/config/test_declarations.c
+++ b/test/config/test_declarations.c
@@ -38,14 +38,14 @@
 }
 
 static void
-finish (bt_declarations_t *declarations)
+drop_all (bt_declarations_t *declarations)
 {
   bt_drop_declarations (ctx, declarations);
   bt_drop_findings (ctx, findings);
   bt_drop_context (ctx);
 }
 
-/** One fault in rules.json: the line and the path where it must be found. */
+/** A rules.json with one error, and the line, path and message of the expected finding. */
 typedef struct rule_fault
 {
   const char *rules;
@@ -84,7 +84,7 @@
 };
 
 static void
-test_each_rule_fault_has_its_place (void)
+test_each_rule_fault_has_line_and_path (void)
 {
   for (size_t i = 0; i < sizeof rule_faults / sizeof rule_faults[0]; i++)
     {
@@ -98,12 +98,12 @@
       CU_ASSERT_EQUAL (bt_get_finding (findings, 0)->line, fault->line);
       CU_ASSERT_STRING_EQUAL (bt_get_finding (findings, 0)->path, fault->path);
       CU_ASSERT_STRING_EQUAL (bt_get_finding (findings, 0)->message, fault->message);
-      finish (declarations);
+      drop_all (declarations);
     }
 }
 
 static void
-test_findings_of_all_documents_come_together (void)
+test_findings_of_all_documents_are_reported (void)
 {
   bt_declarations_t *declarations =
       parse ("{\"accounts\":[{\"name\":\"a\",\"token_sha256\":\"12\"}]}", "{\"apps\":[7]}",
@@ -115,7 +115,7 @@
   CU_ASSERT_STRING_EQUAL (bt_get_finding (findings, 1)->file, "apps.json");
   CU_ASSERT_STRING_EQUAL (bt_get_finding (findings, 2)->file, "endpoints.json");
   CU_ASSERT_STRING_EQUAL (bt_get_finding (findings, 3)->file, "rules.json");
-  finish (declarations);
+  drop_all (declarations);
 }
 
 static void
@@ -127,7 +127,7 @@
 
   CU_ASSERT_PTR_NULL (declarations);
   CU_ASSERT_EQUAL (bt_count_findings (findings), 2);
-  finish (declarations);
+  drop_all (declarations);
 }
 
 static void
@@ -139,44 +139,45 @@
   CU_ASSERT_EQUAL (bt_find_token (declarations, "secret-a"), 0);
   CU_ASSERT_EQUAL (bt_find_token (declarations, "secret-b"), -1);
   CU_ASSERT_EQUAL (bt_find_token (declarations, ""), -1);
-  finish (declarations);
+  drop_all (declarations);
 }
 
-/* Any truncation of a document is refused with a finding and never read beyond its end (ASan). */
+/* Every truncated document must be refused with a finding and never read past its end (ASan). */
 static void
 test_truncated_documents_are_refused (void)
 {
   for (size_t bytes = 0; bytes < strlen (good_rules); bytes++)
     {
-      char *cut = strndup (good_rules, bytes);
-      bt_declarations_t *declarations = parse (good_accounts, good_apps, good_endpoints, cut);
+      char *truncated = strndup (good_rules, bytes);
+      bt_declarations_t *declarations = parse (good_accounts, good_apps, good_endpoints, truncated);
 
       CU_ASSERT_PTR_NULL (declarations);
       CU_ASSERT_TRUE (bt_count_findings (findings) >= 1);
-      finish (declarations);
-      free (cut);
+      drop_all (declarations);
+      free (truncated);
     }
 }
 
-/* Seeded damage of single bytes: each result is either declarations or findings, never neither. */
+/* Random corruption of single bytes, with a fixed seed: the result is either declarations or
+ * findings, never neither. */
 static void
-test_damaged_documents_are_refused_or_read (void)
+test_corrupted_documents_are_refused_or_read (void)
 {
   bt_random_t random;
 
   bt_seed_random (&random, 20261202);
   for (int32_t round = 0; round < 3000; round++)
     {
-      char *damaged = strdup (rule_faults[10].rules);
+      char *corrupted = strdup (rule_faults[10].rules);
       bt_declarations_t *declarations;
 
       for (int32_t i = 0; i < 3; i++)
-        damaged[bt_random_below (&random, strlen (rule_faults[10].rules))] =
+        corrupted[bt_random_below (&random, strlen (rule_faults[10].rules))] =
             (char)(1 + bt_random_below (&random, 127));
-      declarations = parse (good_accounts, good_apps, good_endpoints, damaged);
+      declarations = parse (good_accounts, good_apps, good_endpoints, corrupted);
       CU_ASSERT_EQUAL (declarations == NULL, bt_count_findings (findings) > 0);
-      finish (declarations);
-      free (damaged);
+      drop_all (declarations);
+      free (corrupted);
     }
 }
 
@@ -188,12 +189,12 @@
 
   CU_initialize_registry ();
   suite = CU_add_suite ("declarations", NULL, NULL);
-  CU_ADD_TEST (suite, test_each_rule_fault_has_its_place);
-  CU_ADD_TEST (suite, test_findings_of_all_documents_come_together);
+  CU_ADD_TEST (suite, test_each_rule_fault_has_line_and_path);
+  CU_ADD_TEST (suite, test_findings_of_all_documents_are_reported);
   CU_ADD_TEST (suite, test_duplicates_are_found);
   CU_ADD_TEST (suite, test_token_finds_its_account);
   CU_ADD_TEST (suite, test_truncated_documents_are_refused);
-  CU_ADD_TEST (suite, test_damaged_documents_are_refused_or_read);
+  CU_ADD_TEST (suite, test_corrupted_documents_are_refused_or_read);
   CU_basic_set_mode (CU_BRM_VERBOSE);
   CU_basic_run_tests ();
   failed = CU_get_number_of_failures ();
--- a/test/config/test_publisher.c
+++ b/test/config/test_publisher.c
@@ -19,8 +19,8 @@
   sim_run (sim, LONG_RUN_MS);
 }
 
-/* The service writes a change and the answer is lost. Told that it failed, the operator would
- * write again over whatever came since, or believe in the old rules, while the new ones rule. */
+/* The store writes a change and its answer is lost. If that were reported as a failure, the
+ * operator would write again over newer edits, or believe that the old rules are still in force. */
 static void
 test_lost_answer_is_read_back (void)
 {
@@ -29,7 +29,7 @@
   run_lost_answer (&sim, 0);
   CU_ASSERT_STRING_EQUAL (sim.violation, "");
   CU_ASSERT_EQUAL (sim_get_result (&sim, 0), BT_PUBLISH_ACCEPTED);
-  CU_ASSERT_EQUAL (sim.service_revision, 11);
+  CU_ASSERT_EQUAL (sim.store_revision, 11);
   sim_close (&sim);
   run_lost_answer (&sim, BT_PUBLISH_NO_READ_BACK);
   CU_ASSERT_STRING_NOT_EQUAL (sim.violation, "");
@@ -54,10 +54,10 @@
   sim_run (sim, LONG_RUN_MS);
 }
 
-/* Two operators edit the same revision. The second publish would undo the first one's accepted edit
- * without anyone having decided so; it must fail and name what was changed meanwhile. */
+/* Two operators edit the same revision. The second publish would silently undo the first one's
+ * accepted edit; it must fail with a conflict that names the concurrent change. */
 static void
-test_second_of_two_operators_meets_conflict (void)
+test_second_of_two_operators_gets_conflict (void)
 {
   const bt_publish_conflict_t *conflict;
   simulation_t sim;
@@ -77,8 +77,8 @@
   sim_close (&sim);
 }
 
-/* Both operators read the base before either writes: only the comparison in the transaction itself
- * can tell them apart. */
+/* Both operators read the base before either writes. Only the comparison in the transaction can
+ * detect the conflict. */
 static void
 test_race_at_commit (void)
 {
@@ -104,19 +104,19 @@
   sim_open (sim, 3, 7, 0, guards_off);
   sim_run (sim, SETTLE_MS);
   for (int32_t i = 0; i < 3; i++)
-    sim->entries[i].service_unreachable = true;
+    sim->entries[i].store_unreachable = true;
   sim_publish (sim, 0, NULL);
   sim_run_until_finished (sim, 0);
-  sim->service_down = true;
+  sim->store_down = true;
   for (int32_t i = 0; i < 3; i++)
     sim->blocked[SIM_MAX_ENTRIES][i] = true;
   sim_replace_entry (sim, 1);
   sim_run (sim, LONG_RUN_MS);
 }
 
-/* The operator reads "accepted"; the service goes down the next moment and an entry is replaced.
- * Had acceptance meant no more than that the service had it, no entry would know the change, and
- * all would go on by the old rules for as long as the outage lasts. */
+/* Right after a change is accepted, the store goes down and an entry is replaced. If acceptance
+ * meant only that the store has the change, no entry would have it, and all would continue under
+ * the old rules until the end of the outage. */
 static void
 test_accepted_change_survives_outage (void)
 {
@@ -138,7 +138,7 @@
   sim_open (sim, 3, 7, 0, guards_off);
   sim_run (sim, SETTLE_MS);
   for (int32_t i = 0; i < 3; i++)
-    sim->entries[i].service_unreachable = true;
+    sim->entries[i].store_unreachable = true;
   sim->blocked[SIM_MAX_ENTRIES][1] = sim->blocked[SIM_MAX_ENTRIES][2] = true;
   sim_isolate_node (sim, 0, true);
   sim->blocked[SIM_MAX_ENTRIES][0] = sim->blocked[0][SIM_MAX_ENTRIES] = false;
@@ -147,11 +147,11 @@
   sim_run (sim, LONG_RUN_MS);
 }
 
-/* Only one entry of three answers the operator. The other two hear each other and go on, rightly if
- * the service were down for all; accepted must not be said, as they would serve old rules for long.
- */
+/* Only one of three entries answers the operator. The other two form a majority and may continue,
+ * as the store could be down for all. The change must not be accepted: they would serve the old
+ * rules for a long time. */
 static void
-test_minority_is_not_acceptance (void)
+test_minority_does_not_accept (void)
 {
   simulation_t sim;
 
@@ -166,17 +166,17 @@
   sim_close (&sim);
 }
 
-/* The service is out of reach from the first call on: the operator is finished so, for certain. */
+/* The store is unreachable from the first call on: the result must be that nothing was written. */
 static void
-test_unreachable_service_is_reported (void)
+test_unreachable_store_is_reported (void)
 {
   simulation_t sim;
 
   sim_open (&sim, 3, 7, 0, 0);
-  sim.service_down = true;
+  sim.store_down = true;
   sim_publish (&sim, 0, NULL);
   CU_ASSERT_EQUAL (sim_run_until_finished (&sim, 0), BT_PUBLISH_NOT_WRITTEN);
-  sim.service_down = false;
+  sim.store_down = false;
   sim_run (&sim, LONG_RUN_MS);
   CU_ASSERT_STRING_EQUAL (sim.violation, "");
   sim_close (&sim);
@@ -191,7 +191,7 @@
 }
 
 static bool
-is_accepted_with_replaced (uint32_t guards_off)
+is_accepted_after_replacement (uint32_t guards_off)
 {
   static const char *const names[] = { "entry-0", "entry-1", "entry-2" };
   bt_context_t *ctx = bt_new_context ();
@@ -226,16 +226,18 @@
   return accepted;
 }
 
-/* Two of three entries confirm; the second is replaced while the third is waited for. Its new
- * process has not confirmed, and with the first alone there is no majority: accepted must wait. */
+/* Two of three entries confirm, and the second is replaced before the third answers. Its new
+ * process has not confirmed, and the first entry alone is no majority, so the change must not be
+ * accepted. */
 static void
 test_replaced_entry_has_not_confirmed (void)
 {
-  CU_ASSERT_FALSE (is_accepted_with_replaced (0));
-  CU_ASSERT_TRUE (is_accepted_with_replaced (BT_PUBLISH_KEEP_CONFIRMED));
+  CU_ASSERT_FALSE (is_accepted_after_replacement (0));
+  CU_ASSERT_TRUE (is_accepted_after_replacement (BT_PUBLISH_KEEP_CONFIRMED));
 }
 
-/* Of two documents only the one that differs is written, in one transaction with its comparison. */
+/* Of two documents, only the one that differs is written, in a transaction that compares its
+ * revision. */
 static void
 test_unchanged_document_is_left_out (void)
 {
@@ -278,12 +280,12 @@
   CU_initialize_registry ();
   suite = CU_add_suite ("publisher", NULL, NULL);
   CU_ADD_TEST (suite, test_lost_answer_is_read_back);
-  CU_ADD_TEST (suite, test_second_of_two_operators_meets_conflict);
+  CU_ADD_TEST (suite, test_second_of_two_operators_gets_conflict);
   CU_ADD_TEST (suite, test_race_at_commit);
   CU_ADD_TEST (suite, test_accepted_change_survives_outage);
-  CU_ADD_TEST (suite, test_minority_is_not_acceptance);
+  CU_ADD_TEST (suite, test_minority_does_not_accept);
   CU_ADD_TEST (suite, test_replaced_entry_has_not_confirmed);
-  CU_ADD_TEST (suite, test_unreachable_service_is_reported);
+  CU_ADD_TEST (suite, test_unreachable_store_is_reported);
   CU_ADD_TEST (suite, test_unchanged_document_is_left_out);
   CU_basic_set_mode (CU_BRM_VERBOSE);
   CU_basic_run_tests ();
--- a/test/config/test_rule.c
+++ b/test/config/test_rule.c
@@ -50,7 +50,7 @@
   return declarations;
 }
 
-/** A request to an example's rules, and the rule that must decide it; NULL: none. */
+/** A request to the rules of an example, and the rule expected to decide it; NULL: none. */
 typedef struct example
 {
   const char *account;
@@ -127,7 +127,7 @@
 }
 
 static void
-test_explanation_names_the_first_failing_part (void)
+test_explanation_names_first_failing_part (void)
 {
   bt_declarations_t *declarations;
   bt_request_facts_t attributes = { 0 };
@@ -163,7 +163,7 @@
   suite = CU_add_suite ("rule", NULL, NULL);
   CU_ADD_TEST (suite, test_haiyun_rules_decide_as_documented);
   CU_ADD_TEST (suite, test_plate_makers_rules_decide_as_documented);
-  CU_ADD_TEST (suite, test_explanation_names_the_first_failing_part);
+  CU_ADD_TEST (suite, test_explanation_names_first_failing_part);
   CU_basic_set_mode (CU_BRM_VERBOSE);
   CU_basic_run_tests ();
   failed = CU_get_number_of_failures ();
