--- a/include/bilberrytray/config/config_spread.h
+++ b/include/bilberrytray/config/config_spread.h
@@ -36,15 +36,14 @@
 
 typedef struct bt_spread_settings
 {
-  int32_t watchers;      /**< Number of instances that hold a watch. */
-  int64_t watch_wait_ms; /**< Duration of one watch. */
-  int64_t isolation_ms;  /**< Isolated after this time with neither a fresh update nor a quorum. */
-  int64_t fallback_ms;   /**< Reads the store itself after this time without a fresh update. */
-  int64_t pull_grace_ms; /**< Time that digests may differ before a pull is sent. */
-  int64_t pull_retry_ms; /**< Shortest time between two pulls to one peer. */
-  int64_t
-      store_retry_ms;  /**< Longest delay after the first failed store call; doubles up to 8 s. */
-  uint32_t guards_off; /**< 0, except in tests. */
+  int32_t watchers;       /**< Number of instances that hold a watch. */
+  int64_t watch_wait_ms;  /**< Duration of one watch. */
+  int64_t isolation_ms;   /**< Isolated after this time with neither a fresh update nor a quorum. */
+  int64_t fallback_ms;    /**< Reads the store itself after this time without a fresh update. */
+  int64_t pull_grace_ms;  /**< Time that digests may differ before a pull is sent. */
+  int64_t pull_retry_ms;  /**< Shortest time between two pulls to one peer. */
+  int64_t store_retry_ms; /**< Longest delay after one failed store call; doubles up to 8 s. */
+  uint32_t guards_off;    /**< 0, except in tests. */
 } bt_spread_settings_t;
 
 /** Default settings, for a heartbeat interval of one second. */
@@ -71,7 +70,7 @@
 } bt_spread_heartbeat_t;
 
 /** Documents sent from one instance to another. They include every document whose revision is above
- * @p from and at most @p to, unless @p to is 0: then the push does not claim to be complete. */
+ * from and at most to, unless to is 0: then the push does not claim to be complete. */
 typedef struct bt_spread_push
 {
   const bt_document_list_t *documents;
@@ -86,7 +85,7 @@
   BT_SPREAD_READ = 0, /**< Read the documents above revision since from the store; answer with
                            bt_take_store_read or bt_take_store_failure. */
   BT_SPREAD_WATCH,    /**< Watch the store from revision since + 1 for wait_ms; answer with
-                         bt_take_store_watch or    bt_take_store_failure. */
+                         bt_take_store_watch or bt_take_store_failure. */
   BT_SPREAD_PUSH,     /**< Send documents, from, to, whole and request to peer. */
   BT_SPREAD_PULL,     /**< Ask peer for its documents above revision since. */
   BT_SPREAD_IN_FORCE, /**< Reply to peer, the sender of a push, with the revisions of documents in
@@ -182,9 +181,7 @@
                           int64_t since,
                           bt_spread_actions_t *actions);
 
-/** Handles the answer to BT_SPREAD_READ: the store's revision and the documents that were asked
- * for.
- */
+/** Handles the answer to BT_SPREAD_READ: the store's revision and the requested documents. */
 void bt_take_store_read (bt_context_t *ctx,
                          bt_config_spread_t *sync,
                          int64_t revision,
--- a/include/bilberrytray/config/publisher.h
+++ b/include/bilberrytray/config/publisher.h
@@ -28,8 +28,7 @@
 
 typedef struct bt_publish_settings
 {
-  int64_t
-      retry_ms; /**< Between store calls, and between pushes to an entry that has not confirmed. */
+  int64_t retry_ms;        /**< Between store calls, and between pushes to an unconfirmed entry. */
   int64_t write_limit_ms;  /**< Time limit for reads and the commit, from the start. */
   int64_t spread_limit_ms; /**< Time limit for the entries to confirm, from the read-back. */
   int64_t isolation_ms;    /**< The entries' isolation limit. */
--- a/test/config/config_world.h
+++ b/test/config/config_world.h
@@ -432,16 +432,16 @@
 sim_record_result (simulation_t *sim, sim_operator_t *operator)
 {
   bt_publish_result_t result = bt_get_publish_result (operator->publisher);
-  sim_result_t *result_entry = &sim->results[sim->result_count];
+  sim_result_t *recorded = &sim->results[sim->result_count];
 
   operator->finished = true;
   if (sim->result_count == SIM_MAX_RESULTS || result == BT_PUBLISH_UNKNOWN
       || result == BT_PUBLISH_WRITTEN)
     return;
-  memcpy (result_entry->tag, operator->tag, sizeof result_entry->tag);
-  result_entry->not_written = result != BT_PUBLISH_ACCEPTED;
-  result_entry->revision = bt_get_publish_revision (operator->publisher);
-  result_entry->finished_ms = sim->now_ms;
+  memcpy (recorded->tag, operator->tag, sizeof recorded->tag);
+  recorded->not_written = result != BT_PUBLISH_ACCEPTED;
+  recorded->revision = bt_get_publish_revision (operator->publisher);
+  recorded->finished_ms = sim->now_ms;
   sim->result_count++;
 }
 
@@ -648,11 +648,10 @@
 static inline bool
 sim_is_admitting (const simulation_t *sim, int32_t entry)
 {
-  const sim_entry_t *instance_state = &sim->entries[entry];
+  const sim_entry_t *state = &sim->entries[entry];
 
-  return instance_state->alive && !instance_state->paused
-         && bt_get_spread_state (instance_state->sync, sim_get_clock_ms (sim, entry))
-                == BT_SPREAD_READY;
+  return state->alive && !state->paused
+         && bt_get_spread_state (state->sync, sim_get_clock_ms (sim, entry)) == BT_SPREAD_READY;
 }
 
 static inline void
