--- a/include/bilberrytray/config/declarations.h
+++ b/include/bilberrytray/config/declarations.h
@@ -66,7 +66,7 @@
   int32_t places;            /**< Experts of one set that one rank holds. */
   int32_t spare_places;      /**< New experts of one set that one rank can copy in one round. */
   double expert_mb;          /**< Size of one expert of one set, in MB. */
-  double link_mbps;          /**< Speed at which experts are copied. */
+  double link_mbps;          /**< Speed at which experts are copied, in Mbit/s. */
   double expert_share;       /**< Share of a token's work done by experts, from 0 to 1. */
 } bt_engine_t;
 
--- a/source/config/declarations_build.c
+++ b/source/config/declarations_build.c
@@ -8,7 +8,7 @@
   ANY_BODY_BYTES = INT32_MAX,
 };
 
-/* Arrays grow by doubling, as one call may add several hundred rules. */
+/* Arrays grow by doubling, as several hundred rules may be added one after the other. */
 static bool
 is_full (int32_t count)
 {
