--- a/source/agent/agent.h
+++ b/source/agent/agent.h
@@ -60,7 +60,7 @@
 int32_t bt_get_agent_port (const bt_agent_t *agent);
 
 /** Takes no new work from now on, and tells every link. */
-void bt_leave_agent (bt_context_t *ctx, bt_agent_t *agent);
+void bt_drain_agent (bt_context_t *ctx, bt_agent_t *agent);
 
 /** True when nothing runs any more and no duty of this agent is left. */
 bool bt_is_agent_idle (bt_context_t *ctx, bt_agent_t *agent);
--- a/source/agent/command_side.c
+++ b/source/agent/command_side.c
@@ -9,9 +9,9 @@
 #include "side.h"
 #include "start.h"
 
-#define FIELD(name) offsetof (bt_side_settings_t, name)
+#define FIELD(name) offsetof (bt_sidecar_settings_t, name)
 
-static const bt_setting_t side_settings[] = {
+static const bt_setting_t sidecar_settings[] = {
   { "listen", BT_SETTING_ADDRESS, FIELD (listen), NULL, 0, 0,
     "Where links of entry instances are accepted." },
   { "engine", BT_SETTING_ADDRESS, FIELD (engine), NULL, 0, 0, "The engine on this instance." },
@@ -37,7 +37,7 @@
 /** What the thread that waits for signals needs. */
 typedef struct signal_waiter
 {
-  bt_side_t *side;
+  bt_sidecar_t *sidecar;
   sigset_t signals;
 } signal_waiter_t;
 
@@ -50,7 +50,7 @@
   while (sigwait (&waiter->signals, &received) == 0)
     if (received != SIGHUP)
       {
-        bt_stop_side (waiter->side);
+        bt_stop_sidecar (waiter->sidecar);
         return NULL;
       }
   return NULL;
@@ -59,7 +59,7 @@
 static int
 serve (bt_context_t *ctx, const void *values)
 {
-  const bt_side_settings_t *settings = values;
+  const bt_sidecar_settings_t *settings = values;
   bt_error_t error = { 0 };
   bt_page_t *page = NULL;
   signal_waiter_t waiter;
@@ -72,39 +72,39 @@
   pthread_sigmask (SIG_BLOCK, &waiter.signals, NULL);
   signal (SIGPIPE, SIG_IGN);
   curl_global_init (CURL_GLOBAL_DEFAULT);
-  waiter.side = bt_new_side (ctx, bt_get_engine_platform (), settings, &error);
-  if (waiter.side != NULL && settings->page[0] != '\0')
+  waiter.sidecar = bt_new_sidecar (ctx, bt_get_engine_platform (), settings, &error);
+  if (waiter.sidecar != NULL && settings->page[0] != '\0')
     page = bt_new_page (ctx, settings->page, NULL, NULL, &error);
-  if (waiter.side == NULL || error.code != BT_ERROR_NONE
+  if (waiter.sidecar == NULL || error.code != BT_ERROR_NONE
       || pthread_create (&thread, NULL, wait_for_signals, &waiter) != 0)
     {
       bt_log_event (ctx, BT_LOG_ERROR, "start-failed", "{s:s}", "message", error.message);
       bt_drop_page (ctx, page);
-      bt_drop_side (ctx, waiter.side);
+      bt_drop_sidecar (ctx, waiter.sidecar);
       return EXIT_FAILURE;
     }
   bt_log_event (ctx, BT_LOG_INFO, "start", "{s:s, s:s}", "version", BT_VERSION, "engine",
                 settings->engine);
-  bt_run_side (waiter.side);
+  bt_run_sidecar (waiter.sidecar);
   pthread_join (thread, NULL);
   bt_drop_page (ctx, page);
-  bt_drop_side (ctx, waiter.side);
+  bt_drop_sidecar (ctx, waiter.sidecar);
   bt_log_event (ctx, BT_LOG_INFO, "stop", "{}");
   curl_global_cleanup ();
   return EXIT_SUCCESS;
 }
 
 int
-bt_run_side_command (bt_context_t *ctx, int argc, char **argv)
+bt_run_sidecar_command (bt_context_t *ctx, int argc, char **argv)
 {
-  bt_side_settings_t settings = { 0 };
+  bt_sidecar_settings_t settings = { 0 };
   bt_agent_command_t command = {
     .usage =
         "Usage: bilberry-agent side [FLAGS]\n\n"
         "Runs beside an engine that requests reach directly: tells the entry instances how it\n"
         "stands and carries out the orders of its group's leader.\n\n",
-    .settings = side_settings,
-    .setting_count = sizeof side_settings / sizeof side_settings[0],
+    .settings = sidecar_settings,
+    .setting_count = sizeof sidecar_settings / sizeof sidecar_settings[0],
     .log_level = &settings.log_level,
     .log_name = &settings.listen,
     .run = serve,
--- a/source/agent/engine_client.c
+++ b/source/agent/engine_client.c
@@ -9,7 +9,7 @@
 {
   URL_BYTES = 256,
   STATUS_OK = 200,
-  ANSWER_BYTES = 4 << 20,
+  MAX_ANSWER_BYTES = 4 << 20,
 };
 
 struct bt_engine_client
@@ -26,11 +26,11 @@
 bt_new_engine_client (bt_context_t *ctx,
                       const bt_engine_platform_t *platform,
                       const char *address,
-                      int64_t limit_ms,
+                      int64_t timeout_ms,
                       const int32_t *cancelled)
 {
   bt_engine_client_t *client = bt_calloc (ctx, 1, sizeof *client);
-  bt_http_limits_t limits = { limit_ms, limit_ms, limit_ms, ANSWER_BYTES };
+  bt_http_limits_t limits = { timeout_ms, timeout_ms, timeout_ms, MAX_ANSWER_BYTES };
 
   client->platform = platform;
   client->http = bt_new_http_client (ctx, &limits, cancelled);
@@ -51,11 +51,11 @@
 }
 
 static bool
-get (bt_context_t *ctx,
-     bt_engine_client_t *client,
-     const char *url,
-     bt_http_answer_t *answer,
-     bt_error_t *error)
+get_url (bt_context_t *ctx,
+         bt_engine_client_t *client,
+         const char *url,
+         bt_http_answer_t *answer,
+         bt_error_t *error)
 {
   bt_http_request_t request = { .url = url };
 
@@ -75,7 +75,7 @@
 {
   bt_http_answer_t answer;
 
-  return get (ctx, client, client->report_url, &answer, error)
+  return get_url (ctx, client, client->report_url, &answer, error)
          && client->platform->read_report (answer.body, answer.body_bytes, report, error);
 }
 
@@ -87,7 +87,7 @@
 {
   bt_http_answer_t answer;
 
-  return get (ctx, client, client->picks_url, &answer, error)
+  return get_url (ctx, client, client->picks_url, &answer, error)
          && client->platform->read_picks (ctx, answer.body, answer.body_bytes, picks, error);
 }
 
@@ -99,17 +99,17 @@
 {
   bt_http_answer_t answer;
 
-  return get (ctx, client, client->places_url, &answer, error)
+  return get_url (ctx, client, client->places_url, &answer, error)
          && client->platform->read_places (ctx, answer.body, answer.body_bytes, places, error);
 }
 
 bt_order_result_t
-bt_order_engine (bt_context_t *ctx,
-                 bt_engine_client_t *client,
-                 const char *address,
-                 const bt_group_order_t *order,
-                 const bt_expert_map_t *map,
-                 int32_t *status)
+bt_send_engine_order (bt_context_t *ctx,
+                      bt_engine_client_t *client,
+                      const char *address,
+                      const bt_group_order_t *order,
+                      const bt_expert_map_t *map,
+                      int32_t *status)
 {
   char url[URL_BYTES];
   char *body = client->platform->write_order (order, map);
--- a/source/agent/engine_client.h
+++ b/source/agent/engine_client.h
@@ -12,7 +12,7 @@
 bt_engine_client_t *bt_new_engine_client (bt_context_t *ctx,
                                           const bt_engine_platform_t *platform,
                                           const char *address,
-                                          int64_t limit_ms,
+                                          int64_t timeout_ms,
                                           const int32_t *cancelled);
 
 /** NULL is accepted. */
@@ -35,11 +35,11 @@
 
 /** Gives an order to the engine at @p address, "IP:PORT", or with "" to its own. @p status is that
  * of the answer, 0 without one. */
-bt_order_result_t bt_order_engine (bt_context_t *ctx,
-                                   bt_engine_client_t *client,
-                                   const char *address,
-                                   const bt_group_order_t *order,
-                                   const bt_expert_map_t *map,
-                                   int32_t *status);
+bt_order_result_t bt_send_engine_order (bt_context_t *ctx,
+                                        bt_engine_client_t *client,
+                                        const char *address,
+                                        const bt_group_order_t *order,
+                                        const bt_expert_map_t *map,
+                                        int32_t *status);
 
 #endif
--- a/source/agent/main.c
+++ b/source/agent/main.c
@@ -80,9 +80,9 @@
 static void
 wait_idle (bt_context_t *ctx, bt_agent_t *agent, int64_t drain_ms)
 {
-  int64_t limit_ms = bt_now_ms (ctx) + drain_ms;
+  int64_t deadline_ms = bt_now_ms (ctx) + drain_ms;
 
-  while (!bt_is_agent_idle (ctx, agent) && bt_now_ms (ctx) < limit_ms)
+  while (!bt_is_agent_idle (ctx, agent) && bt_now_ms (ctx) < deadline_ms)
     bt_sleep_ms (IDLE_CHECK_MS);
 }
 
@@ -111,7 +111,7 @@
   bt_log (ctx, BT_LOG_INFO, BT_PART_MAIN, "Version %s serves %s on port %d.", BT_VERSION,
           settings->endpoint, bt_get_agent_port (agent));
   sigwait (&signals, &received);
-  bt_leave_agent (ctx, agent);
+  bt_drain_agent (ctx, agent);
   wait_idle (ctx, agent, settings->drain_ms);
   bt_drop_agent (ctx, agent);
   bt_log (ctx, BT_LOG_INFO, BT_PART_MAIN, "Stopped.");
@@ -144,7 +144,7 @@
   int status;
 
   if (argc >= 2 && strcmp (argv[1], "side") == 0)
-    status = bt_run_side_command (ctx, argc - 1, argv + 1);
+    status = bt_run_sidecar_command (ctx, argc - 1, argv + 1);
   else
     status = run_main (ctx, argc, argv);
   bt_drop_context (ctx);
--- a/source/agent/map_agent.c
+++ b/source/agent/map_agent.c
@@ -16,9 +16,9 @@
 enum
 {
   TICK_MS = 10,
-  LOADS_MS = 1000,
+  LOADS_INTERVAL_MS = 1000,
   KEY_BYTES = 256,
-  SETTLE_SPARE_MS = 100,
+  SETTLE_MARGIN_MS = 100,
 };
 
 struct bt_map_agent
@@ -35,8 +35,8 @@
   bt_map_rank_t *rank;
   bt_map_actions_t actions;
   bt_map_action_t call; /* for the engine, while calling is set */
-  bool calling;
-  bool read_floor;
+  bool call_pending;
+  bool floor_wanted;
   bt_link_t **links;
   int32_t link_count;
   uint64_t map_digest; /* of the bytes that came with the last order */
@@ -73,7 +73,7 @@
 
 /* With the lock held. */
 static void
-carry_out (bt_map_agent_t *agent)
+execute_actions (bt_map_agent_t *agent)
 {
   for (int32_t i = 0; i < agent->actions.count; i++)
     {
@@ -82,10 +82,10 @@
       if (action->kind == BT_MAP_ENGINE_ORDER)
         {
           agent->call = *action;
-          agent->calling = true;
+          agent->call_pending = true;
         }
       else if (action->kind == BT_MAP_READ_FLOOR)
-        agent->read_floor = true;
+        agent->floor_wanted = true;
       else
         send_action (agent, action);
       if (action->kind == BT_MAP_REPORT)
@@ -95,7 +95,7 @@
 }
 
 static void
-forget_closed_links (bt_map_agent_t *agent)
+remove_closed_links (bt_map_agent_t *agent)
 {
   for (int32_t i = 0; i < agent->link_count; i++)
     if (bt_is_link_closed (agent->links[i]))
@@ -108,7 +108,7 @@
 static void
 add_link (bt_map_agent_t *agent, bt_link_t *link)
 {
-  forget_closed_links (agent);
+  remove_closed_links (agent);
   for (int32_t i = 0; i < agent->link_count; i++)
     if (agent->links[i] == link)
       return;
@@ -133,7 +133,7 @@
 }
 
 static bool
-is_for_us (const bt_map_agent_t *agent, const bt_frame_t *frame)
+is_for_this_agent (const bt_map_agent_t *agent, const bt_frame_t *frame)
 {
   const char *group = agent->settings.group;
 
@@ -154,17 +154,17 @@
 /* Keeps the bytes that a map is staged or joined with. An order whose bytes are not the map that it
  * names is damaged, and not taken at all. */
 static bool
-keep_map (bt_map_agent_t *agent, const bt_map_order_t *order, const Bilberry__MapOrder *frame)
+store_map (bt_map_agent_t *agent, const bt_map_order_t *order, const Bilberry__MapOrder *frame)
 {
   bt_expert_map_t *map;
-  bool same;
+  bool valid;
 
   if (frame->map.len == 0)
     return true;
   map = bt_decode_expert_map (agent->ctx, frame->map.data, (uint32_t)frame->map.len, NULL);
-  same = map != NULL && bt_digest_expert_map (agent->ctx, map) == order->digest;
+  valid = map != NULL && bt_digest_expert_map (agent->ctx, map) == order->digest;
   bt_drop_expert_map (agent->ctx, map);
-  if (!same)
+  if (!valid)
     return false;
   bt_free (agent->ctx, agent->map.data);
   agent->map.data = bt_memdup (agent->ctx, frame->map.data, frame->map.len);
@@ -174,7 +174,7 @@
 }
 
 static void
-take_frame (bt_map_agent_t *agent, const bt_frame_t *frame)
+handle_frame (bt_map_agent_t *agent, const bt_frame_t *frame)
 {
   int64_t now_ms = bt_now_ms (agent->ctx);
   bt_map_order_t order = { 0 };
@@ -192,19 +192,19 @@
       bt_take_map_tell (agent->ctx, agent->rank, &tell, now_ms, &agent->actions);
     }
   else if (bt_read_map_order (frame->map_order, &order)
-           && keep_map (agent, &order, frame->map_order))
+           && store_map (agent, &order, frame->map_order))
     bt_take_map_order (agent->ctx, agent->rank, &order, now_ms, &agent->actions);
 }
 
 void
-bt_take_map_agent_frame (bt_map_agent_t *agent, bt_link_t *link, const bt_frame_t *frame)
+bt_handle_map_agent_frame (bt_map_agent_t *agent, bt_link_t *link, const bt_frame_t *frame)
 {
-  if (agent == NULL || !is_for_us (agent, frame))
+  if (agent == NULL || !is_for_this_agent (agent, frame))
     return;
   pthread_mutex_lock (&agent->lock);
   add_link (agent, link);
-  take_frame (agent, frame);
-  carry_out (agent);
+  handle_frame (agent, frame);
+  execute_actions (agent);
   pthread_mutex_unlock (&agent->lock);
 }
 
@@ -223,13 +223,13 @@
   pthread_mutex_lock (&agent->lock);
   bt_take_engine_answer (agent->ctx, agent->rank, call->call, accepted, answered ? &state : NULL,
                          bt_now_ms (agent->ctx), &agent->actions);
-  carry_out (agent);
+  execute_actions (agent);
   pthread_mutex_unlock (&agent->lock);
 }
 
 /* The newest controller's fencing number is the revision at which it took its lease. */
 static void
-read_floor (bt_map_agent_t *agent)
+read_fencing_floor (bt_map_agent_t *agent)
 {
   bt_kv_range_t range = { 0 };
   bt_error_t error = { 0 };
@@ -257,7 +257,7 @@
   if (!bt_read_map_loads (agent->ctx, agent->engine, &loads))
     return;
   pthread_mutex_lock (&agent->lock);
-  forget_closed_links (agent);
+  remove_closed_links (agent);
   for (int32_t i = 0; i < agent->link_count; i++)
     bt_send_map_loads (agent->ctx, agent->links[i], agent->settings.group, agent->settings.rank,
                        &loads);
@@ -280,50 +280,50 @@
 run_map_agent (void *data)
 {
   bt_map_agent_t *agent = data;
-  int64_t loads_ms = 0;
+  int64_t next_loads_ms = 0;
 
   while (ck_pr_load_int (&agent->stopping) == 0)
     {
       bt_map_action_t call;
       bt_map_bytes_t map = { 0 };
-      bool calling;
-      bool reading;
+      bool call_pending;
+      bool floor_wanted;
 
       pthread_mutex_lock (&agent->lock);
       bt_tick_map_rank (agent->ctx, agent->rank, bt_now_ms (agent->ctx), &agent->actions);
-      carry_out (agent);
+      execute_actions (agent);
       call = agent->call;
-      calling = agent->calling;
-      reading = agent->read_floor;
-      agent->calling = agent->read_floor = false;
-      if (calling)
+      call_pending = agent->call_pending;
+      floor_wanted = agent->floor_wanted;
+      agent->call_pending = agent->floor_wanted = false;
+      if (call_pending)
         copy_map (agent, &call.order, &map);
       pthread_mutex_unlock (&agent->lock);
-      if (calling)
+      if (call_pending)
         call_engine (agent, &call, &map);
       bt_free (agent->ctx, map.data);
-      if (reading)
-        read_floor (agent);
-      if (!calling && bt_now_ms (agent->ctx) >= loads_ms)
+      if (floor_wanted)
+        read_fencing_floor (agent);
+      if (!call_pending && bt_now_ms (agent->ctx) >= next_loads_ms)
         {
-          loads_ms = bt_now_ms (agent->ctx) + LOADS_MS;
+          next_loads_ms = bt_now_ms (agent->ctx) + LOADS_INTERVAL_MS;
           report_loads (agent);
         }
-      if (!calling)
+      if (!call_pending)
         bt_sleep_ms (TICK_MS);
     }
   return NULL;
 }
 
 static bt_map_rank_t *
-make_rank (bt_map_agent_t *agent, uint64_t incarnation)
+create_rank (bt_map_agent_t *agent, uint64_t incarnation)
 {
   const bt_map_agent_settings_t *settings = &agent->settings;
   bt_map_rank_settings_t rank = { 0 };
 
   rank.rank = (int32_t)settings->rank;
   rank.incarnation = incarnation;
-  rank.settle_ms = settings->call_ms + SETTLE_SPARE_MS;
+  rank.settle_ms = settings->call_ms + SETTLE_MARGIN_MS;
   /* The thread gives up a call before the decisions do, so that none is with the engine then. */
   rank.call_limit_ms = settings->call_ms * 2;
   rank.ask_ms = settings->ask_ms;
@@ -347,7 +347,7 @@
   pthread_mutex_init (&agent->lock, NULL);
   agent->kv = bt_new_etcd_kv (ctx, &kv);
   agent->engine = bt_new_map_engine (ctx, settings->rank_url, settings->call_ms, &agent->stopping);
-  agent->rank = make_rank (agent, incarnation);
+  agent->rank = create_rank (agent, incarnation);
   agent->started = pthread_create (&agent->thread, NULL, run_map_agent, agent) == 0;
   if (agent->started)
     return agent;
--- a/source/agent/map_agent.h
+++ b/source/agent/map_agent.h
@@ -33,7 +33,7 @@
 void bt_drop_map_agent (bt_context_t *ctx, bt_map_agent_t *agent);
 
 /** Takes a frame about maps; others are left alone. @p agent may be NULL. */
-void bt_take_map_agent_frame (bt_map_agent_t *agent, bt_link_t *link, const bt_frame_t *frame);
+void bt_handle_map_agent_frame (bt_map_agent_t *agent, bt_link_t *link, const bt_frame_t *frame);
 
 /** Says on a link which group and rank stand here. @p agent may be NULL. */
 void bt_announce_map_agent (bt_map_agent_t *agent, bt_link_t *link);
--- a/source/agent/map_engine.c
+++ b/source/agent/map_engine.c
@@ -11,8 +11,8 @@
   URL_BYTES = 256,
   HEX_BYTES = 20,
   HTTP_OK = 200,
-  ANSWER_BYTES = 4 << 20,
-  HEX_A_BYTE = 2,
+  MAX_ANSWER_BYTES = 4 << 20,
+  HEX_DIGITS_PER_BYTE = 2,
   BASE_HEX = 16,
 };
 
@@ -25,10 +25,10 @@
 };
 
 bt_map_engine_t *
-bt_new_map_engine (bt_context_t *ctx, const char *url, int64_t limit_ms, const int32_t *cancelled)
+bt_new_map_engine (bt_context_t *ctx, const char *url, int64_t timeout_ms, const int32_t *cancelled)
 {
   bt_map_engine_t *engine = bt_calloc (ctx, 1, sizeof *engine);
-  bt_http_limits_t limits = { limit_ms, limit_ms, limit_ms, ANSWER_BYTES };
+  bt_http_limits_t limits = { timeout_ms, timeout_ms, timeout_ms, MAX_ANSWER_BYTES };
 
   snprintf (engine->orders_url, sizeof engine->orders_url, "%s/orders", url);
   snprintf (engine->state_url, sizeof engine->state_url, "%s/state", url);
@@ -84,10 +84,11 @@
 static char *
 write_hex (bt_context_t *ctx, const bt_map_bytes_t *map)
 {
-  char *text = bt_calloc (ctx, (size_t)map->bytes * HEX_A_BYTE + 1, 1);
+  char *text = bt_calloc (ctx, (size_t)map->bytes * HEX_DIGITS_PER_BYTE + 1, 1);
 
   for (uint32_t i = 0; i < map->bytes; i++)
-    snprintf (text + (size_t)i * HEX_A_BYTE, HEX_A_BYTE + 1, "%02x", map->data[i]);
+    snprintf (text + (size_t)i * HEX_DIGITS_PER_BYTE, HEX_DIGITS_PER_BYTE + 1, "%02x",
+              map->data[i]);
   return text;
 }
 
--- a/source/agent/map_engine.h
+++ b/source/agent/map_engine.h
@@ -13,8 +13,10 @@
 
 /** @p url is the rank's, such as "http://10.0.0.5:9000/ranks/3". No call takes longer than
  * @p limit_ms; @p cancelled, when set, ends it at once. */
-bt_map_engine_t *
-bt_new_map_engine (bt_context_t *ctx, const char *url, int64_t limit_ms, const int32_t *cancelled);
+bt_map_engine_t *bt_new_map_engine (bt_context_t *ctx,
+                                    const char *url,
+                                    int64_t timeout_ms,
+                                    const int32_t *cancelled);
 
 /** NULL is accepted. */
 void bt_drop_map_engine (bt_context_t *ctx, bt_map_engine_t *engine);
--- a/source/agent/messages.c
+++ b/source/agent/messages.c
@@ -19,7 +19,7 @@
 }
 
 static void
-fill_path (bt_reply_path_t *path, const bt_link_t *link, uint64_t call, uint32_t attempt)
+fill_reply_path (bt_reply_path_t *path, const bt_link_t *link, uint64_t call, uint32_t attempt)
 {
   path->link = bt_get_link_id (link);
   path->call = call;
@@ -27,11 +27,11 @@
 }
 
 static void
-refuse (bt_context_t *ctx,
-        bt_link_t *link,
-        bt_reply_kind_t kind,
-        const bt_reply_path_t *path,
-        bt_reason_t reason)
+send_refusal (bt_context_t *ctx,
+              bt_link_t *link,
+              bt_reply_kind_t kind,
+              const bt_reply_path_t *path,
+              bt_reason_t reason)
 {
   bt_reply_t reply = { .kind = kind, .path = *path, .reason = reason };
 
@@ -48,7 +48,7 @@
                   int64_t now_ms,
                   bt_dispatch_t *dispatch)
 {
-  fill_path (&dispatch->path, link, frame->call, frame->attempt);
+  fill_reply_path (&dispatch->path, link, frame->call, frame->attempt);
   copy_identity (&dispatch->target, frame->target_instance, frame->target_incarnation);
   dispatch->has_ticket = frame->ticket[0] != '\0';
   dispatch->has_grant = read_grant (frame->grant, &dispatch->grant);
@@ -59,7 +59,7 @@
   dispatch->deadline_ms = now_ms + frame->deadline_left_ms;
   if (!dispatch->has_ticket || bt_parse_ticket (ring, frame->ticket, &dispatch->ticket, NULL))
     return true;
-  refuse (ctx, link, BT_REPLY_REFUSED, &dispatch->path, BT_REASON_KEY_NOT_MINTED);
+  send_refusal (ctx, link, BT_REPLY_REFUSED, &dispatch->path, BT_REASON_KEY_NOT_MINTED);
   return false;
 }
 
@@ -70,12 +70,12 @@
                        const Bilberry__GrantRequest *frame,
                        bt_grant_request_t *request)
 {
-  fill_path (&request->path, link, frame->call, frame->attempt);
+  fill_reply_path (&request->path, link, frame->call, frame->attempt);
   request->after_number = frame->after_number;
   if (read_grant (frame->proposal, &request->proposal)
       && bt_parse_ticket (ring, frame->ticket, &request->ticket, NULL))
     return true;
-  refuse (ctx, link, BT_REPLY_GRANT, &request->path, BT_REASON_KEY_NOT_MINTED);
+  send_refusal (ctx, link, BT_REPLY_GRANT, &request->path, BT_REASON_KEY_NOT_MINTED);
   return false;
 }
 
@@ -86,12 +86,12 @@
                            const Bilberry__TombstoneRequest *frame,
                            bt_tombstone_request_t *request)
 {
-  fill_path (&request->path, link, frame->call, frame->attempt);
+  fill_reply_path (&request->path, link, frame->call, frame->attempt);
   copy_identity (&request->target, frame->target_instance, frame->target_incarnation);
   request->has_grant = read_grant (frame->grant, &request->grant);
   if (bt_parse_ticket (ring, frame->ticket, &request->ticket, NULL))
     return true;
-  refuse (ctx, link, BT_REPLY_TOMBSTONE, &request->path, BT_REASON_NONE);
+  send_refusal (ctx, link, BT_REPLY_TOMBSTONE, &request->path, BT_REASON_NONE);
   return false;
 }
 
@@ -189,12 +189,12 @@
 send_head (bt_context_t *ctx, bt_link_t *link, const bt_reply_t *reply)
 {
   Bilberry__AnswerHead head = BILBERRY__ANSWER_HEAD__INIT;
-  Bilberry__Header type = BILBERRY__HEADER__INIT;
-  Bilberry__Header *headers[] = { &type };
+  Bilberry__Header content_type = BILBERRY__HEADER__INIT;
+  Bilberry__Header *headers[] = { &content_type };
   bt_frame_t frame = BILBERRY__FRAME__INIT;
 
-  type.name = "Content-Type";
-  type.value = (char *)reply->data;
+  content_type.name = "Content-Type";
+  content_type.value = (char *)reply->data;
   head.call = reply->path.call;
   head.attempt = reply->path.attempt;
   head.status = reply->status;
--- a/source/agent/picks_turn.c
+++ b/source/agent/picks_turn.c
@@ -1,35 +1,38 @@
 #include "picks_turn.h"
 
 void
-bt_want_picks (bt_picks_turn_t *turn, bool wanted, int32_t every)
+bt_request_picks (bt_picks_schedule_t *schedule, bool wanted, int32_t interval)
 {
-  if (wanted && !turn->wanted)
+  if (wanted && !schedule->wanted)
     {
-      turn->next_ms = 0;
-      turn->begun = false;
+      schedule->next_ms = 0;
+      schedule->has_baseline = false;
     }
-  turn->wanted = wanted;
-  turn->every = every > 1 ? every : 1;
+  schedule->wanted = wanted;
+  schedule->interval = interval > 1 ? interval : 1;
 }
 
 bool
-bt_are_picks_due (const bt_picks_turn_t *turn, int64_t now_ms)
+bt_are_picks_due (const bt_picks_schedule_t *schedule, int64_t now_ms)
 {
-  return turn->wanted && now_ms >= turn->next_ms;
+  return schedule->wanted && now_ms >= schedule->next_ms;
 }
 
 bool
-bt_take_picks_turn (bt_picks_turn_t *turn, int32_t rank, int64_t report_ms, int64_t now_ms)
+bt_advance_picks_schedule (bt_picks_schedule_t *schedule,
+                           int32_t rank,
+                           int64_t report_ms,
+                           int64_t now_ms)
 {
-  bool first = turn->next_ms == 0;
-  bool told = turn->every == 1 || turn->begun;
+  bool first = schedule->next_ms == 0;
+  bool reported = schedule->interval == 1 || schedule->has_baseline;
   int32_t reports = 1;
 
   if (first)
-    reports += rank % turn->every;
-  else if (told && turn->every > 1)
-    reports = turn->every - 1;
-  turn->begun = !told && !first;
-  turn->next_ms = now_ms + reports * report_ms;
-  return told;
+    reports += rank % schedule->interval;
+  else if (reported && schedule->interval > 1)
+    reports = schedule->interval - 1;
+  schedule->has_baseline = !reported && !first;
+  schedule->next_ms = now_ms + reports * report_ms;
+  return reported;
 }
--- a/source/agent/picks_turn.h
+++ b/source/agent/picks_turn.h
@@ -12,22 +12,25 @@
 #include <stdint.h>
 
 /** Zero-initialise it: no picks are wanted. */
-typedef struct bt_picks_turn
+typedef struct bt_picks_schedule
 {
   bool wanted;
-  int32_t every;   /**< Of so many reports one carries picks. */
-  int64_t next_ms; /**< The next time that picks are read; 0: at once, and the first time. */
-  bool begun;      /**< The counts were read from which the next picks are told. */
-} bt_picks_turn_t;
+  int32_t interval;  /**< Of so many reports one carries picks. */
+  int64_t next_ms;   /**< The next time that picks are read; 0: at once, and the first time. */
+  bool has_baseline; /**< The counts were read from which the next picks are told. */
+} bt_picks_schedule_t;
 
 /** Says whether picks are wanted, and in one of how many reports; 0 stands for each. */
-void bt_want_picks (bt_picks_turn_t *turn, bool wanted, int32_t every);
+void bt_request_picks (bt_picks_schedule_t *schedule, bool wanted, int32_t interval);
 
 /** True when the engine's counts are to be read for this link. */
-bool bt_are_picks_due (const bt_picks_turn_t *turn, int64_t now_ms);
+bool bt_are_picks_due (const bt_picks_schedule_t *schedule, int64_t now_ms);
 
 /** Notes that the counts were read, and says whether they are told now; else they are where the
  * next ones are told from. The ranks of a group take turns. */
-bool bt_take_picks_turn (bt_picks_turn_t *turn, int32_t rank, int64_t report_ms, int64_t now_ms);
+bool bt_advance_picks_schedule (bt_picks_schedule_t *schedule,
+                                int32_t rank,
+                                int64_t report_ms,
+                                int64_t now_ms);
 
 #endif
--- a/source/agent/runs.c
+++ b/source/agent/runs.c
@@ -13,9 +13,9 @@
 };
 
 static bt_agent_t *
-agent_of_upstream (bt_upstream_handler_t *handler)
+get_agent (bt_upstream_handler_t *handler)
 {
-  return (bt_agent_t *)((char *)handler - offsetof (bt_agent_t, upstream_base));
+  return (bt_agent_t *)((char *)handler - offsetof (bt_agent_t, upstream_handler));
 }
 
 static bt_agent_run_t *
@@ -30,12 +30,12 @@
 static void
 remove_run (bt_agent_t *agent, bt_agent_run_t *run)
 {
-  bt_agent_run_t **place = &agent->runs;
+  bt_agent_run_t **position = &agent->runs;
 
-  while (*place != run)
-    place = &(*place)->next;
-  *place = run->next;
-  bt_drop_upstream_run (agent->ctx, run->waiting);
+  while (*position != run)
+    position = &(*position)->next;
+  *position = run->next;
+  bt_drop_upstream_run (agent->ctx, run->pending);
   bt_free (agent->ctx, run);
 }
 
@@ -47,12 +47,12 @@
 }
 
 static void
-feed_arbiter (bt_agent_t *agent, const bt_run_event_t *event)
+pass_run_event (bt_agent_t *agent, const bt_run_event_t *event)
 {
   bt_arbiter_actions_t actions = { 0 };
 
   bt_handle_run_event (agent->ctx, agent->arbiter, event, bt_now_ms (agent->ctx), &actions);
-  bt_do_arbiter_actions (agent, &actions, NULL);
+  bt_execute_arbiter_actions (agent, &actions, NULL);
 }
 
 /* The endpoint has not seen this run, so its key stays open and may run elsewhere. */
@@ -64,16 +64,16 @@
   };
 
   remove_run (agent, run);
-  feed_arbiter (agent, &event);
+  pass_run_event (agent, &event);
 }
 
 static void
 start_run (bt_agent_t *agent, bt_agent_run_t *run)
 {
   run->started_ms = bt_now_ms (agent->ctx);
-  if (bt_start_upstream_run (agent->ctx, agent->upstream, run->waiting))
+  if (bt_start_upstream_run (agent->ctx, agent->upstream, run->pending))
     {
-      run->waiting = NULL;
+      run->pending = NULL;
       return;
     }
   bt_end_run (agent->queue, 0);
@@ -90,7 +90,7 @@
 }
 
 void
-bt_start_waiting_runs (bt_agent_t *agent)
+bt_start_queued_runs (bt_agent_t *agent)
 {
   bt_run_decision_t decision;
 
@@ -130,7 +130,7 @@
   request.body = dispatch->body.data;
   request.body_bytes = dispatch->body.len;
   request.priority = dispatch->priority;
-  run->waiting = bt_new_upstream_run (agent->ctx, agent->upstream, &request);
+  run->pending = bt_new_upstream_run (agent->ctx, agent->upstream, &request);
   bt_free (agent->ctx, headers);
   return run;
 }
@@ -149,7 +149,7 @@
   request.deadline_left_ms = dispatch->deadline_left_ms;
   bt_offer_run (agent->ctx, agent->queue, &request, bt_now_ms (agent->ctx), &decision);
   apply_run_decision (agent, run, &decision);
-  bt_start_waiting_runs (agent);
+  bt_start_queued_runs (agent);
 }
 
 static void
@@ -162,7 +162,7 @@
   if (bt_cancel_run (agent->queue, number))
     remove_run (agent, run);
   else
-    bt_cancel_upstream (agent->ctx, agent->upstream, number);
+    bt_cancel_upstream_run (agent->ctx, agent->upstream, number);
 }
 
 /* A reply whose link is gone has nobody to go to; the entry asks again over the next link. */
@@ -178,9 +178,9 @@
 }
 
 void
-bt_do_arbiter_actions (bt_agent_t *agent,
-                       bt_arbiter_actions_t *actions,
-                       const Bilberry__Dispatch *frame)
+bt_execute_arbiter_actions (bt_agent_t *agent,
+                            bt_arbiter_actions_t *actions,
+                            const Bilberry__Dispatch *frame)
 {
   for (int32_t i = 0; i < actions->count; i++)
     {
@@ -212,7 +212,7 @@
              int32_t status,
              const char *content_type)
 {
-  bt_agent_t *agent = agent_of_upstream (handler);
+  bt_agent_t *agent = get_agent (handler);
   bt_run_event_t event = { .kind = BT_RUN_HEAD,
                            .run = number,
                            .status = (uint32_t)status,
@@ -221,14 +221,14 @@
 
   pthread_mutex_lock (&agent->lock);
   if (find_run (agent, number) != NULL)
-    feed_arbiter (agent, &event);
+    pass_run_event (agent, &event);
   pthread_mutex_unlock (&agent->lock);
 }
 
 static void
 on_run_piece (bt_upstream_handler_t *handler, uint64_t number, const void *data, size_t bytes)
 {
-  bt_agent_t *agent = agent_of_upstream (handler);
+  bt_agent_t *agent = get_agent (handler);
   bt_run_event_t event = { .kind = BT_RUN_PIECE, .run = number, .data = data, .data_bytes = bytes };
   bt_agent_run_t *run;
 
@@ -238,18 +238,18 @@
     {
       event.offset_bytes = run->total_bytes;
       run->total_bytes += bytes;
-      feed_arbiter (agent, &event);
+      pass_run_event (agent, &event);
     }
   pthread_mutex_unlock (&agent->lock);
 }
 
 static void
-fill_end (bt_run_event_t *event, bt_upstream_result_t result)
+fill_end_event (bt_run_event_t *event, bt_upstream_result_t result)
 {
   event->kind = BT_RUN_FAILED;
   event->may_have_run = true;
   event->reason = BT_REASON_ENGINE_FAILED;
-  if (result == BT_UPSTREAM_WHOLE)
+  if (result == BT_UPSTREAM_COMPLETE)
     event->kind = BT_RUN_END;
   else if (result == BT_UPSTREAM_NOT_SENT)
     {
@@ -265,7 +265,7 @@
 static void
 on_run_end (bt_upstream_handler_t *handler, uint64_t number, bt_upstream_result_t result)
 {
-  bt_agent_t *agent = agent_of_upstream (handler);
+  bt_agent_t *agent = get_agent (handler);
   bt_run_event_t event = { .run = number };
   bt_agent_run_t *run;
 
@@ -276,12 +276,12 @@
       /* A run that failed says nothing about how long one takes: one that fails fast would make the
        * endpoint look fast. */
       bt_end_run (agent->queue,
-                  result == BT_UPSTREAM_WHOLE ? bt_now_ms (agent->ctx) - run->started_ms : 0);
-      fill_end (&event, result);
+                  result == BT_UPSTREAM_COMPLETE ? bt_now_ms (agent->ctx) - run->started_ms : 0);
+      fill_end_event (&event, result);
       event.total_bytes = run->total_bytes;
       remove_run (agent, run);
-      feed_arbiter (agent, &event);
-      bt_start_waiting_runs (agent);
+      pass_run_event (agent, &event);
+      bt_start_queued_runs (agent);
     }
   pthread_mutex_unlock (&agent->lock);
 }
@@ -289,10 +289,10 @@
 static void
 on_load (bt_upstream_handler_t *handler, const bt_upstream_load_t *load)
 {
-  bt_agent_t *agent = agent_of_upstream (handler);
+  bt_agent_t *agent = get_agent (handler);
 
   pthread_mutex_lock (&agent->lock);
-  agent->load = *load;
+  agent->endpoint_load = *load;
   pthread_mutex_unlock (&agent->lock);
 }
 
--- a/source/agent/side.h
+++ b/source/agent/side.h
@@ -12,7 +12,7 @@
 #include "bilberrytray/agent/engine_platform.h"
 
 /** Settings; strings must outlive the agent. */
-typedef struct bt_side_settings
+typedef struct bt_sidecar_settings
 {
   const char *listen; /**< Where links are accepted; also this agent's name on them. */
   const char *engine; /**< The engine's "IP:PORT". */
@@ -26,25 +26,25 @@
   int64_t beat_ms;
   int64_t link_idle_ms;
   int64_t max_links;
-} bt_side_settings_t;
+} bt_sidecar_settings_t;
 
-typedef struct bt_side bt_side_t;
+typedef struct bt_sidecar bt_sidecar_t;
 
-bt_side_t *bt_new_side (bt_context_t *ctx,
-                        const bt_engine_platform_t *platform,
-                        const bt_side_settings_t *settings,
-                        bt_error_t *error);
+bt_sidecar_t *bt_new_sidecar (bt_context_t *ctx,
+                              const bt_engine_platform_t *platform,
+                              const bt_sidecar_settings_t *settings,
+                              bt_error_t *error);
 
-/** Serves until bt_stop_side. */
-void bt_run_side (bt_side_t *side);
+/** Serves until bt_stop_sidecar. */
+void bt_run_sidecar (bt_sidecar_t *sidecar);
 
-/** Ends bt_run_side soon, from any thread. */
-void bt_stop_side (bt_side_t *side);
+/** Ends bt_run_sidecar soon, from any thread. */
+void bt_stop_sidecar (bt_sidecar_t *sidecar);
 
 /** NULL is accepted. */
-void bt_drop_side (bt_context_t *ctx, bt_side_t *side);
+void bt_drop_sidecar (bt_context_t *ctx, bt_sidecar_t *sidecar);
 
 /** Runs `bilberry-agent side` with its flags; returns the exit code. */
-int bt_run_side_command (bt_context_t *ctx, int argc, char **argv);
+int bt_run_sidecar_command (bt_context_t *ctx, int argc, char **argv);
 
 #endif
--- a/source/agent/told_picks.c
+++ b/source/agent/told_picks.c
@@ -6,47 +6,47 @@
  * count that went down shows it: the others may already be higher than they were, and their
  * difference would be a demand that never was. */
 static bool
-counts_anew (const bt_told_picks_t *told, const bt_engine_picks_t *picks)
+counts_were_reset (const bt_reported_picks_t *reported, const bt_engine_picks_t *picks)
 {
-  if (!told->told || told->started_ms != picks->started_ms || told->epoch != picks->epoch
-      || told->count != picks->count)
+  if (!reported->valid || reported->started_ms != picks->started_ms
+      || reported->epoch != picks->epoch || reported->count != picks->count)
     return true;
   for (int32_t i = 0; i < picks->count; i++)
-    if (picks->counts[i] < told->counts[i])
+    if (picks->counts[i] < reported->counts[i])
       return true;
   return false;
 }
 
 void
 bt_count_new_picks (bt_context_t *ctx,
-                    bt_told_picks_t *told,
+                    bt_reported_picks_t *reported,
                     const bt_engine_picks_t *picks,
                     uint32_t *deltas)
 {
-  bool anew = counts_anew (told, picks);
+  bool reset = counts_were_reset (reported, picks);
 
   for (int32_t i = 0; i < picks->count; i++)
     {
-      int64_t delta = anew ? 0 : picks->counts[i] - told->counts[i];
+      int64_t delta = reset ? 0 : picks->counts[i] - reported->counts[i];
 
       deltas[i] = delta < UINT32_MAX ? (uint32_t)delta : UINT32_MAX;
     }
-  if (told->count != picks->count)
+  if (reported->count != picks->count)
     {
-      bt_clear_told_picks (ctx, told);
-      told->counts = bt_calloc (ctx, (size_t)picks->count, sizeof *told->counts);
+      bt_clear_reported_picks (ctx, reported);
+      reported->counts = bt_calloc (ctx, (size_t)picks->count, sizeof *reported->counts);
     }
   if (picks->count > 0)
-    memcpy (told->counts, picks->counts, (size_t)picks->count * sizeof *told->counts);
-  told->told = true;
-  told->started_ms = picks->started_ms;
-  told->epoch = picks->epoch;
-  told->count = picks->count;
+    memcpy (reported->counts, picks->counts, (size_t)picks->count * sizeof *reported->counts);
+  reported->valid = true;
+  reported->started_ms = picks->started_ms;
+  reported->epoch = picks->epoch;
+  reported->count = picks->count;
 }
 
 void
-bt_clear_told_picks (bt_context_t *ctx, bt_told_picks_t *told)
+bt_clear_reported_picks (bt_context_t *ctx, bt_reported_picks_t *reported)
 {
-  bt_free (ctx, told->counts);
-  memset (told, 0, sizeof *told);
+  bt_free (ctx, reported->counts);
+  memset (reported, 0, sizeof *reported);
 }
--- a/source/agent/told_picks.h
+++ b/source/agent/told_picks.h
@@ -9,22 +9,22 @@
 #include "bilberrytray/agent/engine_platform.h"
 
 /** Zero-initialise it: nothing was told yet. */
-typedef struct bt_told_picks
+typedef struct bt_reported_picks
 {
-  bool told;
+  bool valid;
   int64_t started_ms;
   int64_t epoch;
   int64_t *counts;
   int32_t count;
-} bt_told_picks_t;
+} bt_reported_picks_t;
 
 /** Fills in @p deltas, one for each of @p picks, with what was picked since the last call. They are
  * all 0 the first time, and when the engine counts anew. */
 void bt_count_new_picks (bt_context_t *ctx,
-                         bt_told_picks_t *told,
+                         bt_reported_picks_t *reported,
                          const bt_engine_picks_t *picks,
                          uint32_t *deltas);
 
-void bt_clear_told_picks (bt_context_t *ctx, bt_told_picks_t *told);
+void bt_clear_reported_picks (bt_context_t *ctx, bt_reported_picks_t *reported);
 
 #endif
--- a/source/agent/upstream.c
+++ b/source/agent/upstream.c
@@ -22,11 +22,11 @@
   MAX_LOAD_BYTES = 65536,
   MAX_EVENT_BYTES = 1 << 20,
   CONTENT_TYPE_BYTES = 128,
-  CONNECTION_CACHE = 256,
+  MAX_CACHED_CONNECTIONS = 256,
   HTTP_OK = 200,
 };
 
-static const char *const event_end = "\n\n";
+static const char *const event_terminator = "\n\n";
 static const char *const done_event = "data: [DONE]";
 
 /** What a transfer is for. */
@@ -51,12 +51,12 @@
   char url[URL_BYTES];
   char content_type[CONTENT_TYPE_BYTES];
   bt_buffer_t received; /**< Bytes behind the last whole event. */
-  bool head_given;
-  bool streams; /**< The answer is a stream of events. */
-  bool done;    /**< The closing event was seen. */
+  bool head_reported;
+  bool is_event_stream; /**< The answer is a stream of events. */
+  bool done;            /**< The closing event was seen. */
   transfer_kind_t kind;
-  int64_t events; /**< Whole events passed on. */
-  int64_t heard_ms;
+  int64_t event_count; /**< Whole events passed on. */
+  int64_t last_received_ms;
   int32_t resumes;
   struct bt_upstream_run *next;
 };
@@ -77,8 +77,8 @@
   CURLM *multi;
   bt_queue_t *commands;
   transfer_t *transfers;
-  int64_t load_asked_ms;
-  bool load_running;
+  int64_t load_requested_ms;
+  bool load_pending;
   pthread_t thread;
   atomic_bool stopping;
 };
@@ -95,27 +95,27 @@
 }
 
 static void
-give_head (transfer_t *transfer)
+report_head (transfer_t *transfer)
 {
   bt_upstream_handler_t *handler = transfer->upstream->options.handler;
   long status = 0;
   char *type = NULL;
 
-  if (transfer->head_given)
+  if (transfer->head_reported)
     return;
   curl_easy_getinfo (transfer->easy, CURLINFO_RESPONSE_CODE, &status);
   curl_easy_getinfo (transfer->easy, CURLINFO_CONTENT_TYPE, &type);
   snprintf (transfer->content_type, sizeof transfer->content_type, "%s",
             type == NULL ? "application/octet-stream" : type);
-  transfer->streams =
-      transfer->upstream->options.model && status == HTTP_OK
+  transfer->is_event_stream =
+      transfer->upstream->options.is_model && status == HTTP_OK
       && strncmp (transfer->content_type, "text/event-stream", strlen ("text/event-stream")) == 0;
-  transfer->head_given = true;
+  transfer->head_reported = true;
   handler->vtable->on_head (handler, transfer->run, (int32_t)status, transfer->content_type);
 }
 
 static void
-give_piece (transfer_t *transfer, const void *data, size_t bytes)
+report_piece (transfer_t *transfer, const void *data, size_t bytes)
 {
   bt_upstream_handler_t *handler = transfer->upstream->options.handler;
 
@@ -125,35 +125,37 @@
 /* Passes on whole events only, so that a resumed stream joins on an event's edge and no half event
  * is ever followed by the start of another. */
 static void
-give_events (transfer_t *transfer)
+report_events (transfer_t *transfer)
 {
   for (;;)
     {
       const char *start = (const char *)transfer->received.data + transfer->received.start;
-      size_t held = bt_count_buffer (&transfer->received);
-      const char *end = held == 0 ? NULL : memmem (start, held, event_end, strlen (event_end));
+      size_t buffered = bt_count_buffer (&transfer->received);
+      const char *end = buffered == 0
+                            ? NULL
+                            : memmem (start, buffered, event_terminator, strlen (event_terminator));
       size_t bytes;
 
       if (end == NULL)
         return;
-      bytes = (size_t)(end - start) + strlen (event_end);
+      bytes = (size_t)(end - start) + strlen (event_terminator);
       if (strncmp (start, done_event, strlen (done_event)) == 0)
         transfer->done = true;
       else
-        transfer->events++;
-      give_piece (transfer, start, bytes);
+        transfer->event_count++;
+      report_piece (transfer, start, bytes);
       bt_take_buffer (&transfer->received, bytes);
     }
 }
 
 static size_t
-take_body (char *data, size_t size, size_t count, void *argument)
+on_body (char *data, size_t size, size_t count, void *argument)
 {
   transfer_t *transfer = argument;
   bt_context_t *ctx = transfer->upstream->ctx;
   size_t bytes = size * count;
 
-  transfer->heard_ms = bt_now_ms (ctx);
+  transfer->last_received_ms = bt_now_ms (ctx);
   if (transfer->kind != TRANSFER_RUN)
     {
       if (bt_count_buffer (&transfer->received) + bytes > MAX_LOAD_BYTES)
@@ -161,42 +163,42 @@
       bt_append_buffer (ctx, &transfer->received, data, bytes);
       return bytes;
     }
-  give_head (transfer);
-  if (!transfer->streams)
+  report_head (transfer);
+  if (!transfer->is_event_stream)
     {
-      give_piece (transfer, data, bytes);
+      report_piece (transfer, data, bytes);
       return bytes;
     }
   if (bt_count_buffer (&transfer->received) + bytes > MAX_EVENT_BYTES)
     return 0;
   bt_append_buffer (ctx, &transfer->received, data, bytes);
-  give_events (transfer);
+  report_events (transfer);
   return bytes;
 }
 
 static void
-prepare_easy (transfer_t *transfer, const char *url)
+create_easy_handle (transfer_t *transfer, const char *url)
 {
   const bt_upstream_options_t *options = &transfer->upstream->options;
   CURL *easy = curl_easy_init ();
 
   transfer->easy = easy;
-  transfer->heard_ms = bt_now_ms (transfer->upstream->ctx);
+  transfer->last_received_ms = bt_now_ms (transfer->upstream->ctx);
   curl_easy_setopt (easy, CURLOPT_URL, url);
   curl_easy_setopt (easy, CURLOPT_PRIVATE, transfer);
   curl_easy_setopt (easy, CURLOPT_NOSIGNAL, 1L);
   curl_easy_setopt (easy, CURLOPT_PROXY, "");
   curl_easy_setopt (easy, CURLOPT_CONNECTTIMEOUT_MS, (long)options->connect_ms);
-  curl_easy_setopt (easy, CURLOPT_WRITEFUNCTION, take_body);
+  curl_easy_setopt (easy, CURLOPT_WRITEFUNCTION, on_body);
   curl_easy_setopt (easy, CURLOPT_WRITEDATA, transfer);
   curl_easy_setopt (easy, CURLOPT_HTTPHEADER, transfer->headers);
   curl_easy_setopt (easy, CURLOPT_TCP_NODELAY, 1L);
 }
 
 static void
-prepare_run (transfer_t *transfer)
+create_run_handle (transfer_t *transfer)
 {
-  prepare_easy (transfer, transfer->url);
+  create_easy_handle (transfer, transfer->url);
   if (transfer->body_bytes > 0 || strcmp (transfer->method, "POST") == 0)
     {
       curl_easy_setopt (transfer->easy, CURLOPT_POSTFIELDS,
@@ -223,29 +225,29 @@
 static void
 remove_transfer (bt_upstream_t *upstream, transfer_t *transfer)
 {
-  transfer_t **place = &upstream->transfers;
+  transfer_t **position = &upstream->transfers;
 
-  while (*place != transfer)
-    place = &(*place)->next;
-  *place = transfer->next;
+  while (*position != transfer)
+    position = &(*position)->next;
+  *position = transfer->next;
   curl_multi_remove_handle (upstream->multi, transfer->easy);
 }
 
 /* An engine goes on with a run whose stream nobody reads. One that was given up must be told to
  * stop, or it holds a slot that the agent believes free. What it made so far may stand. */
 static void
-cancel_at_engine (bt_upstream_t *upstream, const transfer_t *given_up)
+cancel_at_engine (bt_upstream_t *upstream, const transfer_t *abandoned)
 {
   transfer_t *transfer;
   char url[URL_BYTES];
 
-  if (!upstream->options.model)
+  if (!upstream->options.is_model)
     return;
   transfer = bt_calloc (upstream->ctx, 1, sizeof *transfer);
   transfer->upstream = upstream;
   transfer->kind = TRANSFER_CANCEL;
-  snprintf (url, sizeof url, "%s/v1/runs/%s/cancel", upstream->options.url, given_up->run_id);
-  prepare_easy (transfer, url);
+  snprintf (url, sizeof url, "%s/v1/runs/%s/cancel", upstream->options.url, abandoned->run_id);
+  create_easy_handle (transfer, url);
   curl_easy_setopt (transfer->easy, CURLOPT_POSTFIELDS, "");
   add_transfer (upstream, transfer);
 }
@@ -256,7 +258,7 @@
   bt_upstream_handler_t *handler = upstream->options.handler;
   uint64_t run = transfer->run;
 
-  if (result != BT_UPSTREAM_WHOLE && result != BT_UPSTREAM_NOT_SENT)
+  if (result != BT_UPSTREAM_COMPLETE && result != BT_UPSTREAM_NOT_SENT)
     cancel_at_engine (upstream, transfer);
   remove_transfer (upstream, transfer);
   drop_transfer (upstream->ctx, transfer);
@@ -270,20 +272,20 @@
 {
   char url[URL_BYTES];
 
-  if (!transfer->streams || transfer->resumes >= upstream->options.resumes)
+  if (!transfer->is_event_stream || transfer->resumes >= upstream->options.max_resumes)
     return false;
   transfer->resumes++;
   curl_multi_remove_handle (upstream->multi, transfer->easy);
   curl_easy_cleanup (transfer->easy);
   bt_clear_buffer (upstream->ctx, &transfer->received);
   snprintf (url, sizeof url, "%s/v1/runs/%s/stream?from=%lld", upstream->options.url,
-            transfer->run_id, (long long)transfer->events);
-  prepare_easy (transfer, url);
+            transfer->run_id, (long long)transfer->event_count);
+  create_easy_handle (transfer, url);
   curl_easy_setopt (transfer->easy, CURLOPT_FRESH_CONNECT, 1L);
   curl_easy_setopt (transfer->easy, CURLOPT_FORBID_REUSE, 1L);
   curl_multi_add_handle (upstream->multi, transfer->easy);
   bt_log (upstream->ctx, BT_LOG_INFO, BT_PART_ENGINE, "Resuming run %s behind event %lld.",
-          transfer->run_id, (long long)transfer->events);
+          transfer->run_id, (long long)transfer->event_count);
   return true;
 }
 
@@ -295,7 +297,7 @@
   json_t *body = json_loadb ((const char *)transfer->received.data + transfer->received.start,
                              bt_count_buffer (&transfer->received), 0, NULL);
 
-  upstream->load_running = false;
+  upstream->load_pending = false;
   if (code == CURLE_OK && json_is_object (body))
     {
       load.running = (int32_t)json_integer_value (json_object_get (body, "running"));
@@ -311,7 +313,7 @@
 }
 
 static void
-finish_side (bt_upstream_t *upstream, transfer_t *transfer, CURLcode code)
+finish_auxiliary (bt_upstream_t *upstream, transfer_t *transfer, CURLcode code)
 {
   if (transfer->kind == TRANSFER_LOAD)
     {
@@ -330,7 +332,7 @@
 
   if (transfer->kind != TRANSFER_RUN)
     {
-      finish_side (upstream, transfer, code);
+      finish_auxiliary (upstream, transfer, code);
       return;
     }
   curl_easy_getinfo (transfer->easy, CURLINFO_SIZE_UPLOAD_T, &sent);
@@ -341,10 +343,10 @@
       return;
     }
   if (code == CURLE_OK)
-    give_head (transfer);
+    report_head (transfer);
   /* A stream without its closing event was cut, even if the connection ended cleanly. */
-  if (code == CURLE_OK && (!transfer->streams || transfer->done))
-    end_transfer (upstream, transfer, BT_UPSTREAM_WHOLE);
+  if (code == CURLE_OK && (!transfer->is_event_stream || transfer->done))
+    end_transfer (upstream, transfer, BT_UPSTREAM_COMPLETE);
   else if (!resume_transfer (upstream, transfer))
     end_transfer (upstream, transfer, BT_UPSTREAM_FAILED);
 }
@@ -368,7 +370,7 @@
 }
 
 static void
-check_silence (bt_upstream_t *upstream)
+check_idle_transfers (bt_upstream_t *upstream)
 {
   int64_t now_ms = bt_now_ms (upstream->ctx);
   transfer_t *next;
@@ -376,31 +378,31 @@
   for (transfer_t *transfer = upstream->transfers; transfer != NULL; transfer = next)
     {
       next = transfer->next;
-      if (now_ms - transfer->heard_ms <= upstream->options.idle_ms)
+      if (now_ms - transfer->last_received_ms <= upstream->options.idle_ms)
         continue;
       if (transfer->kind != TRANSFER_RUN)
-        finish_side (upstream, transfer, CURLE_OPERATION_TIMEDOUT);
+        finish_auxiliary (upstream, transfer, CURLE_OPERATION_TIMEDOUT);
       else if (!resume_transfer (upstream, transfer))
         end_transfer (upstream, transfer, BT_UPSTREAM_SILENT);
     }
 }
 
 static void
-ask_load (bt_upstream_t *upstream)
+request_load (bt_upstream_t *upstream)
 {
   int64_t now_ms = bt_now_ms (upstream->ctx);
   transfer_t *transfer;
   char url[URL_BYTES];
 
-  if (upstream->load_running || now_ms - upstream->load_asked_ms < upstream->options.load_ms)
+  if (upstream->load_pending || now_ms - upstream->load_requested_ms < upstream->options.load_ms)
     return;
-  upstream->load_running = true;
-  upstream->load_asked_ms = now_ms;
+  upstream->load_pending = true;
+  upstream->load_requested_ms = now_ms;
   transfer = bt_calloc (upstream->ctx, 1, sizeof *transfer);
   transfer->upstream = upstream;
   transfer->kind = TRANSFER_LOAD;
   snprintf (url, sizeof url, "%s/load", upstream->options.url);
-  prepare_easy (transfer, url);
+  create_easy_handle (transfer, url);
   add_transfer (upstream, transfer);
 }
 
@@ -416,7 +418,7 @@
 }
 
 static void
-take_commands (bt_upstream_t *upstream)
+execute_commands (bt_upstream_t *upstream)
 {
   command_t *command;
 
@@ -426,7 +428,7 @@
         cancel_run (upstream, command->run);
       else
         {
-          prepare_run (command->start);
+          create_run_handle (command->start);
           add_transfer (upstream, command->start);
         }
       bt_free (upstream->ctx, command);
@@ -441,11 +443,11 @@
 
   while (!atomic_load (&upstream->stopping))
     {
-      take_commands (upstream);
-      ask_load (upstream);
+      execute_commands (upstream);
+      request_load (upstream);
       curl_multi_perform (upstream->multi, &running);
       finish_transfers (upstream);
-      check_silence (upstream);
+      check_idle_transfers (upstream);
       curl_multi_poll (upstream->multi, NULL, 0, POLL_MS, NULL);
     }
   return NULL;
@@ -460,7 +462,7 @@
   upstream->options = *options;
   upstream->multi = curl_multi_init ();
   upstream->commands = bt_new_queue (ctx, QUEUE_CAPACITY);
-  curl_multi_setopt (upstream->multi, CURLMOPT_MAXCONNECTS, (long)CONNECTION_CACHE);
+  curl_multi_setopt (upstream->multi, CURLMOPT_MAXCONNECTS, (long)MAX_CACHED_CONNECTIONS);
   if (pthread_create (&upstream->thread, NULL, run_upstream, upstream) != 0)
     {
       bt_set_error (error, BT_ERROR_SYSTEM, "Can't start a thread: %s.", strerror (errno));
@@ -563,7 +565,7 @@
 }
 
 void
-bt_cancel_upstream (bt_context_t *ctx, bt_upstream_t *upstream, uint64_t run)
+bt_cancel_upstream_run (bt_context_t *ctx, bt_upstream_t *upstream, uint64_t run)
 {
   push_command (ctx, upstream, NULL, run);
 }
--- a/source/agent/upstream.h
+++ b/source/agent/upstream.h
@@ -23,11 +23,11 @@
 /** How a run ended at the endpoint. */
 typedef enum bt_upstream_result
 {
-  BT_UPSTREAM_WHOLE = 0, /**< The whole answer was passed on. */
-  BT_UPSTREAM_NOT_SENT,  /**< No connection was made: it certainly did not run. */
-  BT_UPSTREAM_FAILED,    /**< It broke off or was malformed: it may have run. */
-  BT_UPSTREAM_SILENT,    /**< Nothing came for the idle limit, and resuming did not help. */
-  BT_UPSTREAM_CANCELLED, /**< Cancelled by the agent. */
+  BT_UPSTREAM_COMPLETE = 0, /**< The whole answer was passed on. */
+  BT_UPSTREAM_NOT_SENT,     /**< No connection was made: it certainly did not run. */
+  BT_UPSTREAM_FAILED,       /**< It broke off or was malformed: it may have run. */
+  BT_UPSTREAM_SILENT,       /**< Nothing came for the idle limit, and resuming did not help. */
+  BT_UPSTREAM_CANCELLED,    /**< Cancelled by the agent. */
 } bt_upstream_result_t;
 
 /** What the endpoint reports of its load. */
@@ -60,11 +60,11 @@
 typedef struct bt_upstream_options
 {
   const char *url; /**< "http://IP:PORT" without a closing slash. */
-  bool model;      /**< A model engine; else a plain service. */
+  bool is_model;   /**< A model engine; else a plain service. */
   int64_t connect_ms;
-  int64_t idle_ms; /**< Without a byte, a stream is silent. */
-  int32_t resumes; /**< Further connections for one run at most. */
-  int64_t load_ms; /**< Between two load reports. */
+  int64_t idle_ms;     /**< Without a byte, a stream is silent. */
+  int32_t max_resumes; /**< Further connections for one run at most. */
+  int64_t load_ms;     /**< Between two load reports. */
   bt_upstream_handler_t *handler;
 } bt_upstream_options_t;
 
@@ -101,13 +101,13 @@
 bool bt_start_upstream_run (bt_context_t *ctx, bt_upstream_t *upstream, bt_upstream_run_t *run);
 
 /** Cancels a run, from any thread; on_end follows unless it has ended already. */
-void bt_cancel_upstream (bt_context_t *ctx, bt_upstream_t *upstream, uint64_t run);
+void bt_cancel_upstream_run (bt_context_t *ctx, bt_upstream_t *upstream, uint64_t run);
 
 /** Cancels what a model engine still runs from before this agent's start, and waits for the answer.
  * A plain service has nothing to list, so nothing is done for it. */
-bool bt_clear_upstream_runs (bt_context_t *ctx,
-                             const bt_upstream_options_t *options,
-                             int32_t *cancelled,
-                             bt_error_t *error);
+bool bt_cancel_orphaned_runs (bt_context_t *ctx,
+                              const bt_upstream_options_t *options,
+                              int32_t *cancelled,
+                              bt_error_t *error);
 
 #endif
--- a/source/agent/upstream_clear.c
+++ b/source/agent/upstream_clear.c
@@ -20,7 +20,7 @@
 } answer_t;
 
 static size_t
-take_body (char *data, size_t size, size_t count, void *argument)
+on_body (char *data, size_t size, size_t count, void *argument)
 {
   answer_t *answer = argument;
 
@@ -31,11 +31,11 @@
 }
 
 static json_t *
-call (bt_context_t *ctx,
-      const bt_upstream_options_t *options,
-      const char *url,
-      bool post,
-      bt_error_t *error)
+call_engine (bt_context_t *ctx,
+             const bt_upstream_options_t *options,
+             const char *url,
+             bool post,
+             bt_error_t *error)
 {
   answer_t answer = { ctx, { 0 } };
   CURL *easy = curl_easy_init ();
@@ -46,7 +46,7 @@
   curl_easy_setopt (easy, CURLOPT_PROXY, "");
   curl_easy_setopt (easy, CURLOPT_NOSIGNAL, 1L);
   curl_easy_setopt (easy, CURLOPT_TIMEOUT_MS, (long)options->idle_ms);
-  curl_easy_setopt (easy, CURLOPT_WRITEFUNCTION, take_body);
+  curl_easy_setopt (easy, CURLOPT_WRITEFUNCTION, on_body);
   curl_easy_setopt (easy, CURLOPT_WRITEDATA, &answer);
   if (post)
     curl_easy_setopt (easy, CURLOPT_POSTFIELDS, "");
@@ -66,25 +66,25 @@
 }
 
 static bool
-cancel_one (bt_context_t *ctx,
-            const bt_upstream_options_t *options,
-            const char *run,
-            bt_error_t *error)
+cancel_engine_run (bt_context_t *ctx,
+                   const bt_upstream_options_t *options,
+                   const char *run,
+                   bt_error_t *error)
 {
   char url[URL_BYTES];
   json_t *body;
 
   snprintf (url, sizeof url, "%s/v1/runs/%s/cancel", options->url, run);
-  body = call (ctx, options, url, true, error);
+  body = call_engine (ctx, options, url, true, error);
   json_decref (body);
   return body != NULL;
 }
 
 bool
-bt_clear_upstream_runs (bt_context_t *ctx,
-                        const bt_upstream_options_t *options,
-                        int32_t *cancelled,
-                        bt_error_t *error)
+bt_cancel_orphaned_runs (bt_context_t *ctx,
+                         const bt_upstream_options_t *options,
+                         int32_t *cancelled,
+                         bt_error_t *error)
 {
   char url[URL_BYTES];
   json_t *body;
@@ -93,10 +93,10 @@
   bool cleared = true;
 
   *cancelled = 0;
-  if (!options->model)
+  if (!options->is_model)
     return true;
   snprintf (url, sizeof url, "%s/v1/runs", options->url);
-  body = call (ctx, options, url, false, error);
+  body = call_engine (ctx, options, url, false, error);
   if (body == NULL)
     return false;
   json_array_foreach (json_object_get (body, "runs"), index, run)
@@ -105,7 +105,7 @@
 
     if (id == NULL || id[0] == '\0' || json_is_true (json_object_get (run, "ended")))
       continue;
-    cleared = cleared && cancel_one (ctx, options, id, error);
+    cleared = cleared && cancel_engine_run (ctx, options, id, error);
     (*cancelled)++;
   }
   json_decref (body);
--- a/test/agent/test_picks_turn.c
+++ b/test/agent/test_picks_turn.c
@@ -10,90 +10,91 @@
 
 /* How often one rank tells its picks in a run, and the longest time that one of them covers. */
 static int32_t
-count_told (int32_t rank, int32_t every, int64_t *longest_ms)
+count_reported (int32_t rank, int32_t interval, int64_t *longest_ms)
 {
-  bt_picks_turn_t turn = { false };
+  bt_picks_schedule_t schedule = { false };
   int64_t read_ms = 0;
-  int32_t told = 0;
+  int32_t reported = 0;
 
-  bt_want_picks (&turn, true, every);
+  bt_request_picks (&schedule, true, interval);
   *longest_ms = 0;
   for (int64_t now_ms = REPORT_MS; now_ms <= RUN_MS; now_ms += REPORT_MS)
     {
-      if (!bt_are_picks_due (&turn, now_ms))
+      if (!bt_are_picks_due (&schedule, now_ms))
         continue;
-      if (bt_take_picks_turn (&turn, rank, REPORT_MS, now_ms))
+      if (bt_advance_picks_schedule (&schedule, rank, REPORT_MS, now_ms))
         {
-          told++;
+          reported++;
           if (now_ms - read_ms > *longest_ms)
             *longest_ms = now_ms - read_ms;
         }
       read_ms = now_ms;
     }
-  return told;
+  return reported;
 }
 
 static void
-test_each_report_of_a_small_group (void)
+test_every_report_of_a_small_group_carries_picks (void)
 {
   int64_t longest_ms;
 
-  CU_ASSERT_EQUAL (count_told (3, 1, &longest_ms), RUN_MS / REPORT_MS);
+  CU_ASSERT_EQUAL (count_reported (3, 1, &longest_ms), RUN_MS / REPORT_MS);
   CU_ASSERT_EQUAL (longest_ms, REPORT_MS);
-  CU_ASSERT_EQUAL (count_told (3, 0, &longest_ms), RUN_MS / REPORT_MS);
+  CU_ASSERT_EQUAL (count_reported (3, 0, &longest_ms), RUN_MS / REPORT_MS);
 }
 
 /* The leader of a large group had to take in more counts than its link carries. Each rank tells one
  * report in four, and what it tells is no older than in a small group: else a jump of demand would
  * show half a second later. */
 static void
-test_some_reports_of_a_large_group (void)
+test_some_reports_of_a_large_group_carry_picks (void)
 {
   for (int32_t rank = 0; rank < 8; rank++)
     {
       int64_t longest_ms;
-      int32_t told = count_told (rank, 4, &longest_ms);
+      int32_t reported = count_reported (rank, 4, &longest_ms);
 
-      CU_ASSERT (told >= RUN_MS / REPORT_MS / 4 - 2 && told <= RUN_MS / REPORT_MS / 4 + 1);
+      CU_ASSERT (reported >= RUN_MS / REPORT_MS / 4 - 2 && reported <= RUN_MS / REPORT_MS / 4 + 1);
       CU_ASSERT_EQUAL (longest_ms, REPORT_MS);
     }
 }
 
 /* The ranks take turns, so that each report time brings as many. */
 static void
-test_ranks_take_turns (void)
+test_ranks_report_picks_in_rotation (void)
 {
   enum
   {
-    EVERY = 4,
+    INTERVAL = 4,
     TIMES = 40,
   };
-  bt_picks_turn_t turns[EVERY] = { { false } };
+  bt_picks_schedule_t schedules[INTERVAL] = { { false } };
 
-  for (int32_t rank = 0; rank < EVERY; rank++)
-    bt_want_picks (&turns[rank], true, EVERY);
+  for (int32_t rank = 0; rank < INTERVAL; rank++)
+    bt_request_picks (&schedules[rank], true, INTERVAL);
   for (int32_t time = 1; time <= TIMES; time++)
     {
-      int32_t told = 0;
+      int32_t reported = 0;
 
-      for (int32_t rank = 0; rank < EVERY; rank++)
-        if (bt_are_picks_due (&turns[rank], (int64_t)time * REPORT_MS))
-          told += bt_take_picks_turn (&turns[rank], rank, REPORT_MS, (int64_t)time * REPORT_MS);
-      if (time > EVERY + 2)
-        CU_ASSERT_EQUAL (told, 1);
+      for (int32_t rank = 0; rank < INTERVAL; rank++)
+        if (bt_are_picks_due (&schedules[rank], (int64_t)time * REPORT_MS))
+          reported += bt_advance_picks_schedule (&schedules[rank], rank, REPORT_MS,
+                                                 (int64_t)time * REPORT_MS);
+      if (time > INTERVAL + 2)
+        CU_ASSERT_EQUAL (reported, 1);
     }
 }
 
 static void
-test_no_picks_unless_wanted (void)
+test_no_picks_unless_requested (void)
 {
-  bt_picks_turn_t turn = { false };
+  bt_picks_schedule_t schedule = { false };
 
-  CU_ASSERT_FALSE (bt_are_picks_due (&turn, RUN_MS));
-  bt_want_picks (&turn, true, 2);
-  CU_ASSERT_TRUE (bt_are_picks_due (&turn, RUN_MS));
-  bt_want_picks (&turn, false, 2);
-  CU_ASSERT_FALSE (bt_are_picks_due (&turn, RUN_MS));
+  CU_ASSERT_FALSE (bt_are_picks_due (&schedule, RUN_MS));
+  bt_request_picks (&schedule, true, 2);
+  CU_ASSERT_TRUE (bt_are_picks_due (&schedule, RUN_MS));
+  bt_request_picks (&schedule, false, 2);
+  CU_ASSERT_FALSE (bt_are_picks_due (&schedule, RUN_MS));
 }
 
 int
@@ -104,10 +105,10 @@
 
   CU_initialize_registry ();
   suite = CU_add_suite ("turns of picks", NULL, NULL);
-  CU_ADD_TEST (suite, test_each_report_of_a_small_group);
-  CU_ADD_TEST (suite, test_some_reports_of_a_large_group);
-  CU_ADD_TEST (suite, test_ranks_take_turns);
-  CU_ADD_TEST (suite, test_no_picks_unless_wanted);
+  CU_ADD_TEST (suite, test_every_report_of_a_small_group_carries_picks);
+  CU_ADD_TEST (suite, test_some_reports_of_a_large_group_carry_picks);
+  CU_ADD_TEST (suite, test_ranks_report_picks_in_rotation);
+  CU_ADD_TEST (suite, test_no_picks_unless_requested);
   CU_basic_set_mode (CU_BRM_VERBOSE);
   CU_basic_run_tests ();
   failed = CU_get_number_of_failures ();
--- a/test/agent/test_side.c
+++ b/test/agent/test_side.c
@@ -48,8 +48,8 @@
 static engine_t engine;
 static leader_t leader;
 static bt_standin_t *standin;
-static bt_side_t *side;
-static pthread_t side_thread;
+static bt_sidecar_t *sidecar;
+static pthread_t sidecar_thread;
 static bt_link_loop_t *loop;
 static bt_link_t *entry_link;
 static uint64_t last_id;
@@ -84,14 +84,14 @@
 }
 
 static void
-take_up (bt_link_handler_t *handler, bt_link_t *link)
+on_up (bt_link_handler_t *handler, bt_link_t *link)
 {
   (void)link;
   atomic_store (&((leader_t *)handler)->up, 1);
 }
 
 static void
-take_frame (bt_link_handler_t *handler, bt_link_t *link, const bt_frame_t *frame)
+on_frame (bt_link_handler_t *handler, bt_link_t *link, const bt_frame_t *frame)
 {
   leader_t *self = (leader_t *)handler;
 
@@ -106,14 +106,14 @@
 }
 
 static void
-take_down (bt_link_handler_t *handler, bt_link_t *link)
+on_down (bt_link_handler_t *handler, bt_link_t *link)
 {
   (void)link;
   atomic_store (&((leader_t *)handler)->up, 0);
 }
 
 static void
-send_beat (bt_link_handler_t *handler, bt_link_t *link)
+on_beat (bt_link_handler_t *handler, bt_link_t *link)
 {
   Bilberry__Heartbeat beat = BILBERRY__HEARTBEAT__INIT;
   bt_frame_t frame = BILBERRY__FRAME__INIT;
@@ -124,12 +124,12 @@
   bt_send_frame (ctx, link, &frame);
 }
 
-static const bt_link_handler_vtable_t vtable = { take_up, take_frame, take_down, send_beat };
+static const bt_link_handler_vtable_t vtable = { on_up, on_frame, on_down, on_beat };
 
 static void *
-run_side (void *data)
+run_sidecar (void *data)
 {
-  bt_run_side (data);
+  bt_run_sidecar (data);
   return NULL;
 }
 
@@ -191,16 +191,16 @@
 {
   static char listen[BT_ADDRESS_BYTES];
   static char address[BT_ADDRESS_BYTES];
-  static bt_side_settings_t settings = { .listen = listen,
-                                         .engine = address,
-                                         .failure_domain = "a",
-                                         .secret = "secret",
-                                         .report_ms = REPORT_MS,
-                                         .others_ms = REPORT_MS,
-                                         .call_ms = 2000,
-                                         .beat_ms = 100,
-                                         .link_idle_ms = 10000,
-                                         .max_links = 4 };
+  static bt_sidecar_settings_t settings = { .listen = listen,
+                                            .engine = address,
+                                            .failure_domain = "a",
+                                            .secret = "secret",
+                                            .report_ms = REPORT_MS,
+                                            .others_ms = REPORT_MS,
+                                            .call_ms = 2000,
+                                            .beat_ms = 100,
+                                            .link_idle_ms = 10000,
+                                            .max_links = 4 };
   bt_standin_routes_t routes = { &engine, answer_call, NULL };
   bt_error_t error = { 0 };
 
@@ -209,8 +209,8 @@
   snprintf (address, sizeof address, "127.0.0.1:%d", bt_get_standin_port (standin));
   snprintf (listen, sizeof listen, "127.0.0.1:%d", find_port ());
   atomic_store (&engine.born, 100);
-  side = bt_new_side (ctx, bt_get_engine_platform (), &settings, &error);
-  if (side == NULL || pthread_create (&side_thread, NULL, run_side, side) != 0)
+  sidecar = bt_new_sidecar (ctx, bt_get_engine_platform (), &settings, &error);
+  if (sidecar == NULL || pthread_create (&sidecar_thread, NULL, run_sidecar, sidecar) != 0)
     return 1;
   return dial (listen) ? 0 : 1;
 }
@@ -220,9 +220,9 @@
 {
   bt_drop_link (ctx, entry_link);
   bt_drop_link_loop (ctx, loop);
-  bt_stop_side (side);
-  pthread_join (side_thread, NULL);
-  bt_drop_side (ctx, side);
+  bt_stop_sidecar (sidecar);
+  pthread_join (sidecar_thread, NULL);
+  bt_drop_sidecar (ctx, sidecar);
   bt_stop_standin (standin);
   bt_drop_context (ctx);
   return 0;
@@ -251,7 +251,7 @@
 }
 
 static void
-test_order_for_this_start_is_carried_out (void)
+test_order_for_the_current_start_is_executed (void)
 {
   CU_ASSERT_TRUE (wait_for (&leader.reported, 100));
   CU_ASSERT_EQUAL (order (100), BT_ORDER_DONE);
@@ -265,7 +265,7 @@
  * orders by what the start before had said. The engine gets nothing of it, and the result tells the
  * leader of the new start. */
 static void
-test_order_for_the_start_before_is_refused (void)
+test_order_for_an_earlier_start_is_refused (void)
 {
   int orders = atomic_load (&engine.orders);
 
@@ -281,7 +281,7 @@
 /* The engine is away for a moment. It answers again, and an order comes before the agent has read
  * how it stands: it may be another start by now, so it is asked first. */
 static void
-test_engine_that_was_lost_is_asked_first (void)
+test_engine_is_queried_after_it_was_lost (void)
 {
   int orders = atomic_load (&engine.orders);
   int calls = atomic_load (&engine.refused_calls);
@@ -305,9 +305,9 @@
 
   CU_initialize_registry ();
   suite = CU_add_suite ("side", start_suite, end_suite);
-  CU_ADD_TEST (suite, test_order_for_this_start_is_carried_out);
-  CU_ADD_TEST (suite, test_order_for_the_start_before_is_refused);
-  CU_ADD_TEST (suite, test_engine_that_was_lost_is_asked_first);
+  CU_ADD_TEST (suite, test_order_for_the_current_start_is_executed);
+  CU_ADD_TEST (suite, test_order_for_an_earlier_start_is_refused);
+  CU_ADD_TEST (suite, test_engine_is_queried_after_it_was_lost);
   CU_basic_set_mode (CU_BRM_VERBOSE);
   CU_basic_run_tests ();
   failures = CU_get_number_of_failures ();
--- a/test/agent/test_told_picks.c
+++ b/test/agent/test_told_picks.c
@@ -9,7 +9,7 @@
 };
 
 static bt_context_t *ctx;
-static bt_told_picks_t told;
+static bt_reported_picks_t reported;
 static uint32_t deltas[EXPERTS];
 
 static void
@@ -19,7 +19,7 @@
   bt_engine_picks_t picks = { started_ms, epoch, counts, EXPERTS };
 
   memset (deltas, 0xff, sizeof deltas);
-  bt_count_new_picks (ctx, &told, &picks, deltas);
+  bt_count_new_picks (ctx, &reported, &picks, deltas);
 }
 
 static void
@@ -31,43 +31,43 @@
 }
 
 static void
-test_differences_are_told (void)
+test_differences_are_reported (void)
 {
   count (100, 1, 5, 6, 7);
   expect (0, 0, 0);
   count (100, 1, 6, 6, 9);
   expect (1, 0, 2);
-  bt_clear_told_picks (ctx, &told);
+  bt_clear_reported_picks (ctx, &reported);
 }
 
 /* An engine starts again under its id and soon has more picks of some experts than before. The
  * differences would be a demand that never was, and experts would be moved for it. */
 static void
-test_new_start_counts_anew (void)
+test_restart_resets_counts (void)
 {
   count (100, 1, 5, 6, 7);
   count (900, 1, 50, 60, 70);
   expect (0, 0, 0);
   count (900, 1, 51, 60, 72);
   expect (1, 0, 2);
-  bt_clear_told_picks (ctx, &told);
+  bt_clear_reported_picks (ctx, &reported);
 }
 
 /* An engine of older software does not say when it started. One count that went down tells that it
  * did, and what the others show is no difference either. */
 static void
-test_count_that_went_down_tells_of_a_start (void)
+test_lower_count_is_a_restart (void)
 {
   count (0, 1, 5, 6, 7);
   count (0, 1, 50, 2, 70);
   expect (0, 0, 0);
   count (0, 1, 50, 3, 71);
   expect (0, 1, 1);
-  bt_clear_told_picks (ctx, &told);
+  bt_clear_reported_picks (ctx, &reported);
 }
 
 static void
-test_new_epoch_and_new_size_count_anew (void)
+test_new_epoch_or_size_resets_counts (void)
 {
   int64_t counts[] = { 9, 9 };
   bt_engine_picks_t picks = { 100, 2, counts, 2 };
@@ -75,11 +75,11 @@
   count (100, 1, 5, 6, 7);
   count (100, 2, 6, 7, 8);
   expect (0, 0, 0);
-  bt_count_new_picks (ctx, &told, &picks, deltas);
+  bt_count_new_picks (ctx, &reported, &picks, deltas);
   CU_ASSERT_EQUAL (deltas[0] + deltas[1], 0);
   count (100, 2, 6, 7, 8);
   expect (0, 0, 0);
-  bt_clear_told_picks (ctx, &told);
+  bt_clear_reported_picks (ctx, &reported);
 }
 
 int
@@ -91,10 +91,10 @@
   ctx = bt_new_context ();
   CU_initialize_registry ();
   suite = CU_add_suite ("told_picks", NULL, NULL);
-  CU_ADD_TEST (suite, test_differences_are_told);
-  CU_ADD_TEST (suite, test_new_start_counts_anew);
-  CU_ADD_TEST (suite, test_count_that_went_down_tells_of_a_start);
-  CU_ADD_TEST (suite, test_new_epoch_and_new_size_count_anew);
+  CU_ADD_TEST (suite, test_differences_are_reported);
+  CU_ADD_TEST (suite, test_restart_resets_counts);
+  CU_ADD_TEST (suite, test_lower_count_is_a_restart);
+  CU_ADD_TEST (suite, test_new_epoch_or_size_resets_counts);
   CU_basic_set_mode (CU_BRM_VERBOSE);
   CU_basic_run_tests ();
   failures = CU_get_number_of_failures ();
--- a/test/platform/test_asker.c
+++ b/test/platform/test_asker.c
@@ -14,7 +14,7 @@
 /* A caller that says where it is gets the instances near it; anything else must not be taken for a
  * place. */
 static void
-test_domain_of_a_caller (void)
+test_failure_domain_of_a_caller (void)
 {
   check_domain ("/v1/resolve?name=shop.example&region=north&zone=hall-1", "hall-1");
   check_domain ("/v1/resolve?zone=hall-2&name=shop.example", "hall-2");
@@ -35,7 +35,7 @@
 
   CU_initialize_registry ();
   suite = CU_add_suite ("asker", NULL, NULL);
-  CU_ADD_TEST (suite, test_domain_of_a_caller);
+  CU_ADD_TEST (suite, test_failure_domain_of_a_caller);
   CU_basic_set_mode (CU_BRM_VERBOSE);
   CU_basic_run_tests ();
   failed = CU_get_number_of_failures ();
--- a/test/platform/test_endpoints.c
+++ b/test/platform/test_endpoints.c
@@ -9,11 +9,11 @@
 {
   TEXT_BYTES = 1024,
   FUZZ_SEEDS = 20000,
-  MOST_CHANGES = 4,
+  MAX_CHANGES = 4,
   BYTE_VALUES = 256,
 };
 
-static const char *const good =
+static const char *const valid_entry =
     "{\"service\":\"svc\",\"address\":\"10.1.0.40:8227\",\"zone\":\"hall\",\"version\":\"v1\","
     "\"slots\":12,\"state\":\"ready\",\"cold_left_ms\":0,\"stage\":\"unified\","
     "\"models\":[{\"name\":\"m\",\"version\":1,\"adapters\":[]}],\"sequence\":4,"
@@ -37,33 +37,34 @@
 
 /* Reads the good entry with one part of it changed. */
 static bool
-read_changed (const char *part, const char *into)
+read_changed (const char *part, const char *replacement)
 {
   char text[TEXT_BYTES];
-  const char *at = strstr (good, part);
+  const char *at = strstr (valid_entry, part);
 
   CU_ASSERT_PTR_NOT_NULL_FATAL (at);
-  snprintf (text, sizeof text, "%.*s%s%s", (int)(at - good), good, into, at + strlen (part));
+  snprintf (text, sizeof text, "%.*s%s%s", (int)(at - valid_entry), valid_entry, replacement,
+            at + strlen (part));
   return read_text (text);
 }
 
 /* Expects an entry to name no endpoint, and the log's line to name its key and the field. */
 static void
-expect_refused (const char *part, const char *into, const char *field)
+expect_refused (const char *part, const char *replacement, const char *field)
 {
-  bool refused = !read_changed (part, into);
+  bool refused = !read_changed (part, replacement);
 
   if (!refused)
-    printf ("\ntaken: %s\n", into);
+    printf ("\ntaken: %s\n", replacement);
   CU_ASSERT_TRUE (refused);
   CU_ASSERT_PTR_NOT_NULL (strstr (error.message, "servers/i-1"));
   CU_ASSERT_PTR_NOT_NULL (strstr (error.message, field));
 }
 
 static void
-test_good_entry_is_read (void)
+test_valid_entry_is_read (void)
 {
-  CU_ASSERT_TRUE (read_text (good));
+  CU_ASSERT_TRUE (read_text (valid_entry));
   CU_ASSERT_STRING_EQUAL (endpoint.id, "i-1");
   CU_ASSERT_STRING_EQUAL (endpoint.app, "svc");
   CU_ASSERT_STRING_EQUAL (endpoint.address, "10.1.0.40:8227");
@@ -77,7 +78,7 @@
 
 /* A runner of older software does not say when it started. */
 static void
-test_entry_without_a_start_is_read (void)
+test_entry_without_start_time_is_read (void)
 {
   CU_ASSERT_TRUE (read_changed (",\"born\":1764720000123", ""));
   CU_ASSERT_EQUAL (endpoint.started_ms, 0);
@@ -86,7 +87,7 @@
 /* Another writer left entries in which a field is missing. Each of them would name a runner that is
  * not there, or one without a slot. */
 static void
-test_missing_field_names_no_endpoint (void)
+test_missing_field_is_refused (void)
 {
   expect_refused ("\"service\":\"svc\",", "", "service");
   expect_refused ("\"address\":\"10.1.0.40:8227\",", "", "address");
@@ -100,31 +101,32 @@
 
 /* A number that stands as a text was taken for zero before, an object for an empty text. */
 static void
-test_field_of_another_type_names_no_endpoint (void)
+test_field_of_wrong_type_is_refused (void)
 {
-  static const char *const others[] = { "null", "true", "[]",  "{}",    "[\"svc\"]",
-                                        "\"\"", "-1",   "0.5", "1e400", "{\"a\":1}" };
+  static const char *const invalid[] = { "null", "true", "[]",  "{}",    "[\"svc\"]",
+                                         "\"\"", "-1",   "0.5", "1e400", "{\"a\":1}" };
   static const char *const fields[][2] = {
     { "\"service\":\"svc\"", "service" }, { "\"address\":\"10.1.0.40:8227\"", "address" },
     { "\"zone\":\"hall\"", "zone" },      { "\"slots\":12", "slots" },
     { "\"state\":\"ready\"", "state" },   { "\"sequence\":4", "sequence" },
     { "\"born\":1764720000123", "born" }
   };
-  char into[TEXT_BYTES];
+  char replacement[TEXT_BYTES];
 
   for (size_t i = 0; i < sizeof fields / sizeof fields[0]; i++)
-    for (size_t j = 0; j < sizeof others / sizeof others[0]; j++)
+    for (size_t j = 0; j < sizeof invalid / sizeof invalid[0]; j++)
       {
-        snprintf (into, sizeof into, "\"%s\":%s", fields[i][1], others[j]);
+        snprintf (replacement, sizeof replacement, "\"%s\":%s", fields[i][1], invalid[j]);
         /* A number that is none at all makes the whole no JSON. */
-        expect_refused (fields[i][0], into, strcmp (others[j], "1e400") == 0 ? "" : fields[i][1]);
+        expect_refused (fields[i][0], replacement,
+                        strcmp (invalid[j], "1e400") == 0 ? "" : fields[i][1]);
       }
   expect_refused ("\"cold_left_ms\":0", "\"cold_left_ms\":\"0\"", "cold_left_ms");
   expect_refused ("\"version\":\"v1\"", "\"version\":1", "version");
 }
 
 static void
-test_value_out_of_bounds_names_no_endpoint (void)
+test_value_out_of_range_is_refused (void)
 {
   expect_refused ("\"slots\":12", "\"slots\":0", "slots");
   expect_refused ("\"slots\":12", "\"slots\":\"12\"", "slots");
@@ -142,47 +144,47 @@
 
 /* The address is dialled, and the agent's is made of it. */
 static void
-test_address_that_is_none_names_no_endpoint (void)
+test_invalid_address_is_refused (void)
 {
-  static const char *const others[] = { "10.1.0.40",
-                                        "10.1.0.40:",
-                                        ":8227",
-                                        "10.1.0.40:0",
-                                        "10.1.0.40:65536",
-                                        "10.1.0.40:-1",
-                                        "10.1.0.40:+80",
-                                        "10.1.0.40: 80",
-                                        "10.1.0:80",
-                                        "0.0.0.0:80",
-                                        "host.example:80",
-                                        "http://10.1.0.40:80",
-                                        "10.1.0.40:80/path",
-                                        "10.1.0.400:80",
-                                        "[::1]:80",
-                                        "10.1.0.40:8227:1",
-                                        "10.1.0.40:8227\\r\\nX: y",
-                                        "10.1.0.40:18446744073709551696",
-                                        "10.1.0.40:0000000000000000000000008227" };
+  static const char *const invalid[] = { "10.1.0.40",
+                                         "10.1.0.40:",
+                                         ":8227",
+                                         "10.1.0.40:0",
+                                         "10.1.0.40:65536",
+                                         "10.1.0.40:-1",
+                                         "10.1.0.40:+80",
+                                         "10.1.0.40: 80",
+                                         "10.1.0:80",
+                                         "0.0.0.0:80",
+                                         "host.example:80",
+                                         "http://10.1.0.40:80",
+                                         "10.1.0.40:80/path",
+                                         "10.1.0.400:80",
+                                         "[::1]:80",
+                                         "10.1.0.40:8227:1",
+                                         "10.1.0.40:8227\\r\\nX: y",
+                                         "10.1.0.40:18446744073709551696",
+                                         "10.1.0.40:0000000000000000000000008227" };
 
-  for (size_t i = 0; i < sizeof others / sizeof others[0]; i++)
-    expect_refused ("10.1.0.40:8227", others[i], "address");
+  for (size_t i = 0; i < sizeof invalid / sizeof invalid[0]; i++)
+    expect_refused ("10.1.0.40:8227", invalid[i], "address");
 }
 
 /* A name that is cut at its room is another's name; one with a line's end in it would add a header
  * to what is sent. */
 static void
-test_name_that_is_none_names_no_endpoint (void)
+test_invalid_name_is_refused (void)
 {
   char name[2 * BT_NAME_BYTES + 16] = "servers/";
   size_t prefix = strlen (name);
 
   memset (name + prefix, 'x', BT_NAME_BYTES);
-  CU_ASSERT_FALSE (read_bytes (name, good, strlen (good)));
+  CU_ASSERT_FALSE (read_bytes (name, valid_entry, strlen (valid_entry)));
   name[prefix + BT_NAME_BYTES - 1] = '\0';
-  CU_ASSERT_TRUE (read_bytes (name, good, strlen (good)));
-  CU_ASSERT_FALSE (read_bytes ("servers/", good, strlen (good)));
-  CU_ASSERT_FALSE (read_bytes ("servers/i 1", good, strlen (good)));
-  CU_ASSERT_FALSE (read_bytes ("servers/i-1\r\nHost: x", good, strlen (good)));
+  CU_ASSERT_TRUE (read_bytes (name, valid_entry, strlen (valid_entry)));
+  CU_ASSERT_FALSE (read_bytes ("servers/", valid_entry, strlen (valid_entry)));
+  CU_ASSERT_FALSE (read_bytes ("servers/i 1", valid_entry, strlen (valid_entry)));
+  CU_ASSERT_FALSE (read_bytes ("servers/i-1\r\nHost: x", valid_entry, strlen (valid_entry)));
   memset (name, 'x', sizeof name - 1);
   name[BT_NAME_BYTES] = '\0';
   expect_refused ("svc", name, "service");
@@ -191,23 +193,23 @@
 }
 
 static void
-test_bytes_that_are_no_entry_name_no_endpoint (void)
+test_malformed_entry_is_refused (void)
 {
-  static const char *const others[] = { "",     " ",          "null", "true",
-                                        "12",   "\"ready\"",  "[]",   "{}",
-                                        "{",    "{\"a\":1}x", "\xff", "{\"\xc3(\":1}",
-                                        "[[[[", "\\x00",      "nan",  "}" };
+  static const char *const invalid[] = { "",     " ",          "null", "true",
+                                         "12",   "\"ready\"",  "[]",   "{}",
+                                         "{",    "{\"a\":1}x", "\xff", "{\"\xc3(\":1}",
+                                         "[[[[", "\\x00",      "nan",  "}" };
   char text[TEXT_BYTES];
-  size_t bytes = strlen (good);
+  size_t bytes = strlen (valid_entry);
 
-  for (size_t i = 0; i < sizeof others / sizeof others[0]; i++)
+  for (size_t i = 0; i < sizeof invalid / sizeof invalid[0]; i++)
     {
-      CU_ASSERT_FALSE (read_text (others[i]));
+      CU_ASSERT_FALSE (read_text (invalid[i]));
       CU_ASSERT_PTR_NOT_NULL (strstr (error.message, "servers/i-1"));
       CU_ASSERT_PTR_NULL (strchr (error.message, '\xff'));
     }
   /* A zero byte behind the entry, within it, and within a name. */
-  memcpy (text, good, bytes);
+  memcpy (text, valid_entry, bytes);
   text[bytes] = '\0';
   CU_ASSERT_FALSE (read_bytes ("servers/i-1", text, bytes + 1));
   *strstr (text, "svc") = '\0';
@@ -216,13 +218,13 @@
   /* Which of two would hold? */
   expect_refused ("\"slots\":12", "\"slots\":12,\"slots\":13", "");
   for (size_t i = 0; i < bytes; i++)
-    CU_ASSERT_FALSE (read_bytes ("servers/i-1", good, i));
+    CU_ASSERT_FALSE (read_bytes ("servers/i-1", valid_entry, i));
 }
 
 static size_t
 change_bytes (bt_random_t *random, char *text, size_t bytes)
 {
-  int32_t changes = 1 + (int32_t)bt_random_below (random, MOST_CHANGES);
+  int32_t changes = 1 + (int32_t)bt_random_below (random, MAX_CHANGES);
 
   for (int32_t i = 0; i < changes && bytes > 1; i++)
     {
@@ -254,24 +256,24 @@
 static void
 test_changed_bytes_are_refused_or_usable (void)
 {
-  int32_t taken = 0;
+  int32_t accepted = 0;
 
   for (uint64_t seed = 1; seed <= FUZZ_SEEDS; seed++)
     {
       char text[TEXT_BYTES];
-      size_t bytes = strlen (good);
+      size_t bytes = strlen (valid_entry);
       bt_random_t random;
       bool usable;
 
       bt_seed_random (&random, seed);
-      snprintf (text, sizeof text, "%s", good);
+      snprintf (text, sizeof text, "%s", valid_entry);
       bytes = change_bytes (&random, text, bytes);
       if (!read_bytes ("servers/i-1", text, bytes))
         {
           CU_ASSERT (error.message[0] != '\0');
           continue;
         }
-      taken++;
+      accepted++;
       usable = endpoint.slots >= 1 && endpoint.slots <= 65536 && endpoint.app[0] != '\0'
                && endpoint.address[0] != '\0' && strlen (endpoint.address) < BT_ADDRESS_BYTES
                && endpoint.started_ms >= 0 && strpbrk (endpoint.app, "\r\n ") == NULL;
@@ -279,8 +281,8 @@
         printf ("\nseed %llu: %.*s\n", (unsigned long long)seed, (int)bytes, text);
       CU_ASSERT_TRUE (usable);
     }
-  CU_ASSERT (taken > 0);
-  CU_ASSERT (taken < FUZZ_SEEDS);
+  CU_ASSERT (accepted > 0);
+  CU_ASSERT (accepted < FUZZ_SEEDS);
 }
 
 int
@@ -291,14 +293,14 @@
 
   CU_initialize_registry ();
   suite = CU_add_suite ("endpoints", NULL, NULL);
-  CU_ADD_TEST (suite, test_good_entry_is_read);
-  CU_ADD_TEST (suite, test_entry_without_a_start_is_read);
-  CU_ADD_TEST (suite, test_missing_field_names_no_endpoint);
-  CU_ADD_TEST (suite, test_field_of_another_type_names_no_endpoint);
-  CU_ADD_TEST (suite, test_value_out_of_bounds_names_no_endpoint);
-  CU_ADD_TEST (suite, test_address_that_is_none_names_no_endpoint);
-  CU_ADD_TEST (suite, test_name_that_is_none_names_no_endpoint);
-  CU_ADD_TEST (suite, test_bytes_that_are_no_entry_name_no_endpoint);
+  CU_ADD_TEST (suite, test_valid_entry_is_read);
+  CU_ADD_TEST (suite, test_entry_without_start_time_is_read);
+  CU_ADD_TEST (suite, test_missing_field_is_refused);
+  CU_ADD_TEST (suite, test_field_of_wrong_type_is_refused);
+  CU_ADD_TEST (suite, test_value_out_of_range_is_refused);
+  CU_ADD_TEST (suite, test_invalid_address_is_refused);
+  CU_ADD_TEST (suite, test_invalid_name_is_refused);
+  CU_ADD_TEST (suite, test_malformed_entry_is_refused);
   CU_ADD_TEST (suite, test_changed_bytes_are_refused_or_usable);
   CU_basic_set_mode (CU_BRM_VERBOSE);
   CU_basic_run_tests ();
--- a/test/platform/test_engine.c
+++ b/test/platform/test_engine.c
@@ -32,12 +32,12 @@
 
 /* Writes a text with one part of it changed. */
 static void
-change (char text[TEXT_BYTES], const char *good, const char *part, const char *into)
+change (char text[TEXT_BYTES], const char *good, const char *part, const char *replacement)
 {
   const char *at = strstr (good, part);
 
   CU_ASSERT_PTR_NOT_NULL_FATAL (at);
-  snprintf (text, TEXT_BYTES, "%.*s%s%s", (int)(at - good), good, into, at + strlen (part));
+  snprintf (text, TEXT_BYTES, "%.*s%s%s", (int)(at - good), good, replacement, at + strlen (part));
 }
 
 static bool
@@ -110,7 +110,7 @@
 /* A count of orders that stands as a text was taken for zero, the map in use for the first one: a
  * leader orders by them. Such a report tells nothing, and the log names the field. */
 static void
-test_field_of_another_type_is_not_zero (void)
+test_field_of_wrong_type_is_refused (void)
 {
   static const char *const cases[][3] = {
     { "\"sequence\":5", "\"sequence\":\"5\"", "sequence" },
@@ -145,7 +145,7 @@
 }
 
 static void
-test_counts_and_lists_of_another_type_are_not_zero (void)
+test_counts_and_lists_of_wrong_type_are_refused (void)
 {
   static const char *const counts[] = { "[1,\"2\",3]", "[1,null]", "[-1]", "[1.5]", "[[1]]", "7" };
   static const char *const experts[] = { "[[0,\"2\"]]", "[[0],7]",  "[[-1]]", "[[65536]]",
@@ -208,8 +208,8 @@
   suite = CU_add_suite ("engine", NULL, NULL);
   CU_ADD_TEST (suite, test_report_is_read);
   CU_ADD_TEST (suite, test_report_without_a_group_is_read);
-  CU_ADD_TEST (suite, test_field_of_another_type_is_not_zero);
-  CU_ADD_TEST (suite, test_counts_and_lists_of_another_type_are_not_zero);
+  CU_ADD_TEST (suite, test_field_of_wrong_type_is_refused);
+  CU_ADD_TEST (suite, test_counts_and_lists_of_wrong_type_are_refused);
   CU_ADD_TEST (suite, test_changed_bytes_are_refused_or_usable);
   CU_basic_set_mode (CU_BRM_VERBOSE);
   CU_basic_run_tests ();
--- a/test/platform/test_names.c
+++ b/test/platform/test_names.c
@@ -7,14 +7,14 @@
 
 enum
 {
-  MOST_NAMES = 512,
+  MAX_NAMES = 512,
   NAME_BYTES = 96,
   PATH_BYTES = 1024,
 };
 
-static char names[MOST_NAMES][NAME_BYTES];
+static char names[MAX_NAMES][NAME_BYTES];
 static int name_count;
-static int found;
+static int use_count;
 
 static char *
 read_file (const char *path)
@@ -50,11 +50,11 @@
 }
 
 static void
-take_name (const char *start, size_t bytes)
+collect_name (const char *start, size_t bytes)
 {
   char name[NAME_BYTES];
 
-  if (bytes < 4 || bytes >= NAME_BYTES || name_count == MOST_NAMES)
+  if (bytes < 4 || bytes >= NAME_BYTES || name_count == MAX_NAMES)
     return;
   memcpy (name, start, bytes);
   name[bytes] = '\0';
@@ -64,7 +64,7 @@
 
 /* Takes the string literals of one source file of the adapter. */
 static void
-take_names (const char *path)
+collect_names (const char *path)
 {
   char *text = read_file (path);
   char *line = text;
@@ -80,7 +80,7 @@
 
           if (close == NULL)
             break;
-          take_name (quote + 1, (size_t)(close - quote) - 1);
+          collect_name (quote + 1, (size_t)(close - quote) - 1);
           quote = strchr (close + 1, '"');
         }
       line = end == NULL ? NULL : end + 1;
@@ -89,7 +89,7 @@
 }
 
 static void
-find_names (const char *path)
+find_uses (const char *path)
 {
   char *text = read_file (path);
 
@@ -101,12 +101,12 @@
       if (strstr (text, quoted) == NULL)
         continue;
       printf ("%s uses the platform's name %s\n", path, quoted);
-      found++;
+      use_count++;
     }
   if (text != NULL && strstr (text, "Bilberrytray-") != NULL)
     {
       printf ("%s uses a header of the platform\n", path);
-      found++;
+      use_count++;
     }
   free (text);
 }
@@ -141,11 +141,11 @@
 static void
 test_only_the_adapter_knows_the_platforms_names (void)
 {
-  walk ("platform", take_names);
+  walk ("platform", collect_names);
   CU_ASSERT (name_count > 40);
-  walk ("source", find_names);
-  walk ("include", find_names);
-  CU_ASSERT_EQUAL (found, 0);
+  walk ("source", find_uses);
+  walk ("include", find_uses);
+  CU_ASSERT_EQUAL (use_count, 0);
 }
 
 int
