--- a/include/bilberrytray/agent/engine_platform.h
+++ b/include/bilberrytray/agent/engine_platform.h
@@ -2,30 +2,30 @@
 #define BILBERRYTRAY_AGENT_ENGINE_PLATFORM_H
 
 /** @file
- * What an agent asks of the platform about the engine beside it: paths and formats. An
- * implementation only translates.
+ * The interface between an agent and the platform-specific API of the engine beside it: paths and
+ * formats. An implementation only translates.
  */
 
 #include "bilberrytray/base/error.h"
 #include "bilberrytray/maps/expert_map.h"
 #include "bilberrytray/wire/engine_messages.h"
 
-/** How often an engine's requests chose each expert since the engine started. */
+/** How often each expert was selected since the engine started. */
 typedef struct bt_engine_picks
 {
   int64_t started_ms; /**< When the engine started, in Unix time; 0: it does not say. */
   int64_t epoch;
-  int64_t *counts; /**< By set, then expert; freed with bt_free. */
+  int64_t *counts; /**< Ordered by set, then expert; free it with bt_free. */
   int32_t count;
 } bt_engine_picks_t;
 
-/** The experts that an engine holds in the map in use. */
+/** The experts that an engine holds under the map in use. */
 typedef struct bt_engine_places
 {
   int64_t started_ms; /**< When the engine started, in Unix time; 0: it does not say. */
   int64_t epoch;
   int64_t version;
-  uint32_t *places; /**< set << 16 | expert; freed with bt_free. */
+  uint32_t *places; /**< Each entry is set << 16 | expert; free it with bt_free. */
   int32_t count;
 } bt_engine_places_t;
 
@@ -53,14 +53,15 @@
                        bt_engine_places_t *places,
                        bt_error_t *error);
 
-  /** The body of an order; @p map is that of a PREPARE, else NULL. Freed with free. */
+  /** Returns the body of an order; @p map is set only for a PREPARE order, else NULL. The caller
+   * frees the result with free. */
   char *(*write_order) (const bt_group_order_t *order, const bt_expert_map_t *map);
 
-  /** What the status of an order's answer says; 0: there was none. */
+  /** Maps the HTTP status of the answer to an order to a result; 0 means that no answer arrived. */
   bt_order_result_t (*read_order_status) (int32_t status);
 } bt_engine_platform_t;
 
-/** The engines of the users' platform. */
+/** Returns the implementation for the engines of the users' platform. */
 const bt_engine_platform_t *bt_get_engine_platform (void);
 
 #endif
--- a/source/agent/agent.c
+++ b/source/agent/agent.c
@@ -269,8 +269,9 @@
   int32_t cancelled;
 
   fill_upstream_options (agent, &options);
-  /* An engine goes on with the runs of an agent that died. This agent does not know their keys, and
-   * their callers were told "unknown"; left alone they would hold slots that it believes free. */
+  /* An engine continues the runs of an agent that died. This agent does not know their keys, and
+   * their callers were answered with "unknown". Unless cancelled, these runs would occupy slots
+   * that this agent considers free. */
   if (!bt_cancel_orphaned_runs (agent->ctx, &options, &cancelled, &clear_error))
     bt_log (agent->ctx, BT_LOG_WARNING, BT_PART_ENGINE, "Can't list earlier runs: %s",
             clear_error.message);
--- a/source/agent/agent.h
+++ b/source/agent/agent.h
@@ -2,7 +2,8 @@
 #define BILBERRYTRAY_SOURCE_AGENT_AGENT_H
 
 /** @file
- * The process beside one endpoint: the last gate before it.
+ * The agent process, which runs beside one endpoint and is the last component that a request passes
+ * before it.
  */
 
 #include <stdbool.h>
@@ -13,7 +14,7 @@
 
 typedef struct bt_agent bt_agent_t;
 
-/** All settings of bilberry-agent; see its --help for what each means. */
+/** All settings of bilberry-agent; its --help describes each. */
 typedef struct bt_agent_settings
 {
   const char *instance;
@@ -52,17 +53,18 @@
   int64_t map_give_up_ms;
 } bt_agent_settings_t;
 
-/** Starts links, upstream and page. NULL with @p error when one can't start. */
+/** Starts the links, the upstream and the operators' page. Returns NULL and sets @p error when one
+ * of them can't start. */
 bt_agent_t *
 bt_new_agent (bt_context_t *ctx, const bt_agent_settings_t *settings, bt_error_t *error);
 
-/** The port on which links are accepted. */
+/** Returns the port on which links are accepted. */
 int32_t bt_get_agent_port (const bt_agent_t *agent);
 
-/** Takes no new work from now on, and tells every link. */
+/** Stops accepting new work and announces this on every link. */
 void bt_drain_agent (bt_context_t *ctx, bt_agent_t *agent);
 
-/** True when nothing runs any more and no duty of this agent is left. */
+/** Returns true when no run is left and the arbiter no longer has to answer for any ticket. */
 bool bt_is_agent_idle (bt_context_t *ctx, bt_agent_t *agent);
 
 /** Stops all threads and frees the agent. NULL is accepted. */
--- a/source/agent/agent_private.h
+++ b/source/agent/agent_private.h
@@ -2,10 +2,9 @@
 #define BILBERRYTRAY_SOURCE_AGENT_AGENT_PRIVATE_H
 
 /** @file
- * What the parts of an agent share: its tables and their one lock.
- *
- * The arbiter decides which runs there are; the run queue decides when one gets a slot; the
- * upstream carries it out. The lock may be held while calling links or the upstream.
+ * State shared by the source files of the agent: its tables and the lock that guards them. The
+ * arbiter decides which runs exist, the run queue decides when a run gets a slot, and the upstream
+ * sends it to the endpoint. The lock may be held while calling links or the upstream.
  */
 
 #include <pthread.h>
@@ -18,17 +17,17 @@
 #include "map_agent.h"
 #include "upstream.h"
 
-/** One run that the arbiter started. */
+/** A run that the arbiter started. */
 typedef struct bt_agent_run
 {
-  uint64_t number; /**< The arbiter's. */
+  uint64_t number; /**< The arbiter's number of the run. */
   uint64_t total_bytes;
-  bt_upstream_run_t *pending; /**< Until it has a slot. */
-  int64_t started_ms;         /**< 0 while it waits. */
+  bt_upstream_run_t *pending; /**< The request until the run has a slot, then NULL. */
+  int64_t started_ms;         /**< 0 while it is queued. */
   struct bt_agent_run *next;
 } bt_agent_run_t;
 
-/** A link that is up. */
+/** An established link. */
 typedef struct bt_agent_link
 {
   bt_link_t *link;
@@ -37,7 +36,8 @@
 
 struct bt_agent
 {
-  bt_link_handler_t link_handler; /**< First, so that a handler is its agent. */
+  bt_link_handler_t
+      link_handler; /**< Must be the first member: handlers are cast to their agent. */
   bt_upstream_handler_t upstream_handler;
   bt_context_t *ctx;
   bt_agent_settings_t settings;
@@ -46,10 +46,10 @@
   bt_link_loop_t *link_loop;
   bt_upstream_t *upstream;
   bt_page_t *page;
-  bt_map_agent_t *map_agent; /**< NULL where the endpoint is no rank of a group. */
+  bt_map_agent_t *map_agent; /**< NULL when the endpoint is not a rank of a group. */
   int32_t port;
 
-  pthread_mutex_t lock; /**< Guards what stands below. */
+  pthread_mutex_t lock; /**< Guards the members below. */
   bool leaving;
   bt_arbiter_t *arbiter;
   bt_agent_link_t *links;
@@ -58,16 +58,16 @@
   bt_upstream_load_t endpoint_load;
 };
 
-/** The handler of what the endpoint does. */
+/** The callbacks for the endpoint's answers and load. */
 extern const bt_upstream_handler_vtable_t bt_agent_upstream_vtable;
 
-/** Does what the arbiter decided, and empties the list. @p frame is the dispatch that led to it, or
- * NULL. With the lock held. */
+/** Executes the arbiter's actions and empties the list. @p frame is the dispatch that caused them,
+ * or NULL. The lock must be held. */
 void bt_execute_arbiter_actions (bt_agent_t *agent,
                                  bt_arbiter_actions_t *actions,
                                  const Bilberry__Dispatch *frame);
 
-/** Starts or refuses the runs whose turn it is. With the lock held. */
+/** Starts or refuses the runs that the queue releases. The lock must be held. */
 void bt_start_queued_runs (bt_agent_t *agent);
 
 /** Frees all runs. */
--- a/source/agent/command_side.c
+++ b/source/agent/command_side.c
@@ -34,7 +34,7 @@
   { "max-links", BT_SETTING_INTEGER, FIELD (max_links), "256", 1, 10000, "Links at a time." },
 };
 
-/** What the thread that waits for signals needs. */
+/** Arguments of the signal thread. */
 typedef struct signal_waiter
 {
   bt_sidecar_t *sidecar;
--- a/source/agent/engine_client.h
+++ b/source/agent/engine_client.h
@@ -2,7 +2,7 @@
 #define BILBERRYTRAY_SOURCE_AGENT_ENGINE_CLIENT_H
 
 /** @file
- * Calls on the engine beside an agent, by HTTP on its own instance.
+ * HTTP client for the engine that runs beside an agent.
  */
 
 #include "bilberrytray/agent/engine_platform.h"
@@ -33,8 +33,8 @@
                             bt_engine_places_t *places,
                             bt_error_t *error);
 
-/** Gives an order to the engine at @p address, "IP:PORT", or with "" to its own. @p status is that
- * of the answer, 0 without one. */
+/** Sends an order to the engine at @p address, "IP:PORT", or to the engine of this client when @p
+ * address is "". @p status receives the HTTP status of the answer, 0 if none arrived. */
 bt_order_result_t bt_send_engine_order (bt_context_t *ctx,
                                         bt_engine_client_t *client,
                                         const char *address,
--- a/source/agent/map_agent.c
+++ b/source/agent/map_agent.c
@@ -29,17 +29,17 @@
   bt_kv_t *kv;
   pthread_t thread;
   bool started;
-  int32_t stopping; /* read while a call waits */
+  int32_t stopping; /* also read by a call in progress */
 
-  pthread_mutex_t lock; /* guards what stands below; links are called with it held */
+  pthread_mutex_t lock; /* guards the members below; links are called while it is held */
   bt_map_rank_t *rank;
   bt_map_actions_t actions;
-  bt_map_action_t call; /* for the engine, while calling is set */
+  bt_map_action_t call; /* the next call to the engine, valid while call_pending is set */
   bool call_pending;
   bool floor_wanted;
   bt_link_t **links;
   int32_t link_count;
-  uint64_t map_digest; /* of the bytes that came with the last order */
+  uint64_t map_digest; /* digest of the map received with the last order that carried one */
   bt_map_bytes_t map;
 };
 
@@ -54,7 +54,8 @@
                   1);
 }
 
-/* Reports go to every entry: the one that holds the lease knows its own orders' numbers. */
+/* Reports go to every entry. The one that holds the lease recognizes its own orders by their
+ * numbers. */
 static void
 send_action (bt_map_agent_t *agent, const bt_map_action_t *action)
 {
@@ -71,7 +72,7 @@
     }
 }
 
-/* With the lock held. */
+/* Executes the pending actions. The lock must be held. */
 static void
 execute_actions (bt_map_agent_t *agent)
 {
@@ -151,8 +152,8 @@
     }
 }
 
-/* Keeps the bytes that a map is staged or joined with. An order whose bytes are not the map that it
- * names is damaged, and not taken at all. */
+/* Stores the map of a STAGE or JOIN order. An order whose bytes do not match its digest is corrupt
+ * and is ignored. */
 static bool
 store_map (bt_map_agent_t *agent, const bt_map_order_t *order, const Bilberry__MapOrder *frame)
 {
@@ -227,7 +228,7 @@
   pthread_mutex_unlock (&agent->lock);
 }
 
-/* The newest controller's fencing number is the revision at which it took its lease. */
+/* The fencing number of the newest controller is the revision at which it took its lease. */
 static void
 read_fencing_floor (bt_map_agent_t *agent)
 {
@@ -248,7 +249,7 @@
   bt_drop_kv_range (agent->ctx, &range);
 }
 
-/* Loads are for planning only: one reading lost is one reading late. */
+/* Loads are used for planning only, so a failed reading just delays them until the next one. */
 static void
 report_loads (bt_map_agent_t *agent)
 {
@@ -265,7 +266,7 @@
   bt_free (agent->ctx, loads.tokens);
 }
 
-/* Copies the bytes that belong to the order under way. With the lock held. */
+/* Copies the map that belongs to the order being executed. The lock must be held. */
 static void
 copy_map (const bt_map_agent_t *agent, const bt_map_order_t *order, bt_map_bytes_t *map)
 {
@@ -324,7 +325,8 @@
   rank.rank = (int32_t)settings->rank;
   rank.incarnation = incarnation;
   rank.settle_ms = settings->call_ms + SETTLE_MARGIN_MS;
-  /* The thread gives up a call before the decisions do, so that none is with the engine then. */
+  /* The thread ends a call before bt_map_rank_t abandons it, so no call is in progress at the
+   * engine by then. */
   rank.call_limit_ms = settings->call_ms * 2;
   rank.ask_ms = settings->ask_ms;
   rank.give_up_ms = settings->give_up_ms;
--- a/source/agent/map_engine.c
+++ b/source/agent/map_engine.c
@@ -46,7 +46,8 @@
   bt_free (ctx, engine);
 }
 
-/* Numbers of 64 bits travel as hexadecimal text: JSON's are signed or inexact. */
+/* Unsigned 64-bit numbers are sent as hexadecimal text, because JSON numbers are signed or inexact.
+ */
 static uint64_t
 read_hex (const json_t *body, const char *name)
 {
@@ -80,7 +81,7 @@
   state->decided_apply = json_is_true (json_object_get (body, "decided_apply"));
 }
 
-/* Freed by the caller. */
+/* Encodes a map as hexadecimal text. The caller frees it with bt_free. */
 static char *
 write_hex (bt_context_t *ctx, const bt_map_bytes_t *map)
 {
--- a/source/agent/map_engine.h
+++ b/source/agent/map_engine.h
@@ -2,7 +2,7 @@
 #define BILBERRYTRAY_SOURCE_AGENT_MAP_ENGINE_H
 
 /** @file
- * Orders to one engine of a rank group, by HTTP: GET URL/state and POST URL/orders.
+ * HTTP client for one engine of a rank group: GET URL/state, GET URL/loads and POST URL/orders.
  */
 
 #include "bilberrytray/base/error.h"
@@ -11,8 +11,8 @@
 
 typedef struct bt_map_engine bt_map_engine_t;
 
-/** @p url is the rank's, such as "http://10.0.0.5:9000/ranks/3". No call takes longer than
- * @p limit_ms; @p cancelled, when set, ends it at once. */
+/** @p url is the URL of the rank's engine, such as "http://10.0.0.5:9000/ranks/3". Each call ends
+ * after @p timeout_ms, or at once when @p cancelled is set. */
 bt_map_engine_t *bt_new_map_engine (bt_context_t *ctx,
                                     const char *url,
                                     int64_t timeout_ms,
@@ -21,20 +21,20 @@
 /** NULL is accepted. */
 void bt_drop_map_engine (bt_context_t *ctx, bt_map_engine_t *engine);
 
-/** The tokens that experts of the rank were given since the last reading. */
+/** Tokens routed to the experts of the rank since the last reading. */
 typedef struct bt_map_loads
 {
   int32_t layers;
   int32_t experts;
-  uint32_t *tokens; /**< Layer by layer; free it with bt_free. */
+  uint32_t *tokens; /**< Ordered by layer, then expert; free it with bt_free. */
 } bt_map_loads_t;
 
-/** Reads GET URL/loads; false when the engine has none or did not answer. */
+/** Reads the loads. Returns false when the engine reports none or does not answer. */
 bool bt_read_map_loads (bt_context_t *ctx, bt_map_engine_t *engine, bt_map_loads_t *loads);
 
-/** Gives an order and reads the engine's state after it; a query only reads. @p map, the
- * bytes of the map that is staged or joined with, may be empty. False when no whole
- * answer came: the order may have taken effect. */
+/** Sends an order and reads the engine's state after it; a query only reads the state. @p map holds
+ * the bytes of the map for STAGE and JOIN and may be empty. Returns false when no complete answer
+ * arrived; the order may have taken effect. */
 bool bt_call_map_engine (bt_context_t *ctx,
                          bt_map_engine_t *engine,
                          const bt_map_order_t *order,
--- a/source/agent/messages.c
+++ b/source/agent/messages.c
@@ -184,7 +184,7 @@
   bt_send_frame (ctx, link, &frame);
 }
 
-/* The data of a head is the content type. */
+/* The data of this reply is the content type. */
 static void
 send_head (bt_context_t *ctx, bt_link_t *link, const bt_reply_t *reply)
 {
--- a/source/agent/runs.c
+++ b/source/agent/runs.c
@@ -55,7 +55,7 @@
   bt_execute_arbiter_actions (agent, &actions, NULL);
 }
 
-/* The endpoint has not seen this run, so its key stays open and may run elsewhere. */
+/* The endpoint has not received this run, so its key stays open and may run elsewhere. */
 static void
 refuse_run (bt_agent_t *agent, bt_agent_run_t *run, bt_reason_t reason, int64_t retry_after_ms)
 {
@@ -165,7 +165,7 @@
     bt_cancel_upstream_run (agent->ctx, agent->upstream, number);
 }
 
-/* A reply whose link is gone has nobody to go to; the entry asks again over the next link. */
+/* A reply whose link is down is discarded; the entry asks again over its next link. */
 static void
 send_reply (bt_agent_t *agent, const bt_reply_t *reply)
 {
@@ -189,7 +189,7 @@
       switch (action->kind)
         {
         case BT_ARBITER_START_RUN:
-          /* Only a dispatch has a run start, and then its frame is here. */
+          /* Only a dispatch starts a run, and then its frame is passed in. */
           if (frame != NULL)
             offer_run (agent, action->run, frame);
           break;
@@ -200,7 +200,7 @@
           send_reply (agent, &action->reply);
           break;
         case BT_ARBITER_RESUME_RUN:
-          break; /* The upstream resumes streams itself and never reports one as resumable. */
+          break; /* The upstream resumes streams itself and never reports a stream as resumable. */
         }
     }
   bt_free_arbiter_actions (agent->ctx, actions);
@@ -273,7 +273,7 @@
   run = find_run (agent, number);
   if (run != NULL)
     {
-      /* A run that failed says nothing about how long one takes: one that fails fast would make the
+      /* A failed run is not counted in the service time: runs that fail fast would make the
        * endpoint look fast. */
       bt_end_run (agent->queue,
                   result == BT_UPSTREAM_COMPLETE ? bt_now_ms (agent->ctx) - run->started_ms : 0);
