--- a/source/agent/agent.c
+++ b/source/agent/agent.c
@@ -273,8 +273,8 @@
    * their callers were answered with "unknown". Unless cancelled, these runs would occupy slots
    * that this agent considers free. */
   if (!bt_cancel_orphaned_runs (agent->ctx, &options, &cancelled, &clear_error))
-    bt_log (agent->ctx, BT_LOG_WARNING, BT_PART_ENGINE, "Can't list earlier runs: %s",
-            clear_error.message);
+    bt_log (agent->ctx, BT_LOG_WARNING, BT_PART_ENGINE,
+            "Can't cancel the runs of an earlier agent: %s", clear_error.message);
   else if (cancelled > 0)
     bt_log (agent->ctx, BT_LOG_INFO, BT_PART_ENGINE, "Cancelled %d runs of an earlier agent.",
             cancelled);
@@ -348,8 +348,9 @@
   for (bt_agent_link_t *at = agent->links; at != NULL; at = at->next)
     send_heartbeat_locked (agent, at->link);
   pthread_mutex_unlock (&agent->lock);
-  bt_log (ctx, BT_LOG_INFO, BT_PART_MAIN,
-          "Leaving: no new work is taken; keys are arbitrated until their tickets have expired.");
+  bt_log (
+      ctx, BT_LOG_INFO, BT_PART_MAIN,
+      "Draining: no new work is accepted; keys are arbitrated until their tickets have expired.");
 }
 
 bool
--- a/source/agent/command_side.c
+++ b/source/agent/command_side.c
@@ -23,15 +23,16 @@
   { "log-level", BT_SETTING_TEXT, FIELD (log_level), "info", 0, 0,
     "error, warning, info or debug." },
   { "report-ms", BT_SETTING_INTEGER, FIELD (report_ms), "100", 20, 60000,
-    "Between two reports to the entry instance that leads the engine's group, ms." },
+    "Interval of reports to the entry instance that leads the engine's group, ms." },
   { "others-ms", BT_SETTING_INTEGER, FIELD (others_ms), "300", 20, 60000,
-    "Between two reports to the other entry instances, ms." },
+    "Interval of reports to the other entry instances, ms." },
   { "call-ms", BT_SETTING_INTEGER, FIELD (call_ms), "60", 10, 60000,
-    "Limit of one call on the engine, ms." },
-  { "beat-ms", BT_SETTING_INTEGER, FIELD (beat_ms), "500", 10, 60000, "Between heartbeats, ms." },
+    "Time limit of one call to the engine, ms." },
+  { "beat-ms", BT_SETTING_INTEGER, FIELD (beat_ms), "500", 10, 60000,
+    "Interval of heartbeats, ms." },
   { "link-idle-ms", BT_SETTING_INTEGER, FIELD (link_idle_ms), "1600", 50, 600000,
     "A link without any frame is dead after this, ms." },
-  { "max-links", BT_SETTING_INTEGER, FIELD (max_links), "256", 1, 10000, "Links at a time." },
+  { "max-links", BT_SETTING_INTEGER, FIELD (max_links), "256", 1, 10000, "Maximum of links." },
 };
 
 /** Arguments of the signal thread. */
@@ -99,10 +100,9 @@
 {
   bt_sidecar_settings_t settings = { 0 };
   bt_agent_command_t command = {
-    .usage =
-        "Usage: bilberry-agent side [FLAGS]\n\n"
-        "Runs beside an engine that requests reach directly: tells the entry instances how it\n"
-        "stands and carries out the orders of its group's leader.\n\n",
+    .usage = "Usage: bilberry-agent side [FLAGS]\n\n"
+             "Runs beside an engine that requests reach directly: reports its state to the entry\n"
+             "instances and executes the orders of its group's leader.\n\n",
     .settings = sidecar_settings,
     .setting_count = sizeof sidecar_settings / sizeof sidecar_settings[0],
     .log_level = &settings.log_level,
--- a/source/agent/map_agent.c
+++ b/source/agent/map_agent.c
@@ -219,7 +219,7 @@
       bt_call_map_engine (agent->ctx, agent->engine, &call->order, map, &accepted, &state, &error);
 
   if (!answered)
-    bt_log (agent->ctx, BT_LOG_WARNING, BT_PART_MAPS, "Order %s had no answer: %s",
+    bt_log (agent->ctx, BT_LOG_WARNING, BT_PART_MAPS, "Order %s was not answered: %s",
             bt_name_map_order (call->order.kind), error.message);
   pthread_mutex_lock (&agent->lock);
   bt_take_engine_answer (agent->ctx, agent->rank, call->call, accepted, answered ? &state : NULL,
--- a/source/agent/side.c
+++ b/source/agent/side.c
@@ -15,12 +15,12 @@
   MAX_UNSENT_BYTES = 1 << 20,
 };
 
-/** An order that waits for its turn. */
+/** A queued order. */
 struct bt_sidecar_order
 {
   bt_link_t *link;
   bt_group_order_t order;
-  char engine[BT_ADDRESS_BYTES]; /* that it is for; "" for the one beside this agent */
+  char engine[BT_ADDRESS_BYTES]; /* the target engine; "" for the engine beside this agent */
   bt_expert_map_t *map;
   bt_sidecar_order_t *next;
 };
@@ -149,8 +149,9 @@
 static const bt_link_handler_vtable_t handler_vtable = { on_link_up, on_frame, on_link_down,
                                                          on_beat };
 
-/* True when an order rests on the report of another start of the engine beside this agent. The
- * count of orders is no guard then, for it comes again. An engine that was lost is asked first. */
+/* Returns true when an order is based on the report of another start of the engine beside this
+ * agent. The order count does not detect this, because it repeats after a restart. If the engine
+ * did not answer the last call, its start time is read first. */
 static bool
 is_for_earlier_start (bt_sidecar_t *sidecar, const bt_sidecar_order_t *queued)
 {
@@ -163,8 +164,9 @@
   return bt_is_different_engine_start (sidecar->engine_started_ms, queued->order.started_ms);
 }
 
-/* Carries out one order. An older leader's is refused here too: not every engine checks. Without a
- * report behind the order its effect is not known, and the leader asks again. */
+/* Executes one order. An older leader's order is refused here too, because not every engine checks
+ * the fencing number. If the engine's state can't be read afterwards, the order's effect is not
+ * known and no result is sent; the leader asks again. */
 static void
 execute_order (bt_sidecar_t *sidecar, const bt_sidecar_order_t *queued)
 {
--- a/source/agent/side_private.h
+++ b/source/agent/side_private.h
@@ -2,7 +2,7 @@
 #define BILBERRYTRAY_SOURCE_AGENT_SIDE_PRIVATE_H
 
 /** @file
- * The parts of the agent beside an engine: links and orders, and the reports that go out.
+ * State shared by the parts of the sidecar: links and orders, and the reports that it sends.
  */
 
 #include <pthread.h>
@@ -20,9 +20,9 @@
 typedef struct bt_sidecar_link
 {
   bt_link_t *link;
-  bool leads_group;  /* it leads the engine's group */
-  bool wants_places; /* its next report carries places */
-  int64_t next_ms;   /* its next report */
+  bool leads_group;  /* the entry leads the engine's group */
+  bool wants_places; /* the next report carries places */
+  int64_t next_ms;   /* when the next report is due */
   bt_picks_schedule_t picks_schedule;
   bt_reported_picks_t reported;
   struct bt_sidecar_link *next;
@@ -30,20 +30,20 @@
 
 struct bt_sidecar
 {
-  bt_link_handler_t handler; /* first */
+  bt_link_handler_t handler; /* must be the first member */
   bt_context_t *ctx;
   const bt_sidecar_settings_t *settings;
   bt_engine_client_t *engine;
   bt_link_loop_t *links_loop;
   int32_t cancelled;
-  bool engine_lost;          /* the engine did not answer last */
-  int64_t engine_started_ms; /* when it started, as it said last; 0: it did not */
-  uint64_t max_fence;        /* the highest seen */
-  int64_t report_read_ms;    /* when the last report of the engine was asked for */
+  bool engine_lost;          /* the engine did not answer the last call */
+  int64_t engine_started_ms; /* start time in the engine's last report; 0: it gave none */
+  uint64_t max_fence;        /* the highest fencing number seen */
+  int64_t report_read_ms;    /* when the engine's last report was requested */
   bt_sidecar_metrics_t metrics;
   int64_t next_report_ms;
-  /* Lock order: taken before any call into a link. */
-  pthread_mutex_t lock; /* guards what stands below */
+  /* Lock order: taken before any lock of a link. */
+  pthread_mutex_t lock; /* guards the members below */
   pthread_cond_t wakeup;
   bool stopping;
   bt_sidecar_link_t *links;
@@ -51,14 +51,14 @@
   bt_sidecar_order_t **last_order;
 };
 
-/** True when two known starts of an engine differ. */
+/** Returns true when both start times of an engine are known and differ. */
 bool bt_is_different_engine_start (int64_t first_ms, int64_t second_ms);
 
-/** Reads how the engine stands, and tells when it stops answering, answers again or was started
- * anew. */
+/** Reads the engine's state, and logs when the engine stops answering, answers again or has
+ * restarted. Returns false when it did not answer. */
 bool bt_read_sidecar_engine_state (bt_sidecar_t *sidecar, bt_engine_report_t *report);
 
-/** Tells who gave an order what became of it. */
+/** Sends the result of an order to the entry that gave it. */
 void bt_send_sidecar_result (bt_sidecar_t *sidecar,
                              bt_link_t *link,
                              uint64_t order_id,
@@ -66,9 +66,9 @@
                              int32_t status,
                              const bt_engine_report_t *report);
 
-/** Reads the engine once and tells the entries whose report is due. The leader of the engine's
- * group follows the demand for experts and needs news quickly; the others only weigh the engines.
- */
+/** Reads the engine's state once and sends it to the entries whose report is due. The leader of the
+ * engine's group tracks the demand for experts and needs updates quickly; the other entries use the
+ * report only to weight the engines. */
 void bt_send_sidecar_reports (bt_sidecar_t *sidecar);
 
 #endif
--- a/source/agent/side_reports.c
+++ b/source/agent/side_reports.c
@@ -33,7 +33,7 @@
   return answered;
 }
 
-/* An entry weighs an engine by a report, so it matters how old that is when it leaves. */
+/* Entries weight an engine by its report, so the report's age when it is sent is recorded. */
 static void
 record_report_age (bt_sidecar_t *sidecar)
 {
@@ -64,7 +64,7 @@
   bt_send_frame (sidecar->ctx, link, &frame);
 }
 
-/** What one report may carry beside the engine's state. */
+/** Optional parts of a report in addition to the engine's state. */
 typedef struct extras
 {
   bt_engine_picks_t picks;
@@ -72,7 +72,7 @@
   uint32_t *deltas;
 } extras_t;
 
-/* Counts the picks that are new on a link, and says whether they are told now. */
+/* Computes the new picks for a link. Returns true when this report carries them. */
 static bool
 update_picks (
     bt_sidecar_t *sidecar, bt_sidecar_link_t *peer, int32_t rank, int64_t now_ms, extras_t *extras)
@@ -138,7 +138,7 @@
   bt_free (sidecar->ctx, extras->deltas);
 }
 
-/* True when a link is to get a report now. */
+/* Returns true when a report on a link is due. */
 static bool
 is_report_due (const bt_sidecar_link_t *peer, int64_t now_ms)
 {
--- a/source/agent/told_picks.c
+++ b/source/agent/told_picks.c
@@ -2,9 +2,9 @@
 
 #include <string.h>
 
-/* An engine that was started anew counts from zero. Where it does not say when it started, one
- * count that went down shows it: the others may already be higher than they were, and their
- * difference would be a demand that never was. */
+/* A restarted engine counts from zero. If it does not report its start time, a single count that
+ * decreased reveals the restart: the other counts may already be higher than before, and their
+ * differences would look like demand that never existed. */
 static bool
 counts_were_reset (const bt_reported_picks_t *reported, const bt_engine_picks_t *picks)
 {
--- a/source/agent/told_picks.h
+++ b/source/agent/told_picks.h
@@ -2,13 +2,13 @@
 #define BILBERRYTRAY_SOURCE_AGENT_TOLD_PICKS_H
 
 /** @file
- * Up to which counts an engine's picks were told on one link. An engine counts since it started;
- * what is told is the difference.
+ * The counts of an engine's picks that were last reported on one link. An engine counts since it
+ * started; reports carry the difference.
  */
 
 #include "bilberrytray/agent/engine_platform.h"
 
-/** Zero-initialise it: nothing was told yet. */
+/** Zero-initialised: nothing was reported yet. */
 typedef struct bt_reported_picks
 {
   bool valid;
@@ -18,8 +18,8 @@
   int32_t count;
 } bt_reported_picks_t;
 
-/** Fills in @p deltas, one for each of @p picks, with what was picked since the last call. They are
- * all 0 the first time, and when the engine counts anew. */
+/** Fills @p deltas, one element for each of @p picks, with the selections since the last call. All
+ * are 0 in the first call and after the engine's counts were reset. */
 void bt_count_new_picks (bt_context_t *ctx,
                          bt_reported_picks_t *reported,
                          const bt_engine_picks_t *picks,
--- a/source/agent/upstream.c
+++ b/source/agent/upstream.c
@@ -29,15 +29,16 @@
 static const char *const event_terminator = "\n\n";
 static const char *const done_event = "data: [DONE]";
 
-/** What a transfer is for. */
+/** The purpose of a transfer. */
 typedef enum transfer_kind
 {
   TRANSFER_RUN = 0,
-  TRANSFER_LOAD,   /**< A load report is read. */
-  TRANSFER_CANCEL, /**< A run that was given up is cancelled at the engine. */
+  TRANSFER_LOAD,   /**< Reads a load report. */
+  TRANSFER_CANCEL, /**< Cancels an abandoned run at the engine. */
 } transfer_kind_t;
 
-/** One run at the endpoint; of the upstream's thread alone once it is taken from the queue. */
+/** A run or another transfer at the endpoint. Once taken from the queue, only the upstream's thread
+ * uses it. */
 struct bt_upstream_run
 {
   bt_upstream_t *upstream;
@@ -50,12 +51,12 @@
   char method[16];
   char url[URL_BYTES];
   char content_type[CONTENT_TYPE_BYTES];
-  bt_buffer_t received; /**< Bytes behind the last whole event. */
+  bt_buffer_t received; /**< Bytes after the last complete event. */
   bool head_reported;
-  bool is_event_stream; /**< The answer is a stream of events. */
-  bool done;            /**< The closing event was seen. */
+  bool is_event_stream; /**< The answer is a server-sent event stream. */
+  bool done;            /**< The final event was received. */
   transfer_kind_t kind;
-  int64_t event_count; /**< Whole events passed on. */
+  int64_t event_count; /**< Complete events forwarded. */
   int64_t last_received_ms;
   int32_t resumes;
   struct bt_upstream_run *next;
@@ -63,10 +64,10 @@
 
 typedef struct bt_upstream_run transfer_t;
 
-/** What other threads ask of the upstream's thread. */
+/** A command from another thread to the upstream's thread. */
 typedef struct command
 {
-  transfer_t *start; /**< NULL: cancel the run. */
+  transfer_t *start; /**< The run to start; NULL: cancel the run named below. */
   uint64_t run;
 } command_t;
 
@@ -122,8 +123,8 @@
   handler->vtable->on_piece (handler, transfer->run, data, bytes);
 }
 
-/* Passes on whole events only, so that a resumed stream joins on an event's edge and no half event
- * is ever followed by the start of another. */
+/* Forwards complete events only, so that a resumed stream continues at an event boundary and a
+ * partial event is never followed by the start of another. */
 static void
 report_events (transfer_t *transfer)
 {
@@ -207,9 +208,9 @@
                         (curl_off_t)transfer->body_bytes);
     }
   curl_easy_setopt (transfer->easy, CURLOPT_CUSTOMREQUEST, transfer->method);
-  /* A kept connection may have been forgotten by something on the way: a request sent on it could
-   * vanish, and libcurl would send it a second time on a new one when the first is closed under it.
-   * That would start a run twice, so each run has a connection of its own. */
+  /* An idle connection may have been dropped by a device on the network path. A request sent on it
+   * could be lost, and libcurl resends a request on a new connection when the old one is closed
+   * during it. That would start a run twice, so each run uses a connection of its own. */
   curl_easy_setopt (transfer->easy, CURLOPT_FRESH_CONNECT, 1L);
   curl_easy_setopt (transfer->easy, CURLOPT_FORBID_REUSE, 1L);
 }
@@ -233,8 +234,8 @@
   curl_multi_remove_handle (upstream->multi, transfer->easy);
 }
 
-/* An engine goes on with a run whose stream nobody reads. One that was given up must be told to
- * stop, or it holds a slot that the agent believes free. What it made so far may stand. */
+/* An engine continues a run whose stream nobody reads. An abandoned run must be cancelled there, or
+ * it occupies a slot that the agent considers free. Its output so far is unaffected. */
 static void
 cancel_at_engine (bt_upstream_t *upstream, const transfer_t *abandoned)
 {
@@ -265,8 +266,8 @@
   handler->vtable->on_end (handler, run, result);
 }
 
-/* Joins the run's stream again behind the last whole event. This asks for the rest of the same run;
- * it never starts one. */
+/* Reopens the run's stream after the last complete event. This requests the rest of the same run
+ * and never starts one. */
 static bool
 resume_transfer (bt_upstream_t *upstream, transfer_t *transfer)
 {
@@ -284,7 +285,7 @@
   curl_easy_setopt (transfer->easy, CURLOPT_FRESH_CONNECT, 1L);
   curl_easy_setopt (transfer->easy, CURLOPT_FORBID_REUSE, 1L);
   curl_multi_add_handle (upstream->multi, transfer->easy);
-  bt_log (upstream->ctx, BT_LOG_INFO, BT_PART_ENGINE, "Resuming run %s behind event %lld.",
+  bt_log (upstream->ctx, BT_LOG_INFO, BT_PART_ENGINE, "Resuming run %s after event %lld.",
           transfer->run_id, (long long)transfer->event_count);
   return true;
 }
@@ -344,7 +345,7 @@
     }
   if (code == CURLE_OK)
     report_head (transfer);
-  /* A stream without its closing event was cut, even if the connection ended cleanly. */
+  /* A stream without its final event was cut off, even if the connection closed cleanly. */
   if (code == CURLE_OK && (!transfer->is_event_stream || transfer->done))
     end_transfer (upstream, transfer, BT_UPSTREAM_COMPLETE);
   else if (!resume_transfer (upstream, transfer))
@@ -546,7 +547,7 @@
     add_header (transfer, request->headers[i].name, request->headers[i].value);
   add_header (transfer, "Bilberry-Run", request->run_id);
   add_header (transfer, "Bilberry-Priority", priorities[request->priority]);
-  /* Without this line libcurl would wait for "100 Continue" before each larger body. */
+  /* Otherwise libcurl waits for "100 Continue" before it sends a larger body. */
   add_header (transfer, "Expect", "");
   return transfer;
 }
--- a/source/agent/upstream.h
+++ b/source/agent/upstream.h
@@ -2,10 +2,10 @@
 #define BILBERRYTRAY_SOURCE_AGENT_UPSTREAM_H
 
 /** @file
- * Calls to the one endpoint beside the agent: a model engine or a plain service, over HTTP.
+ * HTTP client for the endpoint beside the agent, which is a model engine or a plain service.
  *
- * A model engine's answer is passed on in whole server-sent events. When its stream goes silent or
- * is cut, the same run is resumed on a fresh connection behind the last whole event; the run itself
+ * A model engine's answer is forwarded in complete server-sent events. When its stream goes silent
+ * or is cut off, the same run is resumed on a new connection after the last complete event. A run
  * is never started again here.
  */
 
@@ -23,24 +23,25 @@
 /** How a run ended at the endpoint. */
 typedef enum bt_upstream_result
 {
-  BT_UPSTREAM_COMPLETE = 0, /**< The whole answer was passed on. */
-  BT_UPSTREAM_NOT_SENT,     /**< No connection was made: it certainly did not run. */
-  BT_UPSTREAM_FAILED,       /**< It broke off or was malformed: it may have run. */
-  BT_UPSTREAM_SILENT,       /**< Nothing came for the idle limit, and resuming did not help. */
+  BT_UPSTREAM_COMPLETE = 0, /**< The complete answer was forwarded. */
+  BT_UPSTREAM_NOT_SENT,     /**< No connection was established, so the run did not start. */
+  BT_UPSTREAM_FAILED,       /**< The answer was cut off or malformed; it may have run. */
+  BT_UPSTREAM_SILENT,       /**< No data arrived within the idle limit, and resuming failed. */
   BT_UPSTREAM_CANCELLED,    /**< Cancelled by the agent. */
 } bt_upstream_result_t;
 
-/** What the endpoint reports of its load. */
+/** The load that the endpoint reports. */
 typedef struct bt_upstream_load
 {
   int32_t running;
   int32_t queued;
   int32_t capacity;
   int32_t step_us;
-  int64_t read_ms; /**< When it was read, in the agent's clock; 0: never. */
+  int64_t read_ms; /**< When it was read, by the agent's clock; 0: never. */
 } bt_upstream_load_t;
 
-/** Called on the upstream's thread, without any lock of it held. */
+/** Callbacks. They are called on the upstream's thread, which holds no lock of the upstream
+ * meanwhile. */
 typedef struct bt_upstream_handler_vtable
 {
   void (*on_head) (bt_upstream_handler_t *handler,
@@ -60,19 +61,19 @@
 typedef struct bt_upstream_options
 {
   const char *url; /**< "http://IP:PORT" without a closing slash. */
-  bool is_model;   /**< A model engine; else a plain service. */
+  bool is_model;   /**< True for a model engine, false for a plain service. */
   int64_t connect_ms;
-  int64_t idle_ms;     /**< Without a byte, a stream is silent. */
-  int32_t max_resumes; /**< Further connections for one run at most. */
-  int64_t load_ms;     /**< Between two load reports. */
+  int64_t idle_ms;     /**< A transfer without data for this long is silent. */
+  int32_t max_resumes; /**< Maximum of further connections for one run. */
+  int64_t load_ms;     /**< Interval of load requests. */
   bt_upstream_handler_t *handler;
 } bt_upstream_options_t;
 
-/** One run. Everything is copied. */
+/** The request of one run. bt_new_upstream_run copies everything. */
 typedef struct bt_upstream_request
 {
-  uint64_t run;       /**< Names the run in the calls above. */
-  const char *run_id; /**< Names it to the endpoint, in the header Bilberry-Run. */
+  uint64_t run;       /**< Identifies the run in the callbacks. */
+  const char *run_id; /**< Identifies the run to the endpoint, in the header Bilberry-Run. */
   const char *method;
   const char *path;
   const bt_header_t *headers;
@@ -85,10 +86,10 @@
 bt_upstream_t *
 bt_new_upstream (bt_context_t *ctx, const bt_upstream_options_t *options, bt_error_t *error);
 
-/** Ends the thread; runs under way end without a further call. NULL is accepted. */
+/** Stops the thread. Unfinished runs end without a further callback. NULL is accepted. */
 void bt_drop_upstream (bt_context_t *ctx, bt_upstream_t *upstream);
 
-/** Copies a request, so that it may wait for a slot and be started later. */
+/** Copies a request so that it can be queued and started later. */
 bt_upstream_run_t *bt_new_upstream_run (bt_context_t *ctx,
                                         bt_upstream_t *upstream,
                                         const bt_upstream_request_t *request);
@@ -96,15 +97,16 @@
 /** Frees a run that was not started. NULL is accepted. */
 void bt_drop_upstream_run (bt_context_t *ctx, bt_upstream_run_t *run);
 
-/** Starts a run and owns it from now on, from any thread. False, and the run is still the caller's,
- * when too many wait to be started. */
+/** Starts a run and takes ownership of it. May be called from any thread. Returns false when too
+ * many runs wait to be started; then the caller still owns the run. */
 bool bt_start_upstream_run (bt_context_t *ctx, bt_upstream_t *upstream, bt_upstream_run_t *run);
 
-/** Cancels a run, from any thread; on_end follows unless it has ended already. */
+/** Cancels a run. May be called from any thread. on_end follows unless the run has already ended.
+ */
 void bt_cancel_upstream_run (bt_context_t *ctx, bt_upstream_t *upstream, uint64_t run);
 
-/** Cancels what a model engine still runs from before this agent's start, and waits for the answer.
- * A plain service has nothing to list, so nothing is done for it. */
+/** Cancels the runs that a model engine still executes from before this agent's start, and waits
+ * for the answers. Does nothing for a plain service, which lists no runs. */
 bool bt_cancel_orphaned_runs (bt_context_t *ctx,
                               const bt_upstream_options_t *options,
                               int32_t *cancelled,
--- a/source/agent/upstream_clear.c
+++ b/source/agent/upstream_clear.c
@@ -12,7 +12,7 @@
   MAX_LIST_BYTES = 16 << 20,
 };
 
-/** A body that is being read. */
+/** A response body that is being received. */
 typedef struct answer
 {
   bt_context_t *ctx;
@@ -58,7 +58,8 @@
   if (code != CURLE_OK || !json_is_object (body))
     {
       bt_set_error (error, BT_ERROR_CLOSED, "%s: %s.", url,
-                    code == CURLE_OK ? "the answer is no JSON object" : curl_easy_strerror (code));
+                    code == CURLE_OK ? "the answer is not a JSON object"
+                                     : curl_easy_strerror (code));
       json_decref (body);
       return NULL;
     }
