--- a/source/agent/upstream.c
+++ b/source/agent/upstream.c
@@ -209,8 +209,8 @@
     }
   curl_easy_setopt (transfer->easy, CURLOPT_CUSTOMREQUEST, transfer->method);
   /* An idle connection may have been dropped by a device on the network path. A request sent on it
-   * could be lost, and libcurl resends a request on a new connection when the old one is closed
-   * during it. That would start a run twice, so each run uses a connection of its own. */
+   * could be lost, and libcurl resends a request on a new connection when a reused one is closed.
+   * That would start a run twice, so each run uses a connection of its own. */
   curl_easy_setopt (transfer->easy, CURLOPT_FRESH_CONNECT, 1L);
   curl_easy_setopt (transfer->easy, CURLOPT_FORBID_REUSE, 1L);
 }
--- a/test/agent/test_picks_turn.c
+++ b/test/agent/test_picks_turn.c
@@ -8,7 +8,8 @@
   RUN_MS = 10000,
 };
 
-/* How often one rank tells its picks in a run, and the longest time that one of them covers. */
+/* Returns how many reports of one rank carry picks in a run, and the longest time that one of them
+ * covers. */
 static int32_t
 count_reported (int32_t rank, int32_t interval, int64_t *longest_ms)
 {
@@ -43,9 +44,9 @@
   CU_ASSERT_EQUAL (count_reported (3, 0, &longest_ms), RUN_MS / REPORT_MS);
 }
 
-/* The leader of a large group had to take in more counts than its link carries. Each rank tells one
- * report in four, and what it tells is no older than in a small group: else a jump of demand would
- * show half a second later. */
+/* If every report of a large group carries picks, the counts exceed what the leader's link carries.
+ * Each rank adds picks to one report in four, and they still cover one report interval: otherwise a
+ * jump of demand would show half a second later. */
 static void
 test_some_reports_of_a_large_group_carry_picks (void)
 {
@@ -59,7 +60,7 @@
     }
 }
 
-/* The ranks take turns, so that each report time brings as many. */
+/* The ranks alternate, so that each report interval brings the same number of picks. */
 static void
 test_ranks_report_picks_in_rotation (void)
 {
@@ -104,7 +105,7 @@
   unsigned int failed;
 
   CU_initialize_registry ();
-  suite = CU_add_suite ("turns of picks", NULL, NULL);
+  suite = CU_add_suite ("schedule of picks", NULL, NULL);
   CU_ADD_TEST (suite, test_every_report_of_a_small_group_carries_picks);
   CU_ADD_TEST (suite, test_some_reports_of_a_large_group_carry_picks);
   CU_ADD_TEST (suite, test_ranks_report_picks_in_rotation);
--- a/test/agent/test_side.c
+++ b/test/agent/test_side.c
@@ -24,24 +24,24 @@
   FENCE = 7,
 };
 
-/** The engine, and what came to it. */
+/** The engine and the calls that it received. */
 typedef struct engine
 {
   atomic_llong born;
   atomic_bool down;
-  atomic_int refused_calls; /* while it was down */
+  atomic_int refused_calls; /* calls that arrived while it was down */
   atomic_int orders;
 } engine_t;
 
 /** The entry's end of the link. */
 typedef struct leader
 {
-  bt_link_handler_t handler; /* first */
+  bt_link_handler_t handler; /* must be the first member */
   atomic_int up;
-  atomic_llong reported; /* the start in the last report */
-  atomic_llong answered; /* the id of the order answered last */
+  atomic_llong reported; /* the start time in the last report */
+  atomic_llong answered; /* the id of the last order that was answered */
   atomic_int result;
-  atomic_llong result_start; /* the start in the report that came with it */
+  atomic_llong result_start; /* the start time in the report that came with the result */
 } leader_t;
 
 static bt_context_t *ctx;
@@ -228,8 +228,8 @@
   return 0;
 }
 
-/* Orders the engine to let its group go, by what was known of the start at @p started_ms, and waits
- * for the result. */
+/* Orders the engine to release its group, based on the start at @p started_ms, and waits for the
+ * result. */
 static bt_order_result_t
 order (int64_t started_ms)
 {
@@ -256,14 +256,14 @@
   CU_ASSERT_TRUE (wait_for (&leader.reported, 100));
   CU_ASSERT_EQUAL (order (100), BT_ORDER_DONE);
   CU_ASSERT_EQUAL (atomic_load (&engine.orders), 1);
-  /* An older leader does not say. */
+  /* An older leader sends no start time. */
   CU_ASSERT_EQUAL (order (0), BT_ORDER_DONE);
   CU_ASSERT_EQUAL (atomic_load (&engine.orders), 2);
 }
 
-/* An engine starts again under its id, in the same epoch. Its leader has not heard of it yet and
- * orders by what the start before had said. The engine gets nothing of it, and the result tells the
- * leader of the new start. */
+/* An engine restarts under its id, in the same epoch. Its leader does not know yet and sends an
+ * order that is based on the previous start. The order must not reach the engine, and the result
+ * tells the leader of the new start. */
 static void
 test_order_for_an_earlier_start_is_refused (void)
 {
@@ -278,8 +278,8 @@
   CU_ASSERT_EQUAL (atomic_load (&engine.orders), orders + 1);
 }
 
-/* The engine is away for a moment. It answers again, and an order comes before the agent has read
- * how it stands: it may be another start by now, so it is asked first. */
+/* The engine does not answer for a moment. It answers again, and an order arrives before the agent
+ * has read the engine's state. The engine may have restarted, so its start time is read first. */
 static void
 test_engine_is_queried_after_it_was_lost (void)
 {
@@ -304,7 +304,7 @@
   unsigned failures;
 
   CU_initialize_registry ();
-  suite = CU_add_suite ("side", start_suite, end_suite);
+  suite = CU_add_suite ("sidecar", start_suite, end_suite);
   CU_ADD_TEST (suite, test_order_for_the_current_start_is_executed);
   CU_ADD_TEST (suite, test_order_for_an_earlier_start_is_refused);
   CU_ADD_TEST (suite, test_engine_is_queried_after_it_was_lost);
--- a/test/agent/test_told_picks.c
+++ b/test/agent/test_told_picks.c
@@ -40,8 +40,8 @@
   bt_clear_reported_picks (ctx, &reported);
 }
 
-/* An engine starts again under its id and soon has more picks of some experts than before. The
- * differences would be a demand that never was, and experts would be moved for it. */
+/* An engine restarts under its id and soon has higher counts for some experts than before. The
+ * differences would look like demand that never existed, and experts would be moved for it. */
 static void
 test_restart_resets_counts (void)
 {
@@ -53,8 +53,8 @@
   bt_clear_reported_picks (ctx, &reported);
 }
 
-/* An engine of older software does not say when it started. One count that went down tells that it
- * did, and what the others show is no difference either. */
+/* An engine with older software does not report its start time. One count that decreased reveals
+ * the restart, and the differences of the other counts must not be reported either. */
 static void
 test_lower_count_is_a_restart (void)
 {
@@ -90,7 +90,7 @@
 
   ctx = bt_new_context ();
   CU_initialize_registry ();
-  suite = CU_add_suite ("told_picks", NULL, NULL);
+  suite = CU_add_suite ("reported picks", NULL, NULL);
   CU_ADD_TEST (suite, test_differences_are_reported);
   CU_ADD_TEST (suite, test_restart_resets_counts);
   CU_ADD_TEST (suite, test_lower_count_is_a_restart);
--- a/test/platform/test_asker.c
+++ b/test/platform/test_asker.c
@@ -11,8 +11,8 @@
   CU_ASSERT_STRING_EQUAL (domain, expected);
 }
 
-/* A caller that says where it is gets the instances near it; anything else must not be taken for a
- * place. */
+/* A caller that names its failure domain gets the instances in it. No other part of the request may
+ * be read as a failure domain. */
 static void
 test_failure_domain_of_a_caller (void)
 {
--- a/test/platform/test_endpoints.c
+++ b/test/platform/test_endpoints.c
@@ -35,7 +35,7 @@
   return read_bytes ("servers/i-1", text, strlen (text));
 }
 
-/* Reads the good entry with one part of it changed. */
+/* Reads the valid entry with one part of it replaced. */
 static bool
 read_changed (const char *part, const char *replacement)
 {
@@ -48,14 +48,14 @@
   return read_text (text);
 }
 
-/* Expects an entry to name no endpoint, and the log's line to name its key and the field. */
+/* Expects an entry to be refused with an error that names its key and the field. */
 static void
 expect_refused (const char *part, const char *replacement, const char *field)
 {
   bool refused = !read_changed (part, replacement);
 
   if (!refused)
-    printf ("\ntaken: %s\n", replacement);
+    printf ("\naccepted: %s\n", replacement);
   CU_ASSERT_TRUE (refused);
   CU_ASSERT_PTR_NOT_NULL (strstr (error.message, "servers/i-1"));
   CU_ASSERT_PTR_NOT_NULL (strstr (error.message, field));
@@ -76,7 +76,7 @@
   CU_ASSERT_TRUE (endpoint.leaving);
 }
 
-/* A runner of older software does not say when it started. */
+/* A runner with older software does not report its start time. */
 static void
 test_entry_without_start_time_is_read (void)
 {
@@ -84,8 +84,8 @@
   CU_ASSERT_EQUAL (endpoint.started_ms, 0);
 }
 
-/* Another writer left entries in which a field is missing. Each of them would name a runner that is
- * not there, or one without a slot. */
+/* Another program wrote entries that lack a field. Accepting one would add a runner that does not
+ * exist, or one without slots. */
 static void
 test_missing_field_is_refused (void)
 {
@@ -99,7 +99,7 @@
   expect_refused ("\"sequence\":4,", "", "sequence");
 }
 
-/* A number that stands as a text was taken for zero before, an object for an empty text. */
+/* A number in a string must not be read as zero, and an object not as an empty string. */
 static void
 test_field_of_wrong_type_is_refused (void)
 {
@@ -117,7 +117,7 @@
     for (size_t j = 0; j < sizeof invalid / sizeof invalid[0]; j++)
       {
         snprintf (replacement, sizeof replacement, "\"%s\":%s", fields[i][1], invalid[j]);
-        /* A number that is none at all makes the whole no JSON. */
+        /* A number that can't be represented makes the whole text invalid JSON. */
         expect_refused (fields[i][0], replacement,
                         strcmp (invalid[j], "1e400") == 0 ? "" : fields[i][1]);
       }
@@ -142,7 +142,7 @@
   expect_refused ("\"ready\"", "\"ready \"", "state");
 }
 
-/* The address is dialled, and the agent's is made of it. */
+/* Connections are made to the address, and the address of the agent is derived from it. */
 static void
 test_invalid_address_is_refused (void)
 {
@@ -170,8 +170,8 @@
     expect_refused ("10.1.0.40:8227", invalid[i], "address");
 }
 
-/* A name that is cut at its room is another's name; one with a line's end in it would add a header
- * to what is sent. */
+/* A name that is truncated to fit its buffer could equal another endpoint's name, and a line break
+ * in a name would add a header to requests. */
 static void
 test_invalid_name_is_refused (void)
 {
@@ -208,14 +208,14 @@
       CU_ASSERT_PTR_NOT_NULL (strstr (error.message, "servers/i-1"));
       CU_ASSERT_PTR_NULL (strchr (error.message, '\xff'));
     }
-  /* A zero byte behind the entry, within it, and within a name. */
+  /* A zero byte after the entry, inside it, and inside a name. */
   memcpy (text, valid_entry, bytes);
   text[bytes] = '\0';
   CU_ASSERT_FALSE (read_bytes ("servers/i-1", text, bytes + 1));
   *strstr (text, "svc") = '\0';
   CU_ASSERT_FALSE (read_bytes ("servers/i-1", text, bytes));
   expect_refused ("svc", "s\\u0000c", "");
-  /* Which of two would hold? */
+  /* With duplicate fields it is not clear which value applies. */
   expect_refused ("\"slots\":12", "\"slots\":12,\"slots\":13", "");
   for (size_t i = 0; i < bytes; i++)
     CU_ASSERT_FALSE (read_bytes ("servers/i-1", valid_entry, i));
@@ -252,7 +252,7 @@
   return bytes;
 }
 
-/* Whatever bytes stand in an entry: it is refused with a reason, or what it names can be used. */
+/* Any mutated entry is either refused with a message or yields an endpoint that can be used. */
 static void
 test_changed_bytes_are_refused_or_usable (void)
 {
--- a/test/platform/test_engine.c
+++ b/test/platform/test_engine.c
@@ -30,7 +30,7 @@
 static bt_engine_places_t places;
 static bt_error_t error;
 
-/* Writes a text with one part of it changed. */
+/* Writes a copy of a text with one part of it replaced. */
 static void
 change (char text[TEXT_BYTES], const char *good, const char *part, const char *replacement)
 {
@@ -93,7 +93,8 @@
   CU_ASSERT_EQUAL (places.version, 7);
 }
 
-/* An engine without a group says nothing of maps; one of older software nothing of its start. */
+/* An engine without a group reports nothing about maps, and one with older software reports no
+ * start time. */
 static void
 test_report_without_a_group_is_read (void)
 {
@@ -107,8 +108,8 @@
   CU_ASSERT_STRING_EQUAL (report.group, "");
 }
 
-/* A count of orders that stands as a text was taken for zero, the map in use for the first one: a
- * leader orders by them. Such a report tells nothing, and the log names the field. */
+/* An order count in a string must not be read as zero, nor the map version as the first map: a
+ * leader bases its orders on them. Such a report is refused, and the error names the field. */
 static void
 test_field_of_wrong_type_is_refused (void)
 {
@@ -179,7 +180,7 @@
   return bytes;
 }
 
-/* Whatever bytes an engine answers with: they are refused, or their numbers can be used. */
+/* Any mutated answer of an engine is either refused or yields numbers that can be used. */
 static void
 test_changed_bytes_are_refused_or_usable (void)
 {
--- a/test/platform/test_names.c
+++ b/test/platform/test_names.c
@@ -35,8 +35,8 @@
   return text;
 }
 
-/* A name of the wire: a header, a path or key, or a field of several words. Single words such as
- * "name" are everybody's. */
+/* Returns 1 for a name on the wire: a header, a path or key, or a field of several words. Single
+ * words such as "name" are too common to check. */
 static int
 is_wire_name (const char *text)
 {
@@ -62,7 +62,7 @@
     memcpy (names[name_count++], name, bytes + 1);
 }
 
-/* Takes the string literals of one source file of the adapter. */
+/* Collects the string literals of one source file of the adapter. */
 static void
 collect_names (const char *path)
 {
@@ -136,8 +136,8 @@
     closedir (list);
 }
 
-/* The platform renames a header. Were its name spelled in the router too, half of the product would
- * go on with the old one. */
+/* Names of the platform may only be spelled in the adapter. If the platform renames a header, a
+ * copy of its name elsewhere would keep the old one. */
 static void
 test_only_the_adapter_knows_the_platforms_names (void)
 {
