--- a/include/bilberrytray/agent/engine_platform.h
+++ b/include/bilberrytray/agent/engine_platform.h
@@ -13,7 +13,7 @@
 /** How often each expert was selected since the engine started. */
 typedef struct bt_engine_picks
 {
-  int64_t started_ms; /**< When the engine started, in Unix time; 0: it does not say. */
+  int64_t started_ms; /**< When the engine started, in Unix time; 0: not reported. */
   int64_t epoch;
   int64_t *counts; /**< Ordered by set, then expert; free it with bt_free. */
   int32_t count;
@@ -22,7 +22,7 @@
 /** The experts that an engine holds under the map in use. */
 typedef struct bt_engine_places
 {
-  int64_t started_ms; /**< When the engine started, in Unix time; 0: it does not say. */
+  int64_t started_ms; /**< When the engine started, in Unix time; 0: not reported. */
   int64_t epoch;
   int64_t version;
   uint32_t *places; /**< Each entry is set << 16 | expert; free it with bt_free. */
--- a/source/agent/engine_client.h
+++ b/source/agent/engine_client.h
@@ -9,6 +9,8 @@
 
 typedef struct bt_engine_client bt_engine_client_t;
 
+/** Creates a client for the engine at @p address, "IP:PORT". Each call ends after @p timeout_ms, or
+ * at once when @p cancelled is set. */
 bt_engine_client_t *bt_new_engine_client (bt_context_t *ctx,
                                           const bt_engine_platform_t *platform,
                                           const char *address,
@@ -18,6 +20,8 @@
 /** NULL is accepted. */
 void bt_drop_engine_client (bt_context_t *ctx, bt_engine_client_t *client);
 
+/** Reads the engine's report. Returns false and sets @p error on failure, as do the functions
+ * below. */
 bool bt_read_engine_state (bt_context_t *ctx,
                            bt_engine_client_t *client,
                            bt_engine_report_t *report,
--- a/source/agent/side_private.h
+++ b/source/agent/side_private.h
@@ -42,7 +42,7 @@
   int64_t report_read_ms;    /* when the engine's last report was requested */
   bt_sidecar_metrics_t metrics;
   int64_t next_report_ms;
-  /* Lock order: taken before any lock of a link. */
+  /* Lock order: this lock is taken before any call into a link. */
   pthread_mutex_t lock; /* guards the members below */
   pthread_cond_t wakeup;
   bool stopping;
--- a/source/agent/upstream.h
+++ b/source/agent/upstream.h
@@ -60,7 +60,7 @@
 
 typedef struct bt_upstream_options
 {
-  const char *url; /**< "http://IP:PORT" without a closing slash. */
+  const char *url; /**< "http://IP:PORT" without a trailing slash. */
   bool is_model;   /**< True for a model engine, false for a plain service. */
   int64_t connect_ms;
   int64_t idle_ms;     /**< A transfer without data for this long is silent. */
@@ -101,8 +101,7 @@
  * many runs wait to be started; then the caller still owns the run. */
 bool bt_start_upstream_run (bt_context_t *ctx, bt_upstream_t *upstream, bt_upstream_run_t *run);
 
-/** Cancels a run. May be called from any thread. on_end follows unless the run has already ended.
- */
+/** Cancels a run, from any thread. on_end follows unless the run has already ended. */
 void bt_cancel_upstream_run (bt_context_t *ctx, bt_upstream_t *upstream, uint64_t run);
 
 /** Cancels the runs that a model engine still executes from before this agent's start, and waits
