--- a/source/agent/engine_client.h
+++ b/source/agent/engine_client.h
@@ -20,8 +20,8 @@
 /** NULL is accepted. */
 void bt_drop_engine_client (bt_context_t *ctx, bt_engine_client_t *client);
 
-/** Reads the engine's report. Returns false and sets @p error on failure, as do the functions
- * below. */
+/** Reads the engine's report. Returns false and sets @p error on failure, as do
+ * bt_read_engine_picks and bt_read_engine_places. */
 bool bt_read_engine_state (bt_context_t *ctx,
                            bt_engine_client_t *client,
                            bt_engine_report_t *report,
--- a/source/agent/map_agent.h
+++ b/source/agent/map_agent.h
@@ -20,8 +20,8 @@
   const char *store_url;
   const char *store_prefix; /**< Prefix of the keys about groups. */
   int64_t call_ms;          /**< Time limit of one call to the engine. */
-  int64_t ask_ms;
-  int64_t give_up_ms;
+  int64_t ask_ms;           /**< Interval of queries to rank 0 while a round is undecided. */
+  int64_t give_up_ms;       /**< Rank 0 abandons a round that is asked about for this long. */
 } bt_map_agent_settings_t;
 
 bt_map_agent_t *bt_new_map_agent (bt_context_t *ctx,
--- a/test/agent/test_side.c
+++ b/test/agent/test_side.c
@@ -231,7 +231,7 @@
 /* Orders the engine to release its group, based on the start at @p started_ms, and waits for the
  * result. */
 static bt_order_result_t
-order (int64_t started_ms)
+send_order (int64_t started_ms)
 {
   bt_group_order_t order = { .kind = BT_GROUP_GO,
                              .id = ++last_id,
@@ -254,10 +254,10 @@
 test_order_for_the_current_start_is_executed (void)
 {
   CU_ASSERT_TRUE (wait_for (&leader.reported, 100));
-  CU_ASSERT_EQUAL (order (100), BT_ORDER_DONE);
+  CU_ASSERT_EQUAL (send_order (100), BT_ORDER_DONE);
   CU_ASSERT_EQUAL (atomic_load (&engine.orders), 1);
   /* An older leader sends no start time. */
-  CU_ASSERT_EQUAL (order (0), BT_ORDER_DONE);
+  CU_ASSERT_EQUAL (send_order (0), BT_ORDER_DONE);
   CU_ASSERT_EQUAL (atomic_load (&engine.orders), 2);
 }
 
@@ -271,10 +271,10 @@
 
   atomic_store (&engine.born, 200);
   CU_ASSERT_TRUE (wait_for (&leader.reported, 200));
-  CU_ASSERT_EQUAL (order (100), BT_ORDER_REFUSED);
+  CU_ASSERT_EQUAL (send_order (100), BT_ORDER_REFUSED);
   CU_ASSERT_EQUAL (atomic_load (&engine.orders), orders);
   CU_ASSERT_EQUAL (atomic_load (&leader.result_start), 200);
-  CU_ASSERT_EQUAL (order (200), BT_ORDER_DONE);
+  CU_ASSERT_EQUAL (send_order (200), BT_ORDER_DONE);
   CU_ASSERT_EQUAL (atomic_load (&engine.orders), orders + 1);
 }
 
@@ -292,7 +292,7 @@
     bt_sleep_ms (POLL_MS);
   atomic_store (&engine.born, 300);
   atomic_store (&engine.down, false);
-  CU_ASSERT_EQUAL (order (200), BT_ORDER_REFUSED);
+  CU_ASSERT_EQUAL (send_order (200), BT_ORDER_REFUSED);
   CU_ASSERT_EQUAL (atomic_load (&engine.orders), orders);
   CU_ASSERT_EQUAL (atomic_load (&leader.result_start), 300);
 }
--- a/test/agent/test_told_picks.c
+++ b/test/agent/test_told_picks.c
@@ -13,7 +13,7 @@
 static uint32_t deltas[EXPERTS];
 
 static void
-count (int64_t started_ms, int64_t epoch, int64_t first, int64_t second, int64_t third)
+report_counts (int64_t started_ms, int64_t epoch, int64_t first, int64_t second, int64_t third)
 {
   int64_t counts[EXPERTS] = { first, second, third };
   bt_engine_picks_t picks = { started_ms, epoch, counts, EXPERTS };
@@ -23,7 +23,7 @@
 }
 
 static void
-expect (uint32_t first, uint32_t second, uint32_t third)
+expect_deltas (uint32_t first, uint32_t second, uint32_t third)
 {
   CU_ASSERT_EQUAL (deltas[0], first);
   CU_ASSERT_EQUAL (deltas[1], second);
@@ -33,10 +33,10 @@
 static void
 test_differences_are_reported (void)
 {
-  count (100, 1, 5, 6, 7);
-  expect (0, 0, 0);
-  count (100, 1, 6, 6, 9);
-  expect (1, 0, 2);
+  report_counts (100, 1, 5, 6, 7);
+  expect_deltas (0, 0, 0);
+  report_counts (100, 1, 6, 6, 9);
+  expect_deltas (1, 0, 2);
   bt_clear_reported_picks (ctx, &reported);
 }
 
@@ -45,11 +45,11 @@
 static void
 test_restart_resets_counts (void)
 {
-  count (100, 1, 5, 6, 7);
-  count (900, 1, 50, 60, 70);
-  expect (0, 0, 0);
-  count (900, 1, 51, 60, 72);
-  expect (1, 0, 2);
+  report_counts (100, 1, 5, 6, 7);
+  report_counts (900, 1, 50, 60, 70);
+  expect_deltas (0, 0, 0);
+  report_counts (900, 1, 51, 60, 72);
+  expect_deltas (1, 0, 2);
   bt_clear_reported_picks (ctx, &reported);
 }
 
@@ -58,11 +58,11 @@
 static void
 test_lower_count_is_a_restart (void)
 {
-  count (0, 1, 5, 6, 7);
-  count (0, 1, 50, 2, 70);
-  expect (0, 0, 0);
-  count (0, 1, 50, 3, 71);
-  expect (0, 1, 1);
+  report_counts (0, 1, 5, 6, 7);
+  report_counts (0, 1, 50, 2, 70);
+  expect_deltas (0, 0, 0);
+  report_counts (0, 1, 50, 3, 71);
+  expect_deltas (0, 1, 1);
   bt_clear_reported_picks (ctx, &reported);
 }
 
@@ -72,13 +72,13 @@
   int64_t counts[] = { 9, 9 };
   bt_engine_picks_t picks = { 100, 2, counts, 2 };
 
-  count (100, 1, 5, 6, 7);
-  count (100, 2, 6, 7, 8);
-  expect (0, 0, 0);
+  report_counts (100, 1, 5, 6, 7);
+  report_counts (100, 2, 6, 7, 8);
+  expect_deltas (0, 0, 0);
   bt_count_new_picks (ctx, &reported, &picks, deltas);
   CU_ASSERT_EQUAL (deltas[0] + deltas[1], 0);
-  count (100, 2, 6, 7, 8);
-  expect (0, 0, 0);
+  report_counts (100, 2, 6, 7, 8);
+  expect_deltas (0, 0, 0);
   bt_clear_reported_picks (ctx, &reported);
 }
 
