--- a/source/agent/main.c
+++ b/source/agent/main.c
@@ -32,57 +32,58 @@
     "error, warning, info or debug." },
   { "plain", BT_SETTING_FLAG, FIELD (plain), "false", 0, 0,
     "The endpoint is a plain service, not a model engine." },
-  { "slots", BT_SETTING_INTEGER, FIELD (slots), "16", 1, 100000, "Requests that run at a time." },
-  { "queue", BT_SETTING_INTEGER, FIELD (queue), "32", 0, 100000, "Requests that may wait." },
-  { "beat-ms", BT_SETTING_INTEGER, FIELD (beat_ms), "250", 10, 60000, "Between heartbeats, ms." },
+  { "slots", BT_SETTING_INTEGER, FIELD (slots), "16", 1, 100000, "Maximum of running requests." },
+  { "queue", BT_SETTING_INTEGER, FIELD (queue), "32", 0, 100000, "Maximum of queued requests." },
+  { "beat-ms", BT_SETTING_INTEGER, FIELD (beat_ms), "250", 10, 60000,
+    "Interval of heartbeats, ms." },
   { "link-idle-ms", BT_SETTING_INTEGER, FIELD (link_idle_ms), "1500", 50, 600000,
     "A link without any frame is dead after this, ms." },
   { "connect-ms", BT_SETTING_INTEGER, FIELD (connect_ms), "500", 10, 60000,
-    "Limit for connecting to the endpoint, ms." },
+    "Time limit for connecting to the endpoint, ms." },
   { "endpoint-idle-ms", BT_SETTING_INTEGER, FIELD (endpoint_idle_ms), "5000", 50, 600000,
-    "A stream without a byte is silent after this, ms." },
+    "A stream without data is silent after this, ms." },
   { "resumes", BT_SETTING_INTEGER, FIELD (resumes), "2", 0, 10,
-    "Further connections for one run whose stream broke off." },
+    "Further connections for one run whose stream was cut off." },
   { "load-ms", BT_SETTING_INTEGER, FIELD (load_ms), "250", 10, 60000,
-    "Between reads of the endpoint's load, ms." },
+    "Interval of reads of the endpoint's load, ms." },
   { "max-frame-bytes", BT_SETTING_INTEGER, FIELD (max_frame_bytes), "2097152", 4096, 67108864,
     "Longest frame on a link, bytes." },
-  { "max-links", BT_SETTING_INTEGER, FIELD (max_links), "64", 1, 10000, "Links at a time." },
+  { "max-links", BT_SETTING_INTEGER, FIELD (max_links), "64", 1, 10000, "Maximum of links." },
   { "drain-ms", BT_SETTING_INTEGER, FIELD (drain_ms), "60000", 0, 3600000,
     "Longest wait for running requests and tickets after SIGTERM, ms." },
   { "ticket-life-ms", BT_SETTING_INTEGER, FIELD (ticket_life_ms), "30000", 100, 3600000,
     "Longest life of a ticket, the same at all entries and agents, ms." },
   { "max-records", BT_SETTING_INTEGER, FIELD (max_records), "100000", 1, 10000000,
-    "Keys on record at a time; as many tombstones again." },
+    "Maximum of keys on record; the same number of tombstones fits beside them." },
   { "max-record-bytes", BT_SETTING_INTEGER, FIELD (max_record_bytes), "268435456", 65536,
     17179869184, "Memory for records and kept answers, bytes." },
   { "max-answer-bytes", BT_SETTING_INTEGER, FIELD (max_answer_bytes), "1048576", 0, 67108864,
     "Longest answer that is kept for a resend, bytes." },
   { "keep-answer-ms", BT_SETTING_INTEGER, FIELD (keep_answer_ms), "30000", 0, 3600000,
-    "How long a whole answer is kept, ms." },
+    "How long a complete answer is kept, ms." },
   { "group", BT_SETTING_TEXT, FIELD (group), "", 0, 0,
     "Rank group that the endpoint belongs to; empty for none." },
   { "rank", BT_SETTING_INTEGER, FIELD (rank), "0", 0, 63, "The endpoint's rank in its group." },
   { "rank-url", BT_SETTING_TEXT, FIELD (rank_url), "", 0, 0,
-    "Where the rank's engine takes orders." },
+    "URL at which the rank's engine accepts orders." },
   { "store-url", BT_SETTING_TEXT, FIELD (store_url), "", 0, 0,
     "The key-value service; needed with --group." },
   { "map-prefix", BT_SETTING_TEXT, FIELD (map_prefix), "bilberrytray-maps/", 0, 0,
-    "What the keys about groups begin with." },
+    "Prefix of the keys about groups." },
   { "map-call-ms", BT_SETTING_INTEGER, FIELD (map_call_ms), "500", 10, 60000,
-    "Limit of one order to the rank's engine, ms." },
+    "Time limit of one order to the rank's engine, ms." },
   { "map-ask-ms", BT_SETTING_INTEGER, FIELD (map_ask_ms), "250", 10, 60000,
-    "Between two questions to rank 0 about an undecided round, ms." },
+    "Interval of queries to rank 0 about an undecided round, ms." },
   { "map-give-up-ms", BT_SETTING_INTEGER, FIELD (map_give_up_ms), "5000", 100, 600000,
-    "Rank 0 drops a round that others have asked about for so long, ms." },
+    "Rank 0 abandons an undecided round that others have asked about for this long, ms." },
 };
 
 static void
 wait_idle (bt_context_t *ctx, bt_agent_t *agent, int64_t drain_ms)
 {
-  int64_t limit_ms = bt_now_ms (ctx) + drain_ms;
+  int64_t deadline_ms = bt_now_ms (ctx) + drain_ms;
 
-  while (!bt_is_agent_idle (ctx, agent) && bt_now_ms (ctx) < limit_ms)
+  while (!bt_is_agent_idle (ctx, agent) && bt_now_ms (ctx) < deadline_ms)
     bt_sleep_ms (IDLE_CHECK_MS);
 }
 
@@ -111,7 +112,7 @@
   bt_log (ctx, BT_LOG_INFO, BT_PART_MAIN, "Version %s serves %s on port %d.", BT_VERSION,
           settings->endpoint, bt_get_agent_port (agent));
   sigwait (&signals, &received);
-  bt_leave_agent (ctx, agent);
+  bt_drain_agent (ctx, agent);
   wait_idle (ctx, agent, settings->drain_ms);
   bt_drop_agent (ctx, agent);
   bt_log (ctx, BT_LOG_INFO, BT_PART_MAIN, "Stopped.");
@@ -144,7 +145,7 @@
   int status;
 
   if (argc >= 2 && strcmp (argv[1], "side") == 0)
-    status = bt_run_side_command (ctx, argc - 1, argv + 1);
+    status = bt_run_sidecar_command (ctx, argc - 1, argv + 1);
   else
     status = run_main (ctx, argc, argv);
   bt_drop_context (ctx);
--- a/source/agent/map_agent.c
+++ b/source/agent/map_agent.c
@@ -16,9 +16,9 @@
 enum
 {
   TICK_MS = 10,
-  LOADS_MS = 1000,
+  LOADS_INTERVAL_MS = 1000,
   KEY_BYTES = 256,
-  SETTLE_SPARE_MS = 100,
+  SETTLE_MARGIN_MS = 100,
 };
 
 struct bt_map_agent
@@ -29,17 +29,17 @@
   bt_kv_t *kv;
   pthread_t thread;
   bool started;
-  int32_t stopping; /* read while a call waits */
+  int32_t stopping; /* also read by a call in progress */
 
-  pthread_mutex_t lock; /* guards what stands below; links are called with it held */
+  pthread_mutex_t lock; /* guards the members below; links are called while it is held */
   bt_map_rank_t *rank;
   bt_map_actions_t actions;
-  bt_map_action_t call; /* for the engine, while calling is set */
-  bool calling;
-  bool read_floor;
+  bt_map_action_t call; /* the next call to the engine, valid while call_pending is set */
+  bool call_pending;
+  bool floor_wanted;
   bt_link_t **links;
   int32_t link_count;
-  uint64_t map_digest; /* of the bytes that came with the last order */
+  uint64_t map_digest; /* digest of the map received with the last order that carried one */
   bt_map_bytes_t map;
 };
 
@@ -54,7 +54,8 @@
                   1);
 }
 
-/* Reports go to every entry: the one that holds the lease knows its own orders' numbers. */
+/* Reports go to every entry. The one that holds the lease recognizes its own orders by their
+ * numbers. */
 static void
 send_action (bt_map_agent_t *agent, const bt_map_action_t *action)
 {
@@ -71,9 +72,9 @@
     }
 }
 
-/* With the lock held. */
+/* Executes the pending actions. The lock must be held. */
 static void
-carry_out (bt_map_agent_t *agent)
+execute_actions (bt_map_agent_t *agent)
 {
   for (int32_t i = 0; i < agent->actions.count; i++)
     {
@@ -82,10 +83,10 @@
       if (action->kind == BT_MAP_ENGINE_ORDER)
         {
           agent->call = *action;
-          agent->calling = true;
+          agent->call_pending = true;
         }
       else if (action->kind == BT_MAP_READ_FLOOR)
-        agent->read_floor = true;
+        agent->floor_wanted = true;
       else
         send_action (agent, action);
       if (action->kind == BT_MAP_REPORT)
@@ -95,7 +96,7 @@
 }
 
 static void
-forget_closed_links (bt_map_agent_t *agent)
+remove_closed_links (bt_map_agent_t *agent)
 {
   for (int32_t i = 0; i < agent->link_count; i++)
     if (bt_is_link_closed (agent->links[i]))
@@ -108,7 +109,7 @@
 static void
 add_link (bt_map_agent_t *agent, bt_link_t *link)
 {
-  forget_closed_links (agent);
+  remove_closed_links (agent);
   for (int32_t i = 0; i < agent->link_count; i++)
     if (agent->links[i] == link)
       return;
@@ -133,7 +134,7 @@
 }
 
 static bool
-is_for_us (const bt_map_agent_t *agent, const bt_frame_t *frame)
+is_for_this_agent (const bt_map_agent_t *agent, const bt_frame_t *frame)
 {
   const char *group = agent->settings.group;
 
@@ -151,20 +152,20 @@
     }
 }
 
-/* Keeps the bytes that a map is staged or joined with. An order whose bytes are not the map that it
- * names is damaged, and not taken at all. */
+/* Stores the map of a STAGE or JOIN order. An order whose bytes do not match its digest is corrupt
+ * and is ignored. */
 static bool
-keep_map (bt_map_agent_t *agent, const bt_map_order_t *order, const Bilberry__MapOrder *frame)
+store_map (bt_map_agent_t *agent, const bt_map_order_t *order, const Bilberry__MapOrder *frame)
 {
   bt_expert_map_t *map;
-  bool same;
+  bool valid;
 
   if (frame->map.len == 0)
     return true;
   map = bt_decode_expert_map (agent->ctx, frame->map.data, (uint32_t)frame->map.len, NULL);
-  same = map != NULL && bt_digest_expert_map (agent->ctx, map) == order->digest;
+  valid = map != NULL && bt_digest_expert_map (agent->ctx, map) == order->digest;
   bt_drop_expert_map (agent->ctx, map);
-  if (!same)
+  if (!valid)
     return false;
   bt_free (agent->ctx, agent->map.data);
   agent->map.data = bt_memdup (agent->ctx, frame->map.data, frame->map.len);
@@ -174,7 +175,7 @@
 }
 
 static void
-take_frame (bt_map_agent_t *agent, const bt_frame_t *frame)
+handle_frame (bt_map_agent_t *agent, const bt_frame_t *frame)
 {
   int64_t now_ms = bt_now_ms (agent->ctx);
   bt_map_order_t order = { 0 };
@@ -192,19 +193,19 @@
       bt_handle_map_tell (agent->ctx, agent->rank, &tell, now_ms, &agent->actions);
     }
   else if (bt_read_map_order (frame->map_order, &order)
-           && keep_map (agent, &order, frame->map_order))
+           && store_map (agent, &order, frame->map_order))
     bt_handle_map_order (agent->ctx, agent->rank, &order, now_ms, &agent->actions);
 }
 
 void
-bt_take_map_agent_frame (bt_map_agent_t *agent, bt_link_t *link, const bt_frame_t *frame)
+bt_handle_map_agent_frame (bt_map_agent_t *agent, bt_link_t *link, const bt_frame_t *frame)
 {
-  if (agent == NULL || !is_for_us (agent, frame))
+  if (agent == NULL || !is_for_this_agent (agent, frame))
     return;
   pthread_mutex_lock (&agent->lock);
   add_link (agent, link);
-  take_frame (agent, frame);
-  carry_out (agent);
+  handle_frame (agent, frame);
+  execute_actions (agent);
   pthread_mutex_unlock (&agent->lock);
 }
 
@@ -218,18 +219,18 @@
       bt_call_map_engine (agent->ctx, agent->engine, &call->order, map, &accepted, &state, &error);
 
   if (!answered)
-    bt_log (agent->ctx, BT_LOG_WARNING, BT_PART_MAPS, "Order %s had no answer: %s",
+    bt_log (agent->ctx, BT_LOG_WARNING, BT_PART_MAPS, "Order %s was not answered: %s",
             bt_name_map_order (call->order.kind), error.message);
   pthread_mutex_lock (&agent->lock);
   bt_handle_engine_answer (agent->ctx, agent->rank, call->call, accepted, answered ? &state : NULL,
                            bt_now_ms (agent->ctx), &agent->actions);
-  carry_out (agent);
+  execute_actions (agent);
   pthread_mutex_unlock (&agent->lock);
 }
 
-/* The newest controller's fencing number is the revision at which it took its lease. */
+/* The fencing number of the newest controller is the revision at which it took its lease. */
 static void
-read_floor (bt_map_agent_t *agent)
+read_fencing_floor (bt_map_agent_t *agent)
 {
   bt_kv_range_t range = { 0 };
   bt_error_t error = { 0 };
@@ -248,7 +249,7 @@
   bt_drop_kv_range (agent->ctx, &range);
 }
 
-/* Loads are for planning only: one reading lost is one reading late. */
+/* Loads are used for planning only, so a failed reading just delays them until the next one. */
 static void
 report_loads (bt_map_agent_t *agent)
 {
@@ -257,7 +258,7 @@
   if (!bt_read_map_loads (agent->ctx, agent->engine, &loads))
     return;
   pthread_mutex_lock (&agent->lock);
-  forget_closed_links (agent);
+  remove_closed_links (agent);
   for (int32_t i = 0; i < agent->link_count; i++)
     bt_send_map_loads (agent->ctx, agent->links[i], agent->settings.group, agent->settings.rank,
                        &loads);
@@ -265,7 +266,7 @@
   bt_free (agent->ctx, loads.tokens);
 }
 
-/* Copies the bytes that belong to the order under way. With the lock held. */
+/* Copies the map that belongs to the order being executed. The lock must be held. */
 static void
 copy_map (const bt_map_agent_t *agent, const bt_map_order_t *order, bt_map_bytes_t *map)
 {
@@ -280,51 +281,52 @@
 run_map_agent (void *data)
 {
   bt_map_agent_t *agent = data;
-  int64_t loads_ms = 0;
+  int64_t next_loads_ms = 0;
 
   while (ck_pr_load_int (&agent->stopping) == 0)
     {
       bt_map_action_t call;
       bt_map_bytes_t map = { 0 };
-      bool calling;
-      bool reading;
+      bool call_pending;
+      bool floor_wanted;
 
       pthread_mutex_lock (&agent->lock);
       bt_tick_map_rank (agent->ctx, agent->rank, bt_now_ms (agent->ctx), &agent->actions);
-      carry_out (agent);
+      execute_actions (agent);
       call = agent->call;
-      calling = agent->calling;
-      reading = agent->read_floor;
-      agent->calling = agent->read_floor = false;
-      if (calling)
+      call_pending = agent->call_pending;
+      floor_wanted = agent->floor_wanted;
+      agent->call_pending = agent->floor_wanted = false;
+      if (call_pending)
         copy_map (agent, &call.order, &map);
       pthread_mutex_unlock (&agent->lock);
-      if (calling)
+      if (call_pending)
         call_engine (agent, &call, &map);
       bt_free (agent->ctx, map.data);
-      if (reading)
-        read_floor (agent);
-      if (!calling && bt_now_ms (agent->ctx) >= loads_ms)
+      if (floor_wanted)
+        read_fencing_floor (agent);
+      if (!call_pending && bt_now_ms (agent->ctx) >= next_loads_ms)
         {
-          loads_ms = bt_now_ms (agent->ctx) + LOADS_MS;
+          next_loads_ms = bt_now_ms (agent->ctx) + LOADS_INTERVAL_MS;
           report_loads (agent);
         }
-      if (!calling)
+      if (!call_pending)
         bt_sleep_ms (TICK_MS);
     }
   return NULL;
 }
 
 static bt_map_rank_t *
-make_rank (bt_map_agent_t *agent, uint64_t incarnation)
+create_rank (bt_map_agent_t *agent, uint64_t incarnation)
 {
   const bt_map_agent_settings_t *settings = &agent->settings;
   bt_map_rank_settings_t rank = { 0 };
 
   rank.rank = (int32_t)settings->rank;
   rank.incarnation = incarnation;
-  rank.settle_ms = settings->call_ms + SETTLE_SPARE_MS;
-  /* The thread gives up a call before the decisions do, so that none is with the engine then. */
+  rank.settle_ms = settings->call_ms + SETTLE_MARGIN_MS;
+  /* The thread ends a call before bt_map_rank_t abandons it, so no call is in progress at the
+   * engine by then. */
   rank.call_limit_ms = settings->call_ms * 2;
   rank.ask_ms = settings->ask_ms;
   rank.give_up_ms = settings->give_up_ms;
@@ -347,7 +349,7 @@
   pthread_mutex_init (&agent->lock, NULL);
   agent->kv = bt_new_etcd_kv (ctx, &kv);
   agent->engine = bt_new_map_engine (ctx, settings->rank_url, settings->call_ms, &agent->stopping);
-  agent->rank = make_rank (agent, incarnation);
+  agent->rank = create_rank (agent, incarnation);
   agent->started = pthread_create (&agent->thread, NULL, run_map_agent, agent) == 0;
   if (agent->started)
     return agent;
