--- a/bench/bench_capacity.c
+++ b/bench/bench_capacity.c
@@ -71,7 +71,7 @@
 }
 
 static int64_t
-count_heartbeat (const bt_spread_heartbeat_t *said)
+count_heartbeat (const bt_sync_heartbeat_t *said)
 {
   Bilberry__Heartbeat heartbeat = BILBERRY__HEARTBEAT__INIT;
   bt_frame_t frame = BILBERRY__FRAME__INIT;
@@ -90,7 +90,7 @@
 static int64_t
 count_bytes (void *data,
              bt_trial_frame_t kind,
-             const bt_spread_heartbeat_t *heartbeat,
+             const bt_sync_heartbeat_t *heartbeat,
              const bt_document_list_t *documents)
 {
   bt_push_frame_t push = { 0 };
@@ -278,7 +278,7 @@
   Bilberry__Heartbeat beat = BILBERRY__HEARTBEAT__INIT;
   Bilberry__Load load = BILBERRY__LOAD__INIT;
   bt_frame_t frame = BILBERRY__FRAME__INIT;
-  bt_spread_heartbeat_t said = { 86400000, 86400000, 1 << 20, 3000, 1 << 20, UINT64_MAX };
+  bt_sync_heartbeat_t said = { 86400000, 86400000, 1 << 20, 3000, 1 << 20, UINT64_MAX };
   int64_t to_agent;
 
   frame.body_case = BILBERRY__FRAME__BODY_HEARTBEAT;
--- a/bench/harness_spread.c
+++ b/bench/harness_spread.c
@@ -45,7 +45,7 @@
   uint64_t from_start;
   uint64_t to_start;
   int64_t due_ms;
-  bt_spread_heartbeat_t heartbeat;
+  bt_sync_heartbeat_t heartbeat;
   bt_document_list_t documents;
   int64_t low;
   int64_t high;
@@ -57,7 +57,7 @@
 typedef struct node
 {
   bt_identity_t identity;
-  bt_config_spread_t *spread;
+  bt_config_sync_t *spread;
   int64_t dead_until_ms; /**< 0 while it lives. */
   int64_t sent_bytes;
 } node_t;
@@ -71,7 +71,7 @@
   uint64_t starts;
   node_t *nodes;
   bool *near;
-  bt_spread_member_t *members;
+  bt_sync_member_t *members;
   bt_document_t **documents;
   int64_t revision;
   uint64_t calls;
@@ -122,22 +122,22 @@
 }
 
 static void
-send_link (fleet_t *fleet, int32_t from, const bt_spread_action_t *action)
+send_link (fleet_t *fleet, int32_t from, const bt_sync_action_t *action)
 {
-  static const bt_trial_frame_t frames[] = { [BT_SPREAD_PUSH] = BT_TRIAL_PUSH,
-                                             [BT_SPREAD_PULL] = BT_TRIAL_PULL,
-                                             [BT_SPREAD_IN_FORCE] = BT_TRIAL_IN_FORCE };
+  static const bt_trial_frame_t frames[] = { [BT_SYNC_PUSH] = BT_TRIAL_PUSH,
+                                             [BT_SYNC_PULL] = BT_TRIAL_PULL,
+                                             [BT_SYNC_IN_FORCE] = BT_TRIAL_IN_FORCE };
   const bt_spread_trial_t *trial = fleet->trial;
   int32_t to = find_node (fleet, &action->peer);
   event_t *event;
 
   fleet->nodes[from].sent_bytes +=
       trial->count_bytes (trial->count_data, frames[action->kind], NULL, &action->documents);
-  if (to < 0 || action->kind == BT_SPREAD_IN_FORCE || is_lost (fleet))
+  if (to < 0 || action->kind == BT_SYNC_IN_FORCE || is_lost (fleet))
     return;
-  event = add_event (fleet, action->kind == BT_SPREAD_PUSH ? EVENT_PUSH : EVENT_PULL, from, to,
+  event = add_event (fleet, action->kind == BT_SYNC_PUSH ? EVENT_PUSH : EVENT_PULL, from, to,
                      trial->latency_ms);
-  event->low = action->kind == BT_SPREAD_PULL ? action->since : action->from;
+  event->low = action->kind == BT_SYNC_PULL ? action->since : action->from;
   event->high = action->to;
   event->whole = action->whole;
   for (int32_t i = 0; i < action->documents.count; i++)
@@ -156,34 +156,34 @@
 }
 
 static void
-run_actions (fleet_t *fleet, int32_t node, bt_spread_actions_t *actions)
+run_actions (fleet_t *fleet, int32_t node, bt_sync_actions_t *actions)
 {
   for (int32_t i = 0; i < actions->count; i++)
     {
-      const bt_spread_action_t *action = &actions->items[i];
+      const bt_sync_action_t *action = &actions->items[i];
 
-      if (action->kind == BT_SPREAD_READ || action->kind == BT_SPREAD_WATCH)
+      if (action->kind == BT_SYNC_READ || action->kind == BT_SYNC_WATCH)
         fleet->calls++;
-      if (fleet->down && (action->kind == BT_SPREAD_READ || action->kind == BT_SPREAD_WATCH))
+      if (fleet->down && (action->kind == BT_SYNC_READ || action->kind == BT_SYNC_WATCH))
         add_event (fleet, EVENT_FAILURE, -1, node, FAILURE_MS);
-      else if (action->kind == BT_SPREAD_READ)
+      else if (action->kind == BT_SYNC_READ)
         answer_read (fleet, node, action->since);
-      else if (action->kind == BT_SPREAD_WATCH)
+      else if (action->kind == BT_SYNC_WATCH)
         add_event (fleet, EVENT_WATCH, -1, node, action->wait_ms);
-      else if (action->kind != BT_SPREAD_APPLY)
+      else if (action->kind != BT_SYNC_APPLY)
         send_link (fleet, node, action);
     }
-  bt_clear_spread_actions (fleet->ctx, actions);
+  bt_clear_sync_actions (fleet->ctx, actions);
 }
 
 static void
 deliver (fleet_t *fleet, const event_t *event)
 {
-  bt_config_spread_t *spread = fleet->nodes[event->to].spread;
-  bt_spread_push_t push = { &event->documents, event->low, event->high, event->whole,
-                            event->request };
+  bt_config_sync_t *spread = fleet->nodes[event->to].spread;
+  bt_sync_push_t push = { &event->documents, event->low, event->high, event->whole,
+                          event->request };
   bt_identity_t source = { "operator", 1 };
-  bt_spread_actions_t actions = { 0 };
+  bt_sync_actions_t actions = { 0 };
 
   if (spread == NULL || event->to_start != fleet->nodes[event->to].identity.incarnation)
     return;
@@ -193,19 +193,19 @@
       source.incarnation = event->from_start;
     }
   if (event->kind == EVENT_HEARTBEAT)
-    bt_take_spread_heartbeat (fleet->ctx, spread, &source, &event->heartbeat, fleet->now_ms,
+    bt_handle_sync_heartbeat (fleet->ctx, spread, &source, &event->heartbeat, fleet->now_ms,
                               &actions);
   else if (event->kind == EVENT_PUSH)
-    bt_take_spread_push (fleet->ctx, spread, &source, &push, fleet->now_ms, &actions);
+    bt_handle_sync_push (fleet->ctx, spread, &source, &push, fleet->now_ms, &actions);
   else if (event->kind == EVENT_PULL)
-    bt_take_spread_pull (fleet->ctx, spread, &source, event->low, &actions);
+    bt_handle_sync_pull (fleet->ctx, spread, &source, event->low, &actions);
   else if (event->kind == EVENT_READ)
-    bt_take_store_read (fleet->ctx, spread, event->high, &event->documents, fleet->now_ms,
-                        &actions);
+    bt_handle_store_read (fleet->ctx, spread, event->high, &event->documents, fleet->now_ms,
+                          &actions);
   else if (event->kind == EVENT_FAILURE)
-    bt_take_store_failure (fleet->ctx, spread, fleet->now_ms);
+    bt_handle_store_failure (fleet->ctx, spread, fleet->now_ms);
   else
-    bt_take_store_watch (fleet->ctx, spread, true, fleet->now_ms, &actions);
+    bt_handle_store_watch (fleet->ctx, spread, true, fleet->now_ms, &actions);
   run_actions (fleet, event->to, &actions);
 }
 
@@ -216,12 +216,12 @@
 
   for (int32_t peer = 0; peer < trial->entries; peer++)
     {
-      bt_spread_heartbeat_t heartbeat;
+      bt_sync_heartbeat_t heartbeat;
 
       if (!is_near (fleet, node, peer) || fleet->nodes[peer].spread == NULL)
         continue;
-      bt_make_spread_heartbeat (fleet->nodes[node].spread, &fleet->nodes[peer].identity,
-                                fleet->now_ms, &heartbeat);
+      bt_make_sync_heartbeat (fleet->nodes[node].spread, &fleet->nodes[peer].identity,
+                              fleet->now_ms, &heartbeat);
       fleet->nodes[node].sent_bytes +=
           trial->count_bytes (trial->count_data, BT_TRIAL_HEARTBEAT, &heartbeat, NULL);
       if (!is_lost (fleet))
@@ -234,15 +234,15 @@
 {
   for (int32_t peer = 0; peer < fleet->trial->entries; peer++)
     {
-      bt_spread_actions_t actions = { 0 };
+      bt_sync_actions_t actions = { 0 };
 
       if (!is_near (fleet, node, peer) || fleet->nodes[peer].spread == NULL)
         continue;
-      bt_open_spread_link (fleet->ctx, fleet->nodes[node].spread, &fleet->nodes[peer].identity,
-                           fleet->now_ms, &actions);
+      bt_open_sync_link (fleet->ctx, fleet->nodes[node].spread, &fleet->nodes[peer].identity,
+                         fleet->now_ms, &actions);
       run_actions (fleet, node, &actions);
-      bt_open_spread_link (fleet->ctx, fleet->nodes[peer].spread, &fleet->nodes[node].identity,
-                           fleet->now_ms, &actions);
+      bt_open_sync_link (fleet->ctx, fleet->nodes[peer].spread, &fleet->nodes[node].identity,
+                         fleet->now_ms, &actions);
       run_actions (fleet, peer, &actions);
     }
 }
@@ -250,17 +250,17 @@
 static void
 start_node (fleet_t *fleet, int32_t index)
 {
-  bt_spread_settings_t settings = bt_get_default_spread_settings ();
+  bt_sync_settings_t settings = bt_get_default_sync_settings ();
   node_t *node = &fleet->nodes[index];
 
   snprintf (node->identity.instance, BT_NAME_BYTES, "entry-%d", (int)index);
   node->identity.incarnation = ++fleet->starts;
   node->dead_until_ms = 0;
   node->spread =
-      bt_new_config_spread (fleet->ctx, &node->identity, &settings, fleet->starts, fleet->now_ms);
+      bt_new_config_sync (fleet->ctx, &node->identity, &settings, fleet->starts, fleet->now_ms);
   for (int32_t i = 0; i < fleet->trial->entries; i++)
     fleet->members[i].near = is_near (fleet, index, i);
-  bt_set_spread_members (fleet->ctx, node->spread, fleet->members, fleet->trial->entries);
+  bt_set_sync_members (fleet->ctx, node->spread, fleet->members, fleet->trial->entries);
   open_links (fleet, index);
 }
 
@@ -269,12 +269,12 @@
 {
   node_t *node = &fleet->nodes[index];
 
-  bt_drop_config_spread (fleet->ctx, node->spread);
+  bt_drop_config_sync (fleet->ctx, node->spread);
   node->spread = NULL;
   node->dead_until_ms = fleet->now_ms + REPLACE_MS;
   for (int32_t peer = 0; peer < fleet->trial->entries; peer++)
     if (is_near (fleet, peer, index) && fleet->nodes[peer].spread != NULL)
-      bt_close_spread_link (fleet->ctx, fleet->nodes[peer].spread, &node->identity);
+      bt_close_sync_link (fleet->ctx, fleet->nodes[peer].spread, &node->identity);
 }
 
 static void
@@ -295,7 +295,7 @@
     }
   for (int32_t i = 0; i < fleet->trial->entries; i++)
     {
-      bt_spread_actions_t actions = { 0 };
+      bt_sync_actions_t actions = { 0 };
       node_t *node = &fleet->nodes[i];
 
       if (node->spread == NULL && fleet->now_ms >= node->dead_until_ms)
@@ -303,7 +303,7 @@
       if (node->spread == NULL)
         continue;
       if ((fleet->now_ms + i) % TICK_MS == 0)
-        bt_tick_config_spread (fleet->ctx, node->spread, fleet->now_ms, &actions);
+        bt_tick_config_sync (fleet->ctx, node->spread, fleet->now_ms, &actions);
       run_actions (fleet, i, &actions);
       if ((fleet->now_ms + (int64_t)i * 7) % fleet->trial->beat_ms == 0)
         beat (fleet, i);
@@ -391,7 +391,7 @@
 {
   for (int32_t i = 0; i < fleet->trial->entries; i++)
     if (fleet->nodes[i].spread != NULL
-        && bt_get_table_revision (bt_get_spread_table (fleet->nodes[i].spread)) < fleet->revision)
+        && bt_get_table_revision (bt_get_sync_table (fleet->nodes[i].spread)) < fleet->revision)
       return false;
   return true;
 }
@@ -544,7 +544,7 @@
   bt_context_t *ctx = fleet->ctx;
 
   for (int32_t i = 0; i < fleet->trial->entries; i++)
-    bt_drop_config_spread (ctx, fleet->nodes[i].spread);
+    bt_drop_config_sync (ctx, fleet->nodes[i].spread);
   for (int32_t i = 0; i < RING_MS; i++)
     while (fleet->ring[i] != NULL)
       {
--- a/bench/harness_spread.h
+++ b/bench/harness_spread.h
@@ -6,7 +6,7 @@
  * what a fleet of a given size costs.
  */
 
-#include "bilberrytray/config/config_spread.h"
+#include "bilberrytray/config/config_sync.h"
 
 /** What goes wrong during the changes of a trial. */
 typedef enum bt_trial_fault
@@ -41,7 +41,7 @@
   /** Bytes of a frame on the wire. */
   int64_t (*count_bytes) (void *data,
                           bt_trial_frame_t kind,
-                          const bt_spread_heartbeat_t *heartbeat,
+                          const bt_sync_heartbeat_t *heartbeat,
                           const bt_document_list_t *documents);
   void *count_data;
 } bt_spread_trial_t;
--- a/include/bilberrytray/config/publisher.h
+++ b/include/bilberrytray/config/publisher.h
@@ -83,11 +83,11 @@
 
 typedef enum bt_publish_action_kind
 {
-  BT_PUBLISH_READ = 0,  /**< Read the named documents from the store. */
-  BT_PUBLISH_COMMIT,    /**< Commit the comparisons and the documents in one transaction. */
-  BT_PUBLISH_HAND_OVER, /**< Push the documents to the entry and ask which revisions are in force.
-                         */
-  BT_PUBLISH_FINISH,    /**< The result is final; no further action follows. */
+  BT_PUBLISH_READ = 0, /**< Read the named documents from the store. */
+  BT_PUBLISH_COMMIT,   /**< Commit the comparisons and the documents in one transaction. */
+  BT_PUBLISH_PUSH,     /**< Push the documents to the entry and ask which revisions are in force.
+                        */
+  BT_PUBLISH_FINISH,   /**< The result is final; no further action follows. */
 } bt_publish_action_kind_t;
 
 typedef struct bt_publish_action
@@ -129,26 +129,26 @@
                          bt_publish_actions_t *actions);
 
 /** Handles a successful read; @p found holds the named documents that exist. */
-void bt_take_publish_read (bt_context_t *ctx,
-                           bt_publisher_t *publisher,
-                           const bt_document_list_t *found,
-                           int64_t now_ms,
-                           bt_publish_actions_t *actions);
-
-/** Handles the answer to the transaction; @p revision is that of its writes if it succeeded. */
-void bt_take_publish_commit (bt_context_t *ctx,
+void bt_handle_publish_read (bt_context_t *ctx,
                              bt_publisher_t *publisher,
-                             bool succeeded,
-                             int64_t revision,
+                             const bt_document_list_t *found,
                              int64_t now_ms,
                              bt_publish_actions_t *actions);
 
+/** Handles the answer to the transaction; @p revision is that of its writes if it succeeded. */
+void bt_handle_publish_commit (bt_context_t *ctx,
+                               bt_publisher_t *publisher,
+                               bool succeeded,
+                               int64_t revision,
+                               int64_t now_ms,
+                               bt_publish_actions_t *actions);
+
 /** Handles a read or a transaction that failed; @p unknown: it may have taken effect. */
-void bt_take_publish_failure (bt_context_t *ctx,
-                              bt_publisher_t *publisher,
-                              bool unknown,
-                              int64_t now_ms,
-                              bt_publish_actions_t *actions);
+void bt_handle_publish_failure (bt_context_t *ctx,
+                                bt_publisher_t *publisher,
+                                bool unknown,
+                                int64_t now_ms,
+                                bt_publish_actions_t *actions);
 
 /** Sets the incarnation of an entry that is linked now; 0: none. Confirmations of an earlier
  * incarnation no longer count. */
@@ -156,13 +156,13 @@
 bt_set_publish_incarnation (bt_publisher_t *publisher, const char *instance, uint64_t incarnation);
 
 /** Handles an entry's report of the revision in force of one document; 0 if it has none. */
-void bt_take_publish_in_force (bt_context_t *ctx,
-                               bt_publisher_t *publisher,
-                               const char *instance,
-                               const char *name,
-                               int64_t revision,
-                               int64_t now_ms,
-                               bt_publish_actions_t *actions);
+void bt_handle_publish_in_force (bt_context_t *ctx,
+                                 bt_publisher_t *publisher,
+                                 const char *instance,
+                                 const char *name,
+                                 int64_t revision,
+                                 int64_t now_ms,
+                                 bt_publish_actions_t *actions);
 
 void bt_tick_publisher (bt_context_t *ctx,
                         bt_publisher_t *publisher,
@@ -177,7 +177,7 @@
  * each with; -1: no comparison. The publisher owns the list. After the commit it holds the
  * documents to push. */
 const bt_document_list_t *bt_get_publish_changes (const bt_publisher_t *publisher);
-int64_t bt_get_publish_compare (const bt_publisher_t *publisher, int32_t index);
+int64_t bt_get_publish_compare_revision (const bt_publisher_t *publisher, int32_t index);
 
 bt_publish_result_t bt_get_publish_result (const bt_publisher_t *publisher);
 int64_t bt_get_publish_revision (const bt_publisher_t *publisher);
--- a/include/bilberrytray/config/rule.h
+++ b/include/bilberrytray/config/rule.h
@@ -17,7 +17,7 @@
 } bt_header_t;
 
 /** The attributes of a request that rules can match on. */
-typedef struct bt_request_facts
+typedef struct bt_request_attributes
 {
   const char *account;
   const char *app; /**< Name of the requested model or service; "" for none. */
@@ -28,7 +28,7 @@
   bool idempotent;
   int64_t body_bytes;
   bt_priority_t priority;
-} bt_request_facts_t;
+} bt_request_attributes_t;
 
 /** The part of a rule's condition that a request does not satisfy. */
 typedef enum bt_rule_part
@@ -46,16 +46,16 @@
 
 /** The index of the first rule that matches, or -1. */
 int32_t bt_match_rules (const bt_declarations_t *declarations,
-                        const bt_request_facts_t *attributes);
+                        const bt_request_attributes_t *attributes);
 
 /** The first part of a rule's condition that the request does not satisfy. */
-bt_rule_part_t bt_check_rule (const bt_rule_t *rule, const bt_request_facts_t *attributes);
+bt_rule_part_t bt_check_rule (const bt_rule_t *rule, const bt_request_attributes_t *attributes);
 
 const char *bt_name_rule_part (bt_rule_part_t part);
 
 /** Prints why each rule before the deciding one does not match, and what the deciding rule does. */
 void bt_explain_rules (const bt_declarations_t *declarations,
-                       const bt_request_facts_t *attributes,
+                       const bt_request_attributes_t *attributes,
                        FILE *out);
 
 /** True when @p earlier matches every request that @p later matches. @p later then never decides a
--- a/include/bilberrytray/core/membership.h
+++ b/include/bilberrytray/core/membership.h
@@ -15,7 +15,7 @@
 #include <stdint.h>
 
 #include "bilberrytray/base/context.h"
-#include "bilberrytray/config/config_spread.h"
+#include "bilberrytray/config/config_sync.h"
 #include "bilberrytray/core/identity.h"
 
 typedef enum bt_listed_role
@@ -154,7 +154,7 @@
 /** Lists the entries for the distribution of configuration: those that are listed or linked and not
  * leaving. Silent ones are included, since they may still be reachable by others. The caller frees
  * the array with bt_free. */
-bt_spread_member_t *
-bt_list_spread_members (bt_context_t *ctx, const bt_membership_t *membership, int32_t *count);
+bt_sync_member_t *
+bt_list_sync_members (bt_context_t *ctx, const bt_membership_t *membership, int32_t *count);
 
 #endif
--- a/source/agent/command_side.c
+++ b/source/agent/command_side.c
@@ -6,7 +6,7 @@
 
 #include "bilberrytray/base/event_log.h"
 #include "bilberrytray/page/page.h"
-#include "side.h"
+#include "sidecar.h"
 #include "start.h"
 
 #define FIELD(name) offsetof (bt_sidecar_settings_t, name)
--- a/source/agent/main.c
+++ b/source/agent/main.c
@@ -6,7 +6,7 @@
 #include <curl/curl.h>
 
 #include "agent.h"
-#include "side.h"
+#include "sidecar.h"
 #include "start.h"
 
 enum
--- a/source/agent/picks_turn.c
+++ b/source/agent/picks_schedule.c
@@ -1,4 +1,4 @@
-#include "picks_turn.h"
+#include "picks_schedule.h"
 
 void
 bt_request_picks (bt_picks_schedule_t *schedule, bool wanted, int32_t interval)
--- a/source/agent/picks_turn.h
+++ b/source/agent/picks_schedule.h
@@ -1,5 +1,5 @@
-#ifndef BILBERRYTRAY_SOURCE_AGENT_PICKS_TURN_H
-#define BILBERRYTRAY_SOURCE_AGENT_PICKS_TURN_H
+#ifndef BILBERRYTRAY_SOURCE_AGENT_PICKS_SCHEDULE_H
+#define BILBERRYTRAY_SOURCE_AGENT_PICKS_SCHEDULE_H
 
 /** @file
  * Decides which reports on a link carry an engine's picks. In a large group each agent adds picks
--- a/source/agent/told_picks.c
+++ b/source/agent/reported_picks.c
@@ -1,4 +1,4 @@
-#include "told_picks.h"
+#include "reported_picks.h"
 
 #include <string.h>
 
--- a/source/agent/told_picks.h
+++ b/source/agent/reported_picks.h
@@ -1,5 +1,5 @@
-#ifndef BILBERRYTRAY_SOURCE_AGENT_TOLD_PICKS_H
-#define BILBERRYTRAY_SOURCE_AGENT_TOLD_PICKS_H
+#ifndef BILBERRYTRAY_SOURCE_AGENT_REPORTED_PICKS_H
+#define BILBERRYTRAY_SOURCE_AGENT_REPORTED_PICKS_H
 
 /** @file
  * The counts of an engine's picks that were last reported on one link. An engine counts since it
--- a/source/agent/side.c
+++ b/source/agent/sidecar.c
@@ -1,11 +1,11 @@
-#include "side.h"
+#include "sidecar.h"
 
 #include <stdio.h>
 
 #include "bilberrytray/base/condition.h"
 #include "bilberrytray/base/event_log.h"
 #include "bilberrytray/base/random.h"
-#include "side_private.h"
+#include "sidecar_private.h"
 
 enum
 {
--- a/source/agent/side.h
+++ b/source/agent/sidecar.h
@@ -1,5 +1,5 @@
-#ifndef BILBERRYTRAY_SOURCE_AGENT_SIDE_H
-#define BILBERRYTRAY_SOURCE_AGENT_SIDE_H
+#ifndef BILBERRYTRAY_SOURCE_AGENT_SIDECAR_H
+#define BILBERRYTRAY_SOURCE_AGENT_SIDECAR_H
 
 /** @file
  * The sidecar, an agent beside an engine that callers' requests reach directly: it reports the
--- a/source/agent/side_figures.c
+++ b/source/agent/sidecar_metrics.c
@@ -1,4 +1,4 @@
-#include "side_figures.h"
+#include "sidecar_metrics.h"
 
 static const char *const answer_names[BT_SIDECAR_ANSWERS] = { "done", "refused", "fenced", "lost" };
 
--- a/source/agent/side_figures.h
+++ b/source/agent/sidecar_metrics.h
@@ -1,5 +1,5 @@
-#ifndef BILBERRYTRAY_SOURCE_AGENT_SIDE_FIGURES_H
-#define BILBERRYTRAY_SOURCE_AGENT_SIDE_FIGURES_H
+#ifndef BILBERRYTRAY_SOURCE_AGENT_SIDECAR_METRICS_H
+#define BILBERRYTRAY_SOURCE_AGENT_SIDECAR_METRICS_H
 
 /** @file
  * Counters and histograms of the sidecar for its operators' page.
--- a/source/agent/side_private.h
+++ b/source/agent/sidecar_private.h
@@ -1,5 +1,5 @@
-#ifndef BILBERRYTRAY_SOURCE_AGENT_SIDE_PRIVATE_H
-#define BILBERRYTRAY_SOURCE_AGENT_SIDE_PRIVATE_H
+#ifndef BILBERRYTRAY_SOURCE_AGENT_SIDECAR_PRIVATE_H
+#define BILBERRYTRAY_SOURCE_AGENT_SIDECAR_PRIVATE_H
 
 /** @file
  * State shared by the parts of the sidecar: links and orders, and the reports that it sends.
@@ -9,10 +9,10 @@
 
 #include "bilberrytray/wire/link.h"
 #include "engine_client.h"
-#include "picks_turn.h"
-#include "side.h"
-#include "side_figures.h"
-#include "told_picks.h"
+#include "picks_schedule.h"
+#include "reported_picks.h"
+#include "sidecar.h"
+#include "sidecar_metrics.h"
 
 typedef struct bt_sidecar_order bt_sidecar_order_t;
 
--- a/source/agent/side_reports.c
+++ b/source/agent/sidecar_reports.c
@@ -1,7 +1,7 @@
 #include <string.h>
 
 #include "bilberrytray/base/event_log.h"
-#include "side_private.h"
+#include "sidecar_private.h"
 
 bool
 bt_is_different_engine_start (int64_t first_ms, int64_t second_ms)
--- a/source/config/config_spread.c
+++ b/source/config/config_sync.c
@@ -1,8 +1,8 @@
-#include "bilberrytray/config/config_spread.h"
+#include "bilberrytray/config/config_sync.h"
 
 #include <string.h>
 
-#include "config_spread_private.h"
+#include "config_sync_private.h"
 
 enum
 {
@@ -11,35 +11,35 @@
 
 static const char watch_purpose[] = "watch";
 
-bt_spread_settings_t
-bt_get_default_spread_settings (void)
+bt_sync_settings_t
+bt_get_default_sync_settings (void)
 {
-  bt_spread_settings_t settings = { .watchers = 3,
-                                    .watch_wait_ms = 2000,
-                                    .isolation_ms = 10000,
-                                    .fallback_ms = 6000,
-                                    .pull_grace_ms = 500,
-                                    .pull_retry_ms = 1000,
-                                    .store_retry_ms = 500 };
+  bt_sync_settings_t settings = { .watchers = 3,
+                                  .watch_wait_ms = 2000,
+                                  .isolation_ms = 10000,
+                                  .fallback_ms = 6000,
+                                  .pull_grace_ms = 500,
+                                  .pull_retry_ms = 1000,
+                                  .store_retry_ms = 500 };
 
   return settings;
 }
 
 bool
-bt_has_spread_guard (const bt_config_spread_t *sync, uint32_t guard)
+bt_has_sync_guard (const bt_config_sync_t *sync, uint32_t guard)
 {
   return (sync->settings.guards_off & guard) == 0;
 }
 
-bt_config_spread_t *
-bt_new_config_spread (bt_context_t *ctx,
-                      const bt_identity_t *self,
-                      const bt_spread_settings_t *settings,
-                      uint64_t seed,
-                      int64_t now_ms)
+bt_config_sync_t *
+bt_new_config_sync (bt_context_t *ctx,
+                    const bt_identity_t *self,
+                    const bt_sync_settings_t *settings,
+                    uint64_t seed,
+                    int64_t now_ms)
 {
-  bt_config_spread_t *sync = bt_calloc (ctx, 1, sizeof *sync);
-  bool accept_older = (settings->guards_off & BT_SPREAD_TAKE_OLDER) != 0;
+  bt_config_sync_t *sync = bt_calloc (ctx, 1, sizeof *sync);
+  bool accept_older = (settings->guards_off & BT_SYNC_ACCEPT_OLDER) != 0;
 
   sync->self = *self;
   sync->settings = *settings;
@@ -51,7 +51,7 @@
 }
 
 void
-bt_drop_config_spread (bt_context_t *ctx, bt_config_spread_t *sync)
+bt_drop_config_sync (bt_context_t *ctx, bt_config_sync_t *sync)
 {
   if (sync == NULL)
     return;
@@ -63,7 +63,7 @@
 }
 
 void
-bt_clear_spread_actions (bt_context_t *ctx, bt_spread_actions_t *actions)
+bt_clear_sync_actions (bt_context_t *ctx, bt_sync_actions_t *actions)
 {
   for (int32_t i = 0; i < actions->count; i++)
     bt_clear_documents (ctx, &actions->items[i].documents);
@@ -71,10 +71,10 @@
   memset (actions, 0, sizeof *actions);
 }
 
-bt_spread_action_t *
-bt_add_spread_action (bt_context_t *ctx, bt_spread_actions_t *actions, bt_spread_action_kind_t kind)
+bt_sync_action_t *
+bt_add_sync_action (bt_context_t *ctx, bt_sync_actions_t *actions, bt_sync_action_kind_t kind)
 {
-  bt_spread_action_t *action;
+  bt_sync_action_t *action;
 
   if (actions->count == actions->capacity)
     {
@@ -97,7 +97,7 @@
 
 /* Returns the peer with this name, of any incarnation. */
 static peer_t *
-find_peer (const bt_config_spread_t *sync, const char *instance)
+find_peer (const bt_config_sync_t *sync, const char *instance)
 {
   for (int32_t i = 0; i < sync->peer_count; i++)
     if (strcmp (sync->peers[i].identity.instance, instance) == 0)
@@ -107,7 +107,7 @@
 
 /* Returns the peer if it is linked with the same incarnation. */
 static peer_t *
-find_linked_peer (const bt_config_spread_t *sync, const bt_identity_t *identity)
+find_linked_peer (const bt_config_sync_t *sync, const bt_identity_t *identity)
 {
   peer_t *peer = find_peer (sync, identity->instance);
 
@@ -118,7 +118,7 @@
 
 /* Adds a peer, or resets the state of a peer with the same name. */
 static peer_t *
-make_peer (bt_context_t *ctx, bt_config_spread_t *sync, const bt_identity_t *identity)
+make_peer (bt_context_t *ctx, bt_config_sync_t *sync, const bt_identity_t *identity)
 {
   peer_t *peer = find_peer (sync, identity->instance);
 
@@ -141,7 +141,7 @@
 }
 
 static bool
-is_member (const bt_config_spread_t *sync, const char *instance, bool *near)
+is_member (const bt_config_sync_t *sync, const char *instance, bool *near)
 {
   for (int32_t i = 0; i < sync->member_count; i++)
     if (strcmp (sync->members[i].instance, instance) == 0)
@@ -155,7 +155,7 @@
 /* Removes peers that are neither members nor linked. Otherwise the table would grow without end in
  * a fleet whose instances are replaced every day. */
 static void
-remove_unlinked_peers (bt_config_spread_t *sync)
+remove_unlinked_peers (bt_config_sync_t *sync)
 {
   int32_t kept = 0;
   bool near;
@@ -167,7 +167,7 @@
 }
 
 static void
-choose_watchers (bt_context_t *ctx, bt_config_spread_t *sync)
+choose_watchers (bt_context_t *ctx, bt_config_sync_t *sync)
 {
   int32_t wanted = sync->settings.watchers;
   int32_t *chosen = bt_calloc (ctx, (size_t)wanted, sizeof *chosen);
@@ -182,10 +182,10 @@
 }
 
 void
-bt_set_spread_members (bt_context_t *ctx,
-                       bt_config_spread_t *sync,
-                       const bt_spread_member_t *members,
-                       int32_t count)
+bt_set_sync_members (bt_context_t *ctx,
+                     bt_config_sync_t *sync,
+                     const bt_sync_member_t *members,
+                     int32_t count)
 {
   sync->members = bt_realloc (ctx, sync->members, (size_t)count, sizeof *sync->members);
   sync->near_members = bt_realloc (ctx, sync->near_members, (size_t)count, sizeof (bool));
@@ -213,7 +213,7 @@
 /* Counts the near members that had the same documents within the isolation limit or, with
  * @p start_quorum, those that count towards the start quorum. */
 static int32_t
-count_peers (const bt_config_spread_t *sync, int64_t now_ms, bool start_quorum)
+count_peers (const bt_config_sync_t *sync, int64_t now_ms, bool start_quorum)
 {
   int32_t count = 0;
   bool near;
@@ -237,11 +237,11 @@
  * one then has the change. With a single peer, the rules from before the last change could come
  * back. */
 static bool
-has_start_quorum (const bt_config_spread_t *sync)
+has_start_quorum (const bt_config_sync_t *sync)
 {
   int32_t needed = (sync->near_count + 1) / 2;
 
-  if (!bt_has_spread_guard (sync, BT_SPREAD_ANY_PEER))
+  if (!bt_has_sync_guard (sync, BT_SYNC_ANY_PEER))
     needed = 1;
   return sync->member_count > 0 && count_peers (sync, 0, true) >= needed && needed > 0
          && sync->near_count > 1;
@@ -252,56 +252,56 @@
  * partitioned from the rest also sees the store as down, but changes may be accepted on the other
  * side. Every majority includes an entry that has the accepted change. */
 static bool
-has_quorum (const bt_config_spread_t *sync, int64_t now_ms)
+has_quorum (const bt_config_sync_t *sync, int64_t now_ms)
 {
   int32_t agreed = count_peers (sync, now_ms, false);
 
-  if (!bt_has_spread_guard (sync, BT_SPREAD_ANY_PEER))
+  if (!bt_has_sync_guard (sync, BT_SYNC_ANY_PEER))
     return agreed > 0;
   return sync->member_count > 0 && 2 * (agreed + 1) > sync->near_count;
 }
 
-bt_spread_state_t
-bt_get_spread_state (const bt_config_spread_t *sync, int64_t now_ms)
+bt_sync_state_t
+bt_get_sync_state (const bt_config_sync_t *sync, int64_t now_ms)
 {
   if (!sync->ready)
-    return BT_SPREAD_NOT_READY;
+    return BT_SYNC_NOT_READY;
   if (is_within (sync->fresh_ms, now_ms, sync->settings.isolation_ms))
-    return BT_SPREAD_READY;
+    return BT_SYNC_READY;
   /* An instance that reaches neither the store nor a majority of its peers may serve rules that an
    * operator replaced long ago, and its callers would see no sign of a fault. It cannot detect
    * this, so it stops admitting requests after the limit. */
-  if (has_quorum (sync, now_ms) || !bt_has_spread_guard (sync, BT_SPREAD_NEVER_ISOLATED))
-    return BT_SPREAD_READY;
-  return BT_SPREAD_ISOLATED;
+  if (has_quorum (sync, now_ms) || !bt_has_sync_guard (sync, BT_SYNC_NEVER_ISOLATED))
+    return BT_SYNC_READY;
+  return BT_SYNC_ISOLATED;
 }
 
 static void
 send_pull (bt_context_t *ctx,
-           bt_config_spread_t *sync,
+           bt_config_sync_t *sync,
            peer_t *peer,
            int64_t now_ms,
-           bt_spread_actions_t *actions)
+           bt_sync_actions_t *actions)
 {
-  bt_spread_action_t *action;
+  bt_sync_action_t *action;
 
-  if (now_ms < peer->next_pull_ms || !bt_has_spread_guard (sync, BT_SPREAD_NO_PULL))
+  if (now_ms < peer->next_pull_ms || !bt_has_sync_guard (sync, BT_SYNC_NO_PULL))
     return;
   peer->next_pull_ms = now_ms + sync->settings.pull_retry_ms;
   sync->pulls++;
-  action = bt_add_spread_action (ctx, actions, BT_SPREAD_PULL);
+  action = bt_add_sync_action (ctx, actions, BT_SYNC_PULL);
   action->peer = peer->identity;
   action->since = sync->floor;
 }
 
 static void
 send_push (bt_context_t *ctx,
-           bt_config_spread_t *sync,
+           bt_config_sync_t *sync,
            const bt_identity_t *peer,
-           const bt_spread_push_t *push,
-           bt_spread_actions_t *actions)
+           const bt_sync_push_t *push,
+           bt_sync_actions_t *actions)
 {
-  bt_spread_action_t *action = bt_add_spread_action (ctx, actions, BT_SPREAD_PUSH);
+  bt_sync_action_t *action = bt_add_sync_action (ctx, actions, BT_SYNC_PUSH);
 
   sync->pushes++;
   action->peer = *peer;
@@ -316,10 +316,10 @@
  * exactly the document that this instance already had. */
 static void
 forward_push (bt_context_t *ctx,
-              bt_config_spread_t *sync,
+              bt_config_sync_t *sync,
               const bt_identity_t *source,
-              const bt_spread_push_t *push,
-              bt_spread_actions_t *actions)
+              const bt_sync_push_t *push,
+              bt_sync_actions_t *actions)
 {
   for (int32_t i = 0; i < sync->peer_count; i++)
     {
@@ -336,13 +336,13 @@
  * document from every peer. An entry that the operator missed notices it by the digest in the next
  * heartbeat. */
 void
-bt_take_spread_documents (bt_context_t *ctx,
-                          bt_config_spread_t *sync,
-                          const bt_identity_t *source,
-                          const bt_spread_push_t *push,
-                          bt_spread_actions_t *actions)
+bt_apply_sync_documents (bt_context_t *ctx,
+                         bt_config_sync_t *sync,
+                         const bt_identity_t *source,
+                         const bt_sync_push_t *push,
+                         bt_sync_actions_t *actions)
 {
-  bt_spread_push_t forwarded = { push->documents, push->from, push->to, false, 0 };
+  bt_sync_push_t forwarded = { push->documents, push->from, push->to, false, 0 };
   bool from_operator = source != NULL && find_linked_peer (sync, source) == NULL;
   bt_document_list_t applied = { 0 };
 
@@ -350,19 +350,18 @@
     if (bt_offer_document (ctx, sync->table, push->documents->items[i]) == BT_OFFER_APPLIED)
       bt_add_document (ctx, &applied, push->documents->items[i]);
   if (applied.count > 0)
-    append_documents (ctx, &applied,
-                      &bt_add_spread_action (ctx, actions, BT_SPREAD_APPLY)->documents);
+    append_documents (ctx, &applied, &bt_add_sync_action (ctx, actions, BT_SYNC_APPLY)->documents);
   if (applied.count > 0 && sync->ready && !from_operator)
     forward_push (ctx, sync, source, &forwarded, actions);
   bt_clear_documents (ctx, &applied);
 }
 
 void
-bt_open_spread_link (bt_context_t *ctx,
-                     bt_config_spread_t *sync,
-                     const bt_identity_t *identity,
-                     int64_t now_ms,
-                     bt_spread_actions_t *actions)
+bt_open_sync_link (bt_context_t *ctx,
+                   bt_config_sync_t *sync,
+                   const bt_identity_t *identity,
+                   int64_t now_ms,
+                   bt_sync_actions_t *actions)
 {
   peer_t *peer = make_peer (ctx, sync, identity);
 
@@ -371,7 +370,7 @@
 }
 
 void
-bt_close_spread_link (bt_context_t *ctx, bt_config_spread_t *sync, const bt_identity_t *identity)
+bt_close_sync_link (bt_context_t *ctx, bt_config_sync_t *sync, const bt_identity_t *identity)
 {
   peer_t *peer = find_linked_peer (sync, identity);
 
@@ -383,10 +382,10 @@
 }
 
 void
-bt_make_spread_heartbeat (const bt_config_spread_t *sync,
-                          const bt_identity_t *identity,
-                          int64_t now_ms,
-                          bt_spread_heartbeat_t *heartbeat)
+bt_make_sync_heartbeat (const bt_config_sync_t *sync,
+                        const bt_identity_t *identity,
+                        int64_t now_ms,
+                        bt_sync_heartbeat_t *heartbeat)
 {
   const peer_t *peer = find_linked_peer (sync, identity);
 
@@ -399,7 +398,7 @@
 }
 
 void
-bt_raise_spread_time (int64_t *time_ms, int64_t candidate_ms)
+bt_raise_sync_time (int64_t *time_ms, int64_t candidate_ms)
 {
   if (candidate_ms > *time_ms)
     *time_ms = candidate_ms;
@@ -408,12 +407,12 @@
 /* Raises the floor to that of a peer with the same digest. If this table is complete up to the
  * peer's floor, also takes over the time of the peer's freshest read, dated by the local clock. */
 static void
-update_freshness (bt_config_spread_t *sync, const bt_spread_heartbeat_t *heartbeat, int64_t sent_ms)
+update_freshness (bt_config_sync_t *sync, const bt_sync_heartbeat_t *heartbeat, int64_t sent_ms)
 {
   if (heartbeat->digest == bt_get_table_digest (sync->table) && heartbeat->floor > sync->floor)
     sync->floor = heartbeat->floor;
   if (heartbeat->floor > 0 && heartbeat->floor <= sync->floor && heartbeat->fresh_age_ms >= 0)
-    bt_raise_spread_time (&sync->fresh_ms, sent_ms - heartbeat->fresh_age_ms);
+    bt_raise_sync_time (&sync->fresh_ms, sent_ms - heartbeat->fresh_age_ms);
 }
 
 /* Records that a peer has the same documents. Only such a peer counts towards a quorum, and only if
@@ -422,7 +421,7 @@
  * other documents shows that the local ones may be old. */
 static void
 record_agreement (peer_t *peer,
-                  const bt_spread_heartbeat_t *heartbeat,
+                  const bt_sync_heartbeat_t *heartbeat,
                   int64_t sent_ms,
                   int64_t now_ms)
 {
@@ -431,23 +430,22 @@
     return;
   peer->in_start_quorum = true;
   if (sent_ms >= 0 && sent_ms <= now_ms)
-    bt_raise_spread_time (&peer->agreed_ms, sent_ms);
+    bt_raise_sync_time (&peer->agreed_ms, sent_ms);
 }
 
 void
-bt_take_spread_heartbeat (bt_context_t *ctx,
-                          bt_config_spread_t *sync,
+bt_handle_sync_heartbeat (bt_context_t *ctx,
+                          bt_config_sync_t *sync,
                           const bt_identity_t *identity,
-                          const bt_spread_heartbeat_t *heartbeat,
+                          const bt_sync_heartbeat_t *heartbeat,
                           int64_t now_ms,
-                          bt_spread_actions_t *actions)
+                          bt_sync_actions_t *actions)
 {
   peer_t *peer = find_linked_peer (sync, identity);
   /* A heartbeat may stay in a buffer for minutes while either process is paused. Dated by its
    * arrival, state from before a change would look newer than the change. The echo is a reading of
    * the local clock from before the heartbeat was sent, so the date is never too late. */
-  int64_t sent_ms =
-      bt_has_spread_guard (sync, BT_SPREAD_TRUST_ARRIVAL) ? heartbeat->echo_ms : now_ms;
+  int64_t sent_ms = bt_has_sync_guard (sync, BT_SYNC_TRUST_ARRIVAL) ? heartbeat->echo_ms : now_ms;
 
   if (peer == NULL)
     return;
@@ -468,12 +466,12 @@
 
 static void
 reply_in_force (bt_context_t *ctx,
-                bt_config_spread_t *sync,
+                bt_config_sync_t *sync,
                 const bt_identity_t *source,
-                const bt_spread_push_t *push,
-                bt_spread_actions_t *actions)
+                const bt_sync_push_t *push,
+                bt_sync_actions_t *actions)
 {
-  bt_spread_action_t *action = bt_add_spread_action (ctx, actions, BT_SPREAD_IN_FORCE);
+  bt_sync_action_t *action = bt_add_sync_action (ctx, actions, BT_SYNC_IN_FORCE);
 
   action->peer = *source;
   action->request = push->request;
@@ -483,16 +481,16 @@
 }
 
 void
-bt_take_spread_push (bt_context_t *ctx,
-                     bt_config_spread_t *sync,
+bt_handle_sync_push (bt_context_t *ctx,
+                     bt_config_sync_t *sync,
                      const bt_identity_t *source,
-                     const bt_spread_push_t *push,
+                     const bt_sync_push_t *push,
                      int64_t now_ms,
-                     bt_spread_actions_t *actions)
+                     bt_sync_actions_t *actions)
 {
   peer_t *peer = find_linked_peer (sync, source);
 
-  bt_take_spread_documents (ctx, sync, source, push, actions);
+  bt_apply_sync_documents (ctx, sync, source, push, actions);
   if (push->to > 0 && push->from <= sync->floor)
     {
       if (push->to > sync->floor)
@@ -509,16 +507,16 @@
 }
 
 void
-bt_take_spread_pull (bt_context_t *ctx,
-                     bt_config_spread_t *sync,
+bt_handle_sync_pull (bt_context_t *ctx,
+                     bt_config_sync_t *sync,
                      const bt_identity_t *source,
                      int64_t since,
-                     bt_spread_actions_t *actions)
+                     bt_sync_actions_t *actions)
 {
   bt_document_list_t documents = { 0 };
   /* An instance that is not ready sends what it has but does not claim to be complete: two
    * instances that start at the same time must not count towards each other's start quorum. */
-  bt_spread_push_t push = { &documents, since, sync->ready ? sync->floor : 0, true, 0 };
+  bt_sync_push_t push = { &documents, since, sync->ready ? sync->floor : 0, true, 0 };
 
   bt_list_documents_above (ctx, sync->table, since, &documents);
   send_push (ctx, sync, source, &push, actions);
@@ -526,10 +524,7 @@
 }
 
 static void
-pull_gaps (bt_context_t *ctx,
-           bt_config_spread_t *sync,
-           int64_t now_ms,
-           bt_spread_actions_t *actions)
+pull_gaps (bt_context_t *ctx, bt_config_sync_t *sync, int64_t now_ms, bt_sync_actions_t *actions)
 {
   for (int32_t i = 0; i < sync->peer_count; i++)
     {
@@ -544,10 +539,10 @@
 }
 
 void
-bt_tick_config_spread (bt_context_t *ctx,
-                       bt_config_spread_t *sync,
-                       int64_t now_ms,
-                       bt_spread_actions_t *actions)
+bt_tick_config_sync (bt_context_t *ctx,
+                     bt_config_sync_t *sync,
+                     int64_t now_ms,
+                     bt_sync_actions_t *actions)
 {
   bool stale = !is_within (sync->fresh_ms, now_ms, sync->settings.fallback_ms);
 
@@ -556,17 +551,17 @@
     sync->ready = true;
   if (sync->store_call == STORE_IDLE && now_ms >= sync->next_store_ms
       && (sync->watcher || !sync->has_read || stale))
-    bt_begin_spread_read (ctx, sync, now_ms, actions);
+    bt_begin_sync_read (ctx, sync, now_ms, actions);
 }
 
 const bt_config_table_t *
-bt_get_spread_table (const bt_config_spread_t *sync)
+bt_get_sync_table (const bt_config_sync_t *sync)
 {
   return sync->table;
 }
 
 void
-bt_get_spread_status (const bt_config_spread_t *sync, int64_t now_ms, bt_spread_status_t *status)
+bt_get_sync_status (const bt_config_sync_t *sync, int64_t now_ms, bt_sync_status_t *status)
 {
   memset (status, 0, sizeof *status);
   status->floor = sync->floor;
--- a/source/config/config_spread_private.h
+++ b/source/config/config_sync_private.h
@@ -1,13 +1,13 @@
-#ifndef BILBERRYTRAY_SOURCE_CONFIG_CONFIG_SPREAD_PRIVATE_H
-#define BILBERRYTRAY_SOURCE_CONFIG_CONFIG_SPREAD_PRIVATE_H
+#ifndef BILBERRYTRAY_SOURCE_CONFIG_CONFIG_SYNC_PRIVATE_H
+#define BILBERRYTRAY_SOURCE_CONFIG_CONFIG_SYNC_PRIVATE_H
 
 /** @file
- * State shared by the exchange with peers (config_spread.c) and the calls to the key-value store
- * (config_spread_store.c).
+ * State shared by the exchange with peers (config_sync.c) and the calls to the key-value store
+ * (config_sync_store.c).
  */
 
 #include "bilberrytray/base/random.h"
-#include "bilberrytray/config/config_spread.h"
+#include "bilberrytray/config/config_sync.h"
 #include "bilberrytray/core/subset.h"
 
 #define NEVER_MS INT64_MIN
@@ -28,13 +28,13 @@
   int64_t agreed_ms;        /**< Latest local time at which it had the same documents. */
   int64_t differs_since_ms; /**< When its digest began to differ; NEVER_MS while it is the same. */
   int64_t next_pull_ms;     /**< Earliest time of the next pull. */
-  bt_spread_heartbeat_t last_heartbeat;
+  bt_sync_heartbeat_t last_heartbeat;
 } peer_t;
 
-struct bt_config_spread
+struct bt_config_sync
 {
   bt_identity_t self;
-  bt_spread_settings_t settings;
+  bt_sync_settings_t settings;
   bt_random_t random;
   bt_config_table_t *table;
   peer_t *peers;
@@ -60,27 +60,26 @@
 };
 
 /** True unless a test disabled the guard. */
-bool bt_has_spread_guard (const bt_config_spread_t *sync, uint32_t guard);
+bool bt_has_sync_guard (const bt_config_sync_t *sync, uint32_t guard);
 
 /** Appends an action of kind @p kind; the caller fills in the other members. */
-bt_spread_action_t *bt_add_spread_action (bt_context_t *ctx,
-                                          bt_spread_actions_t *actions,
-                                          bt_spread_action_kind_t kind);
+bt_sync_action_t *
+bt_add_sync_action (bt_context_t *ctx, bt_sync_actions_t *actions, bt_sync_action_kind_t kind);
 
 /** Puts pushed or read documents in force where they are newer, and forwards them if any was. */
-void bt_take_spread_documents (bt_context_t *ctx,
-                               bt_config_spread_t *sync,
-                               const bt_identity_t *source,
-                               const bt_spread_push_t *push,
-                               bt_spread_actions_t *actions);
+void bt_apply_sync_documents (bt_context_t *ctx,
+                              bt_config_sync_t *sync,
+                              const bt_identity_t *source,
+                              const bt_sync_push_t *push,
+                              bt_sync_actions_t *actions);
 
 /** Sets a time to the candidate if the candidate is later. */
-void bt_raise_spread_time (int64_t *time_ms, int64_t candidate_ms);
+void bt_raise_sync_time (int64_t *time_ms, int64_t candidate_ms);
 
 /** Starts a read of the store. */
-void bt_begin_spread_read (bt_context_t *ctx,
-                           bt_config_spread_t *sync,
-                           int64_t now_ms,
-                           bt_spread_actions_t *actions);
+void bt_begin_sync_read (bt_context_t *ctx,
+                         bt_config_sync_t *sync,
+                         int64_t now_ms,
+                         bt_sync_actions_t *actions);
 
 #endif
--- a/source/config/publisher.c
+++ b/source/config/publisher.c
@@ -295,7 +295,7 @@
       if (entry->status.in_force || now_ms < entry->next_push_ms)
         continue;
       entry->next_push_ms = now_ms + publisher->settings.retry_ms;
-      add_action (ctx, actions, BT_PUBLISH_HAND_OVER, entry->status.instance);
+      add_action (ctx, actions, BT_PUBLISH_PUSH, entry->status.instance);
     }
   check_acceptance (ctx, publisher, now_ms, actions);
 }
@@ -496,11 +496,11 @@
 }
 
 void
-bt_take_publish_read (bt_context_t *ctx,
-                      bt_publisher_t *publisher,
-                      const bt_document_list_t *found,
-                      int64_t now_ms,
-                      bt_publish_actions_t *actions)
+bt_handle_publish_read (bt_context_t *ctx,
+                        bt_publisher_t *publisher,
+                        const bt_document_list_t *found,
+                        int64_t now_ms,
+                        bt_publish_actions_t *actions)
 {
   if (publisher->retry_pending)
     return;
@@ -511,12 +511,12 @@
 }
 
 void
-bt_take_publish_commit (bt_context_t *ctx,
-                        bt_publisher_t *publisher,
-                        bool succeeded,
-                        int64_t revision,
-                        int64_t now_ms,
-                        bt_publish_actions_t *actions)
+bt_handle_publish_commit (bt_context_t *ctx,
+                          bt_publisher_t *publisher,
+                          bool succeeded,
+                          int64_t revision,
+                          int64_t now_ms,
+                          bt_publish_actions_t *actions)
 {
   if (publisher->step != STEP_COMMIT || publisher->retry_pending)
     return;
@@ -527,11 +527,11 @@
 }
 
 void
-bt_take_publish_failure (bt_context_t *ctx,
-                         bt_publisher_t *publisher,
-                         bool unknown,
-                         int64_t now_ms,
-                         bt_publish_actions_t *actions)
+bt_handle_publish_failure (bt_context_t *ctx,
+                           bt_publisher_t *publisher,
+                           bool unknown,
+                           int64_t now_ms,
+                           bt_publish_actions_t *actions)
 {
   bool committing = publisher->step == STEP_COMMIT;
 
@@ -572,13 +572,13 @@
 }
 
 void
-bt_take_publish_in_force (bt_context_t *ctx,
-                          bt_publisher_t *publisher,
-                          const char *instance,
-                          const char *name,
-                          int64_t revision,
-                          int64_t now_ms,
-                          bt_publish_actions_t *actions)
+bt_handle_publish_in_force (bt_context_t *ctx,
+                            bt_publisher_t *publisher,
+                            const char *instance,
+                            const char *name,
+                            int64_t revision,
+                            int64_t now_ms,
+                            bt_publish_actions_t *actions)
 {
   entry_t *entry = find_entry (publisher, instance);
 
@@ -635,7 +635,7 @@
 }
 
 int64_t
-bt_get_publish_compare (const bt_publisher_t *publisher, int32_t index)
+bt_get_publish_compare_revision (const bt_publisher_t *publisher, int32_t index)
 {
   if ((publisher->settings.guards_off & BT_PUBLISH_NO_COMPARE) != 0)
     return -1;
--- a/source/config/rule.c
+++ b/source/config/rule.c
@@ -36,7 +36,7 @@
 }
 
 static const char *
-find_header (const bt_request_facts_t *attributes, const char *name)
+find_header (const bt_request_attributes_t *attributes, const char *name)
 {
   for (int32_t i = 0; i < attributes->header_count; i++)
     if (strcasecmp (attributes->headers[i].name, name) == 0)
@@ -45,7 +45,7 @@
 }
 
 static bool
-matches_headers (const bt_rule_when_t *when, const bt_request_facts_t *attributes)
+matches_headers (const bt_rule_when_t *when, const bt_request_attributes_t *attributes)
 {
   for (int32_t i = 0; i < when->header_count; i++)
     {
@@ -59,7 +59,7 @@
 }
 
 bt_rule_part_t
-bt_check_rule (const bt_rule_t *rule, const bt_request_facts_t *attributes)
+bt_check_rule (const bt_rule_t *rule, const bt_request_attributes_t *attributes)
 {
   const bt_rule_when_t *when = &rule->when;
 
@@ -84,7 +84,7 @@
 }
 
 int32_t
-bt_match_rules (const bt_declarations_t *declarations, const bt_request_facts_t *attributes)
+bt_match_rules (const bt_declarations_t *declarations, const bt_request_attributes_t *attributes)
 {
   for (int32_t i = 0; i < declarations->rule_count; i++)
     if (bt_check_rule (&declarations->rules[i], attributes) == BT_RULE_PART_NONE)
@@ -167,7 +167,7 @@
 static void
 explain_route (const bt_declarations_t *declarations,
                const bt_rule_then_t *then,
-               const bt_request_facts_t *attributes,
+               const bt_request_attributes_t *attributes,
                FILE *out)
 {
   int32_t app = then->app >= 0 ? then->app : bt_find_app (declarations, attributes->app);
@@ -198,7 +198,7 @@
 
 void
 bt_explain_rules (const bt_declarations_t *declarations,
-                  const bt_request_facts_t *attributes,
+                  const bt_request_attributes_t *attributes,
                   FILE *out)
 {
   for (int32_t i = 0; i < declarations->rule_count; i++)
--- a/source/core/membership.c
+++ b/source/core/membership.c
@@ -414,16 +414,16 @@
   return count;
 }
 
-bt_spread_member_t *
-bt_list_spread_members (bt_context_t *ctx, const bt_membership_t *membership, int32_t *count)
+bt_sync_member_t *
+bt_list_sync_members (bt_context_t *ctx, const bt_membership_t *membership, int32_t *count)
 {
-  bt_spread_member_t *entries = bt_calloc (ctx, (size_t)membership->count, sizeof *entries);
+  bt_sync_member_t *entries = bt_calloc (ctx, (size_t)membership->count, sizeof *entries);
 
   *count = 0;
   for (int32_t i = 0; i < membership->count; i++)
     {
       const bt_member_t *member = &membership->members[i];
-      bt_spread_member_t *entry = &entries[*count];
+      bt_sync_member_t *entry = &entries[*count];
 
       if (member->listed.role != BT_LISTED_ENTRY || is_leaving (membership, member))
         continue;
--- a/source/entry/calls.c
+++ b/source/entry/calls.c
@@ -82,7 +82,7 @@
   const bt_caller_request_t *request = bt_get_caller_request (caller);
   const char *priority = bt_find_caller_header (caller, "Bilberry-Priority");
   char *named = read_app (entry, caller);
-  bt_request_facts_t facts = { 0 };
+  bt_request_attributes_t facts = { 0 };
   int32_t rule;
 
   facts.account = bt_get_caller_account (caller);
--- a/source/entry/command_explain.c
+++ b/source/entry/command_explain.c
@@ -73,7 +73,7 @@
   bt_findings_t *findings = bt_new_findings (ctx);
   bt_declarations_t *declarations = NULL;
   bt_header_t headers[MAX_HEADERS];
-  bt_request_facts_t facts = { 0 };
+  bt_request_attributes_t facts = { 0 };
   int32_t count;
 
   facts.account = asked->account;
--- a/source/entry/command_publish.c
+++ b/source/entry/command_publish.c
@@ -78,12 +78,12 @@
   if (bt_read_kv (ctx, publish->kv, publish->values->store_prefix, true, &range, &error))
     {
       bt_add_range_documents (ctx, &range, publish->values->store_prefix, &found);
-      bt_take_publish_read (ctx, publish->publisher, &found, bt_now_ms (ctx), actions);
+      bt_handle_publish_read (ctx, publish->publisher, &found, bt_now_ms (ctx), actions);
     }
   else
     {
       fprintf (stderr, "publish: %s\n", error.message);
-      bt_take_publish_failure (ctx, publish->publisher, false, bt_now_ms (ctx), actions);
+      bt_handle_publish_failure (ctx, publish->publisher, false, bt_now_ms (ctx), actions);
     }
   bt_drop_kv_range (ctx, &range);
   bt_clear_documents (ctx, &found);
@@ -105,17 +105,17 @@
     {
       snprintf (keys[i], KEY_BYTES, "%s%s", publish->values->store_prefix, changes->items[i]->name);
       compares[i].key = writes[i].key = keys[i];
-      compares[i].mod_revision = bt_get_publish_compare (publish->publisher, i);
+      compares[i].mod_revision = bt_get_publish_compare_revision (publish->publisher, i);
       writes[i].value = bt_encode_document (ctx, changes->items[i], &writes[i].value_bytes);
     }
   if (bt_commit_kv (ctx, publish->kv, &txn, &result, &error))
-    bt_take_publish_commit (ctx, publish->publisher, result.succeeded, result.revision,
-                            bt_now_ms (ctx), actions);
+    bt_handle_publish_commit (ctx, publish->publisher, result.succeeded, result.revision,
+                              bt_now_ms (ctx), actions);
   else
     {
       fprintf (stderr, "publish: %s\n", error.message);
-      bt_take_publish_failure (ctx, publish->publisher, bt_is_kv_effect_unknown (&error),
-                               bt_now_ms (ctx), actions);
+      bt_handle_publish_failure (ctx, publish->publisher, bt_is_kv_effect_unknown (&error),
+                                 bt_now_ms (ctx), actions);
     }
   for (int32_t i = 0; i < txn.write_count; i++)
     bt_free (ctx, (void *)writes[i].value);
@@ -136,7 +136,7 @@
             read_documents (publish, &next);
           else if (action->kind == BT_PUBLISH_COMMIT)
             commit_documents (publish, &next);
-          else if (action->kind == BT_PUBLISH_HAND_OVER)
+          else if (action->kind == BT_PUBLISH_PUSH)
             bt_hand_over (publish->ctx, publish->links, action->instance,
                           bt_get_publish_changes (publish->publisher));
           else
@@ -177,9 +177,9 @@
       bt_get_told (publish->links, i, &told);
       bt_set_publish_incarnation (publish->publisher, told.instance, told.incarnation);
       for (int32_t j = 0; told.news && j < told.state_count; j++)
-        bt_take_publish_in_force (publish->ctx, publish->publisher, told.instance,
-                                  told.states[j].name, told.states[j].revision,
-                                  bt_now_ms (publish->ctx), actions);
+        bt_handle_publish_in_force (publish->ctx, publish->publisher, told.instance,
+                                    told.states[j].name, told.states[j].revision,
+                                    bt_now_ms (publish->ctx), actions);
     }
 }
 
--- a/source/entry/config_driver.c
+++ b/source/entry/config_driver.c
@@ -17,7 +17,7 @@
 
 /* Notes the one call on the service that is wanted; its thread picks it up. */
 static void
-want_store_call (bt_config_driver_t *driver, const bt_spread_action_t *action)
+want_store_call (bt_config_driver_t *driver, const bt_sync_action_t *action)
 {
   driver->store_wanted = true;
   driver->store_kind = action->kind;
@@ -40,15 +40,15 @@
 }
 
 void
-bt_run_config_actions (bt_config_driver_t *driver, bt_spread_actions_t *actions, bt_link_t *source)
+bt_run_config_actions (bt_config_driver_t *driver, bt_sync_actions_t *actions, bt_link_t *source)
 {
   for (int32_t i = 0; i < actions->count; i++)
     {
-      const bt_spread_action_t *action = &actions->items[i];
+      const bt_sync_action_t *action = &actions->items[i];
 
-      if (action->kind == BT_SPREAD_READ || action->kind == BT_SPREAD_WATCH)
+      if (action->kind == BT_SYNC_READ || action->kind == BT_SYNC_WATCH)
         want_store_call (driver, action);
-      else if (action->kind == BT_SPREAD_APPLY)
+      else if (action->kind == BT_SYNC_APPLY)
         {
           driver->apply_wanted = true;
           pthread_cond_broadcast (&driver->wake);
@@ -56,21 +56,21 @@
       else
         bt_send_config_action (driver, action, source);
     }
-  bt_clear_spread_actions (driver->ctx, actions);
+  bt_clear_sync_actions (driver->ctx, actions);
 }
 
 static void
 count_status (bt_config_driver_t *driver, int64_t now_ms)
 {
-  const bt_config_table_t *table = bt_get_spread_table (driver->spread);
-  bt_spread_status_t status;
+  const bt_config_table_t *table = bt_get_sync_table (driver->spread);
+  bt_sync_status_t status;
 
-  bt_get_spread_status (driver->spread, now_ms, &status);
+  bt_get_sync_status (driver->spread, now_ms, &status);
   bt_set_gauge (driver->gauges[BT_CONFIG_GAUGE_REVISION], status.revision);
   bt_set_gauge (driver->gauges[BT_CONFIG_GAUGE_FRESH_AGE], status.fresh_age_ms);
   bt_set_gauge (driver->gauges[BT_CONFIG_GAUGE_WATCHER], status.watcher);
   bt_set_gauge (driver->gauges[BT_CONFIG_GAUGE_STATE],
-                (int64_t)bt_get_spread_state (driver->spread, now_ms));
+                (int64_t)bt_get_sync_state (driver->spread, now_ms));
   bt_set_gauge (driver->gauges[BT_CONFIG_GAUGE_OLDER],
                 (int64_t)bt_count_offers (table, BT_OFFER_OLDER));
   bt_set_gauge (driver->gauges[BT_CONFIG_GAUGE_STALE_READS], (int64_t)status.stale_reads);
@@ -108,18 +108,18 @@
 {
   bt_entry_t *entry = driver->entry;
   bt_document_list_t documents = { 0 };
-  bt_spread_actions_t actions = { 0 };
+  bt_sync_actions_t actions = { 0 };
   int64_t now_ms = bt_now_ms (driver->ctx);
   bool apply;
 
   pthread_mutex_lock (&entry->lock);
-  bt_tick_config_spread (driver->ctx, driver->spread, now_ms, &actions);
+  bt_tick_config_sync (driver->ctx, driver->spread, now_ms, &actions);
   bt_run_config_actions (driver, &actions, NULL);
   count_status (driver, now_ms);
   apply = driver->apply_wanted;
   driver->apply_wanted = false;
   if (apply)
-    bt_list_documents_above (driver->ctx, bt_get_spread_table (driver->spread), 0, &documents);
+    bt_list_documents_above (driver->ctx, bt_get_sync_table (driver->spread), 0, &documents);
   pthread_mutex_unlock (&entry->lock);
   if (apply)
     apply_documents (driver, &documents);
@@ -152,14 +152,14 @@
            const bt_document_list_t *documents,
            const bt_error_t *error)
 {
-  bt_spread_actions_t actions = { 0 };
+  bt_sync_actions_t actions = { 0 };
   int64_t now_ms = bt_now_ms (driver->ctx);
 
   pthread_mutex_lock (&driver->entry->lock);
   if (error->code == BT_ERROR_NONE)
-    bt_take_store_read (driver->ctx, driver->spread, revision, documents, now_ms, &actions);
+    bt_handle_store_read (driver->ctx, driver->spread, revision, documents, now_ms, &actions);
   else
-    bt_take_store_failure (driver->ctx, driver->spread, now_ms);
+    bt_handle_store_failure (driver->ctx, driver->spread, now_ms);
   bt_run_config_actions (driver, &actions, NULL);
   pthread_mutex_unlock (&driver->entry->lock);
 }
@@ -184,7 +184,7 @@
 watch_store (bt_config_driver_t *driver, int64_t since, int64_t wait_ms, bt_error_t *error)
 {
   bt_kv_watch_result_t result = BT_KV_WATCH_QUIET;
-  bt_spread_actions_t actions = { 0 };
+  bt_sync_actions_t actions = { 0 };
   int64_t now_ms;
 
   bt_watch_kv (driver->ctx, driver->kv, driver->entry->settings.store_prefix, since + 1, wait_ms,
@@ -192,10 +192,10 @@
   now_ms = bt_now_ms (driver->ctx);
   pthread_mutex_lock (&driver->entry->lock);
   if (error->code == BT_ERROR_NONE)
-    bt_take_store_watch (driver->ctx, driver->spread, result != BT_KV_WATCH_QUIET, now_ms,
-                         &actions);
+    bt_handle_store_watch (driver->ctx, driver->spread, result != BT_KV_WATCH_QUIET, now_ms,
+                           &actions);
   else
-    bt_take_store_failure (driver->ctx, driver->spread, now_ms);
+    bt_handle_store_failure (driver->ctx, driver->spread, now_ms);
   bt_run_config_actions (driver, &actions, NULL);
   pthread_mutex_unlock (&driver->entry->lock);
 }
@@ -208,7 +208,7 @@
   while (!atomic_load (&driver->stopping))
     {
       bt_error_t error = { 0 };
-      bt_spread_action_kind_t kind;
+      bt_sync_action_kind_t kind;
       int64_t since;
       int64_t wait_ms;
       bool wanted;
@@ -224,7 +224,7 @@
       pthread_mutex_unlock (&driver->entry->lock);
       if (!wanted)
         continue;
-      if (kind == BT_SPREAD_READ)
+      if (kind == BT_SYNC_READ)
         read_store (driver, since, &error);
       else
         watch_store (driver, since, wait_ms, &error);
@@ -286,7 +286,7 @@
 bt_new_config_driver (bt_context_t *ctx, bt_entry_t *entry, bt_kv_t *kv, bt_error_t *error)
 {
   bt_config_driver_t *driver = bt_calloc (ctx, 1, sizeof *driver);
-  bt_spread_settings_t settings = bt_get_default_spread_settings ();
+  bt_sync_settings_t settings = bt_get_default_sync_settings ();
   bt_identity_t self = { .incarnation = entry->incarnation };
   uint64_t seed;
 
@@ -299,7 +299,7 @@
   driver->ctx = ctx;
   driver->entry = entry;
   driver->kv = kv;
-  driver->spread = bt_new_config_spread (ctx, &self, &settings, seed, bt_now_ms (ctx));
+  driver->spread = bt_new_config_sync (ctx, &self, &settings, seed, bt_now_ms (ctx));
   find_gauges (driver);
   init_wake (driver);
   pthread_mutex_lock (&entry->lock);
@@ -327,20 +327,20 @@
   pthread_mutex_unlock (&driver->entry->lock);
   pthread_cond_destroy (&driver->wake);
   bt_clear_documents (ctx, &driver->applied);
-  bt_drop_config_spread (ctx, driver->spread);
+  bt_drop_config_sync (ctx, driver->spread);
   bt_free (ctx, driver);
 }
 
 void
 bt_update_config_members (bt_entry_t *entry)
 {
-  bt_spread_member_t *members;
+  bt_sync_member_t *members;
   int32_t count;
 
   if (entry->config == NULL)
     return;
-  members = bt_list_spread_members (entry->ctx, entry->membership, &count);
-  bt_set_spread_members (entry->ctx, entry->config->spread, members, count);
+  members = bt_list_sync_members (entry->ctx, entry->membership, &count);
+  bt_set_sync_members (entry->ctx, entry->config->spread, members, count);
   bt_free (entry->ctx, members);
 }
 
@@ -349,11 +349,11 @@
 {
   if (entry->config == NULL || entry->declarations == NULL)
     return BT_REASON_NOT_READY;
-  switch (bt_get_spread_state (entry->config->spread, now_ms))
+  switch (bt_get_sync_state (entry->config->spread, now_ms))
     {
-    case BT_SPREAD_NOT_READY:
+    case BT_SYNC_NOT_READY:
       return BT_REASON_NOT_READY;
-    case BT_SPREAD_ISOLATED:
+    case BT_SYNC_ISOLATED:
       return BT_REASON_ISOLATED;
     default:
       return BT_REASON_NONE;
--- a/source/entry/config_driver.h
+++ b/source/entry/config_driver.h
@@ -2,7 +2,7 @@
 #define BILBERRYTRAY_SOURCE_ENTRY_CONFIG_DRIVER_H
 
 /** @file
- * Drives the spread of the configuration: carries out what bt_config_spread decides, on links and
+ * Drives the spread of the configuration: carries out what bt_config_sync decides, on links and
  * on the key-value service, and puts new declarations in force.
  *
  * One thread makes the calls on the service, one after another. A second one ticks, and reads new
@@ -10,7 +10,7 @@
  * driver stand under the entry's lock.
  */
 
-#include "bilberrytray/config/config_spread.h"
+#include "bilberrytray/config/config_sync.h"
 #include "bilberrytray/core/outcome.h"
 #include "bilberrytray/store/kv.h"
 #include "bilberrytray/wire/link.h"
--- a/source/entry/config_driver_private.h
+++ b/source/entry/config_driver_private.h
@@ -46,9 +46,9 @@
 
   /* Under the entry's lock. */
   pthread_cond_t wake; /**< A call on the service or a reading of documents is wanted. */
-  bt_config_spread_t *spread;
+  bt_config_sync_t *spread;
   bool store_wanted;
-  bt_spread_action_kind_t store_kind;
+  bt_sync_action_kind_t store_kind;
   int64_t store_since;
   int64_t store_wait_ms;
   bool apply_wanted;
@@ -58,11 +58,11 @@
 
 /** Carries out actions. @p source is the link that the event came from; NULL: none. */
 void
-bt_run_config_actions (bt_config_driver_t *driver, bt_spread_actions_t *actions, bt_link_t *source);
+bt_run_config_actions (bt_config_driver_t *driver, bt_sync_actions_t *actions, bt_link_t *source);
 
 /** Sends a push or a pull, or notes an answer about what is in force. */
 void bt_send_config_action (bt_config_driver_t *driver,
-                            const bt_spread_action_t *action,
+                            const bt_sync_action_t *action,
                             bt_link_t *source);
 
 /** Sends the answers that wait. */
--- a/source/entry/config_frames.c
+++ b/source/entry/config_frames.c
@@ -3,7 +3,7 @@
 #include "config_driver_private.h"
 
 static void
-send_push (bt_config_driver_t *driver, const bt_spread_action_t *action, bt_link_t *link)
+send_push (bt_config_driver_t *driver, const bt_sync_action_t *action, bt_link_t *link)
 {
   bt_push_frame_t push = { 0 };
 
@@ -18,7 +18,7 @@
 }
 
 static void
-send_pull (bt_config_driver_t *driver, const bt_spread_action_t *action, bt_link_t *link)
+send_pull (bt_config_driver_t *driver, const bt_sync_action_t *action, bt_link_t *link)
 {
   Bilberry__ConfigPull pull = BILBERRY__CONFIG_PULL__INIT;
   bt_frame_t frame = BILBERRY__FRAME__INIT;
@@ -30,7 +30,7 @@
 }
 
 static void
-note_reply (bt_config_driver_t *driver, const bt_spread_action_t *action, bt_link_t *link)
+note_reply (bt_config_driver_t *driver, const bt_sync_action_t *action, bt_link_t *link)
 {
   bt_config_reply_t *reply = bt_calloc (driver->ctx, 1, sizeof *reply);
 
@@ -43,7 +43,7 @@
 
 void
 bt_send_config_action (bt_config_driver_t *driver,
-                       const bt_spread_action_t *action,
+                       const bt_sync_action_t *action,
                        bt_link_t *source)
 {
   bt_peer_t *peer = bt_find_peer_identity (driver->entry, &action->peer);
@@ -51,9 +51,9 @@
 
   if (link == NULL)
     return;
-  if (action->kind == BT_SPREAD_PUSH)
+  if (action->kind == BT_SYNC_PUSH)
     send_push (driver, action, link);
-  else if (action->kind == BT_SPREAD_PULL)
+  else if (action->kind == BT_SYNC_PULL)
     send_pull (driver, action, link);
   else
     note_reply (driver, action, link);
@@ -86,18 +86,18 @@
   Bilberry__ConfigInForce in_force = BILBERRY__CONFIG_IN_FORCE__INIT;
   bt_frame_t frame = BILBERRY__FRAME__INIT;
   int64_t now_ms = bt_now_ms (driver->ctx);
-  bt_spread_status_t status;
+  bt_sync_status_t status;
 
   if (driver->replies == NULL)
     return;
   states = bt_calloc (driver->ctx, count, sizeof *states);
   pointers = bt_calloc (driver->ctx, count, sizeof (Bilberry__DocumentState *));
   fill_states (driver, states, pointers);
-  bt_get_spread_status (driver->spread, now_ms, &status);
+  bt_get_sync_status (driver->spread, now_ms, &status);
   in_force.revision = status.revision;
   in_force.n_documents = count;
   in_force.documents = pointers;
-  in_force.state = (uint32_t)bt_get_spread_state (driver->spread, now_ms);
+  in_force.state = (uint32_t)bt_get_sync_state (driver->spread, now_ms);
   in_force.fresh_age_ms = status.fresh_age_ms;
   frame.body_case = BILBERRY__FRAME__BODY_CONFIG_IN_FORCE;
   frame.config_in_force = &in_force;
@@ -129,14 +129,14 @@
            bt_link_t *link,
            const bt_identity_t *source,
            const Bilberry__ConfigPush *frame,
-           bt_spread_actions_t *actions)
+           bt_sync_actions_t *actions)
 {
   bt_document_list_t documents = { 0 };
-  bt_spread_push_t push = { &documents, frame->from_revision, frame->store_revision, frame->whole,
-                            frame->request };
+  bt_sync_push_t push = { &documents, frame->from_revision, frame->store_revision, frame->whole,
+                          frame->request };
 
   bt_add_push_documents (driver->ctx, frame, &documents);
-  bt_take_spread_push (driver->ctx, driver->spread, source, &push, bt_now_ms (driver->ctx),
+  bt_handle_sync_push (driver->ctx, driver->spread, source, &push, bt_now_ms (driver->ctx),
                        actions);
   bt_clear_documents (driver->ctx, &documents);
 }
@@ -146,7 +146,7 @@
 {
   bt_config_driver_t *driver = entry->config;
   bt_identity_t source = { .incarnation = bt_get_link_incarnation (link) };
-  bt_spread_actions_t actions = { 0 };
+  bt_sync_actions_t actions = { 0 };
 
   /* An agent has nothing to say about configuration. */
   if (driver == NULL || strcmp (bt_get_link_role (link), "agent") == 0)
@@ -155,18 +155,18 @@
   if (frame->body_case == BILBERRY__FRAME__BODY_CONFIG_PUSH)
     take_push (driver, link, &source, frame->config_push, &actions);
   else if (frame->body_case == BILBERRY__FRAME__BODY_CONFIG_PULL)
-    bt_take_spread_pull (driver->ctx, driver->spread, &source, frame->config_pull->since, &actions);
+    bt_handle_sync_pull (driver->ctx, driver->spread, &source, frame->config_pull->since, &actions);
   bt_run_config_actions (driver, &actions, link);
 }
 
 void
 bt_open_config_link (bt_entry_t *entry, const bt_identity_t *peer)
 {
-  bt_spread_actions_t actions = { 0 };
+  bt_sync_actions_t actions = { 0 };
 
   if (entry->config == NULL)
     return;
-  bt_open_spread_link (entry->ctx, entry->config->spread, peer, bt_now_ms (entry->ctx), &actions);
+  bt_open_sync_link (entry->ctx, entry->config->spread, peer, bt_now_ms (entry->ctx), &actions);
   bt_run_config_actions (entry->config, &actions, NULL);
 }
 
@@ -174,7 +174,7 @@
 bt_close_config_link (bt_entry_t *entry, const bt_identity_t *peer)
 {
   if (entry->config != NULL)
-    bt_close_spread_link (entry->ctx, entry->config->spread, peer);
+    bt_close_sync_link (entry->ctx, entry->config->spread, peer);
 }
 
 void
@@ -182,11 +182,11 @@
                           const bt_identity_t *peer,
                           Bilberry__Heartbeat *heartbeat)
 {
-  bt_spread_heartbeat_t said;
+  bt_sync_heartbeat_t said;
 
   if (entry->config == NULL)
     return;
-  bt_make_spread_heartbeat (entry->config->spread, peer, heartbeat->now_ms, &said);
+  bt_make_sync_heartbeat (entry->config->spread, peer, heartbeat->now_ms, &said);
   heartbeat->echo_ms = said.echo_ms < 0 ? 0 : said.echo_ms;
   heartbeat->config_floor = said.floor;
   heartbeat->config_fresh_age_ms = said.fresh_age_ms;
@@ -200,17 +200,17 @@
                           const bt_identity_t *peer,
                           const Bilberry__Heartbeat *heartbeat)
 {
-  bt_spread_heartbeat_t said = { .now_ms = heartbeat->now_ms,
-                                 .echo_ms = heartbeat->echo_ms == 0 ? -1 : heartbeat->echo_ms,
-                                 .floor = heartbeat->config_floor,
-                                 .fresh_age_ms = heartbeat->config_fresh_age_ms,
-                                 .revision = heartbeat->max_revision,
-                                 .digest = heartbeat->config_digest };
-  bt_spread_actions_t actions = { 0 };
+  bt_sync_heartbeat_t said = { .now_ms = heartbeat->now_ms,
+                               .echo_ms = heartbeat->echo_ms == 0 ? -1 : heartbeat->echo_ms,
+                               .floor = heartbeat->config_floor,
+                               .fresh_age_ms = heartbeat->config_fresh_age_ms,
+                               .revision = heartbeat->max_revision,
+                               .digest = heartbeat->config_digest };
+  bt_sync_actions_t actions = { 0 };
 
   if (entry->config == NULL)
     return;
-  bt_take_spread_heartbeat (entry->ctx, entry->config->spread, peer, &said, bt_now_ms (entry->ctx),
+  bt_handle_sync_heartbeat (entry->ctx, entry->config->spread, peer, &said, bt_now_ms (entry->ctx),
                             &actions);
   bt_run_config_actions (entry->config, &actions, NULL);
 }
--- a/source/gateway/forward.c
+++ b/source/gateway/forward.c
@@ -265,7 +265,7 @@
   const char *token = bt_find_frontend_header (forward->call, "Authorization");
   const char *host = bt_find_frontend_header (forward->call, "Host");
   bt_header_t header = { "Host", host == NULL ? "" : host };
-  bt_request_facts_t facts = {
+  bt_request_attributes_t facts = {
     .account = "",
     .app = "",
     .method = bt_get_frontend_request (forward->call)->method,
--- a/test/agent/test_picks_turn.c
+++ b/test/agent/test_picks_turn.c
@@ -1,6 +1,6 @@
 #include <CUnit/Basic.h>
 
-#include "picks_turn.h"
+#include "picks_schedule.h"
 
 enum
 {
--- a/test/agent/test_side.c
+++ b/test/agent/test_side.c
@@ -11,7 +11,7 @@
 #include "bilberrytray/base.h"
 #include "bilberrytray/wire/engine_messages.h"
 #include "bilberrytray/wire/link.h"
-#include "side.h"
+#include "sidecar.h"
 #include "standin_http.h"
 
 enum
--- a/test/agent/test_told_picks.c
+++ b/test/agent/test_told_picks.c
@@ -1,7 +1,7 @@
 #include <CUnit/Basic.h>
 #include <string.h>
 
-#include "told_picks.h"
+#include "reported_picks.h"
 
 enum
 {
--- a/test/config/config_world.h
+++ b/test/config/config_world.h
@@ -12,7 +12,7 @@
 #include <string.h>
 
 #include "bilberrytray/base.h"
-#include "bilberrytray/config/config_spread.h"
+#include "bilberrytray/config/config_sync.h"
 #include "bilberrytray/config/publisher.h"
 
 enum
@@ -54,7 +54,7 @@
   int32_t to;
   uint64_t from_incarnation;
   uint64_t to_incarnation; /**< For an operator, the number of its call instead. */
-  bt_spread_heartbeat_t heartbeat;
+  bt_sync_heartbeat_t heartbeat;
   bt_document_list_t documents;
   int64_t from_revision;
   int64_t revision;
@@ -69,7 +69,7 @@
   bool store_unreachable;
   int64_t clock_offset_ms;
   bt_identity_t identity;
-  bt_config_spread_t *sync;
+  bt_config_sync_t *sync;
   int64_t last_revision; /**< Of "rules", to check that it never decreases. */
 } sim_entry_t;
 
@@ -95,7 +95,7 @@
   bt_random_t random;
   int64_t now_ms;
   int32_t entry_count;
-  bt_spread_settings_t sync_settings;
+  bt_sync_settings_t sync_settings;
   bt_publish_settings_t publish_settings;
   sim_entry_t entries[SIM_MAX_ENTRIES];
   sim_operator_t operators[SIM_OPERATORS];
@@ -205,11 +205,11 @@
 }
 
 static inline void
-sim_send_action (simulation_t *sim, int32_t from, const bt_spread_action_t *action)
+sim_send_action (simulation_t *sim, int32_t from, const bt_sync_action_t *action)
 {
-  static const message_kind_t kinds[] = { [BT_SPREAD_PUSH] = MESSAGE_PUSH,
-                                          [BT_SPREAD_PULL] = MESSAGE_PULL,
-                                          [BT_SPREAD_IN_FORCE] = MESSAGE_IN_FORCE };
+  static const message_kind_t kinds[] = { [BT_SYNC_PUSH] = MESSAGE_PUSH,
+                                          [BT_SYNC_PULL] = MESSAGE_PULL,
+                                          [BT_SYNC_IN_FORCE] = MESSAGE_IN_FORCE };
   int32_t to = sim_find_node (sim, &action->peer);
   int32_t copies = sim_random_percent (sim, sim->duplicate_percent) ? 2 : 1;
 
@@ -219,7 +219,7 @@
     {
       message_t *message = sim_send (sim, kinds[action->kind], from, to, sim_random_delay_ms (sim));
 
-      message->from_revision = action->kind == BT_SPREAD_PULL ? action->since : action->from;
+      message->from_revision = action->kind == BT_SYNC_PULL ? action->since : action->from;
       message->revision = action->to;
       message->flag = action->whole;
       message->request = action->request;
@@ -229,16 +229,16 @@
 }
 
 static inline void
-sim_run_actions (simulation_t *sim, int32_t entry, bt_spread_actions_t *actions)
+sim_run_actions (simulation_t *sim, int32_t entry, bt_sync_actions_t *actions)
 {
   for (int32_t i = 0; i < actions->count; i++)
     {
-      const bt_spread_action_t *action = &actions->items[i];
-      bool read = action->kind == BT_SPREAD_READ;
+      const bt_sync_action_t *action = &actions->items[i];
+      bool read = action->kind == BT_SYNC_READ;
 
-      if (action->kind == BT_SPREAD_APPLY)
+      if (action->kind == BT_SYNC_APPLY)
         continue;
-      if (!read && action->kind != BT_SPREAD_WATCH)
+      if (!read && action->kind != BT_SYNC_WATCH)
         sim_send_action (sim, entry, action);
       else if (!sim_call_store_from_entry (sim, entry))
         sim_send (sim, MESSAGE_FAIL, -1, entry, 300);
@@ -250,7 +250,7 @@
       else
         sim_send (sim, MESSAGE_WATCH, -1, entry, action->wait_ms);
     }
-  bt_clear_spread_actions (sim->ctx, actions);
+  bt_clear_sync_actions (sim->ctx, actions);
 }
 
 static inline void
@@ -263,8 +263,8 @@
   entry->alive = true;
   entry->paused = false;
   entry->last_revision = 0;
-  entry->sync = bt_new_config_spread (sim->ctx, &entry->identity, &sim->sync_settings,
-                                      sim->start_count, sim_get_clock_ms (sim, index));
+  entry->sync = bt_new_config_sync (sim->ctx, &entry->identity, &sim->sync_settings,
+                                    sim->start_count, sim_get_clock_ms (sim, index));
 }
 
 static inline void
@@ -277,10 +277,10 @@
   for (int32_t other = 0; other < sim->entry_count; other++)
     {
       if (sim->linked[other][index])
-        bt_close_spread_link (sim->ctx, sim->entries[other].sync, &entry->identity);
+        bt_close_sync_link (sim->ctx, sim->entries[other].sync, &entry->identity);
       sim->linked[other][index] = sim->linked[index][other] = false;
     }
-  bt_drop_config_spread (sim->ctx, entry->sync);
+  bt_drop_config_sync (sim->ctx, entry->sync);
   entry->sync = NULL;
   entry->alive = false;
 }
@@ -288,7 +288,7 @@
 static inline void
 sim_set_members (simulation_t *sim)
 {
-  bt_spread_member_t members[SIM_MAX_ENTRIES] = { 0 };
+  bt_sync_member_t members[SIM_MAX_ENTRIES] = { 0 };
 
   for (int32_t i = 0; i < sim->entry_count; i++)
     {
@@ -298,7 +298,7 @@
     }
   for (int32_t i = 0; i < sim->entry_count; i++)
     if (sim->entries[i].alive)
-      bt_set_spread_members (sim->ctx, sim->entries[i].sync, members, sim->entry_count);
+      bt_set_sync_members (sim->ctx, sim->entries[i].sync, members, sim->entry_count);
 }
 
 static inline void
@@ -314,7 +314,7 @@
   sim->now_ms = 100000;
   sim->entry_count = entries;
   sim->store_revision = sim->old_revision = 10;
-  sim->sync_settings = bt_get_default_spread_settings ();
+  sim->sync_settings = bt_get_default_sync_settings ();
   sim->sync_settings.guards_off = sync_guards_off;
   sim->publish_settings = bt_get_default_publish_settings ();
   sim->publish_settings.guards_off = publish_guards_off;
@@ -391,7 +391,7 @@
 sim_push_to_entry (simulation_t *sim, int32_t index, const char *instance)
 {
   const bt_publisher_t *publisher = sim->operators[index].publisher;
-  bt_spread_action_t push = { .kind = BT_SPREAD_PUSH, .request = 1 };
+  bt_sync_action_t push = { .kind = BT_SYNC_PUSH, .request = 1 };
   int32_t entry = atoi (instance + 6);
 
   push.peer = sim->entries[entry].identity;
@@ -416,7 +416,7 @@
   if (commit)
     {
       message = sim_send (sim, MESSAGE_COMMIT, node, -1, sim_random_delay_ms (sim));
-      message->revision = bt_get_publish_compare (operator->publisher, 0);
+      message->revision = bt_get_publish_compare_revision (operator->publisher, 0);
       bt_add_document (sim->ctx, &message->documents,
                        bt_get_publish_changes (operator->publisher)->items[0]);
     }
@@ -454,7 +454,7 @@
 
       if (action->kind == BT_PUBLISH_FINISH)
         sim_record_result (sim, &sim->operators[index]);
-      else if (action->kind == BT_PUBLISH_HAND_OVER)
+      else if (action->kind == BT_PUBLISH_PUSH)
         sim_push_to_entry (sim, index, action->instance);
       else
         sim_call_store (sim, index, action->kind == BT_PUBLISH_COMMIT);
@@ -497,9 +497,9 @@
   sim_entry_t *entry = &sim->entries[message->to];
   int64_t now_ms = sim_get_clock_ms (sim, message->to);
   bt_identity_t source = { "operator-", 0 };
-  bt_spread_push_t push = { &message->documents, message->from_revision, message->revision,
-                            message->flag, message->request };
-  bt_spread_actions_t actions = { 0 };
+  bt_sync_push_t push = { &message->documents, message->from_revision, message->revision,
+                          message->flag, message->request };
+  bt_sync_actions_t actions = { 0 };
 
   if (message->from >= SIM_MAX_ENTRIES)
     snprintf (source.instance, BT_NAME_BYTES, "operator-%d",
@@ -510,19 +510,19 @@
       source.incarnation = message->from_incarnation;
     }
   if (message->kind == MESSAGE_HEARTBEAT)
-    bt_take_spread_heartbeat (sim->ctx, entry->sync, &source, &message->heartbeat, now_ms,
+    bt_handle_sync_heartbeat (sim->ctx, entry->sync, &source, &message->heartbeat, now_ms,
                               &actions);
   else if (message->kind == MESSAGE_PUSH)
-    bt_take_spread_push (sim->ctx, entry->sync, &source, &push, now_ms, &actions);
+    bt_handle_sync_push (sim->ctx, entry->sync, &source, &push, now_ms, &actions);
   else if (message->kind == MESSAGE_PULL)
-    bt_take_spread_pull (sim->ctx, entry->sync, &source, message->from_revision, &actions);
+    bt_handle_sync_pull (sim->ctx, entry->sync, &source, message->from_revision, &actions);
   else if (message->kind == MESSAGE_READ)
-    bt_take_store_read (sim->ctx, entry->sync, message->revision, &message->documents, now_ms,
-                        &actions);
+    bt_handle_store_read (sim->ctx, entry->sync, message->revision, &message->documents, now_ms,
+                          &actions);
   else if (message->kind == MESSAGE_WATCH)
-    bt_take_store_watch (sim->ctx, entry->sync, !sim->silent_watch, now_ms, &actions);
+    bt_handle_store_watch (sim->ctx, entry->sync, !sim->silent_watch, now_ms, &actions);
   else
-    bt_take_store_failure (sim->ctx, entry->sync, now_ms);
+    bt_handle_store_failure (sim->ctx, entry->sync, now_ms);
   sim_run_actions (sim, message->to, &actions);
 }
 
@@ -539,9 +539,9 @@
   if (message->kind == MESSAGE_IN_FORCE)
     {
       if (message->from_incarnation == sim->entries[message->from].identity.incarnation)
-        bt_take_publish_in_force (sim->ctx, operator->publisher,
-                                  sim->entries[message->from].identity.instance, "rules",
-                                  message->documents.items[0]->revision, sim->now_ms, &actions);
+        bt_handle_publish_in_force (sim->ctx, operator->publisher,
+                                    sim->entries[message->from].identity.instance, "rules",
+                                    message->documents.items[0]->revision, sim->now_ms, &actions);
       sim_run_publish_actions (sim, index, &actions);
       return;
     }
@@ -549,13 +549,13 @@
     return;
   operator->call++;
   if (message->kind == MESSAGE_OPERATOR_READ)
-    bt_take_publish_read (sim->ctx, operator->publisher, &message->documents, sim->now_ms,
-                          &actions);
+    bt_handle_publish_read (sim->ctx, operator->publisher, &message->documents, sim->now_ms,
+                            &actions);
   else if (message->kind == MESSAGE_COMMITTED)
-    bt_take_publish_commit (sim->ctx, operator->publisher, message->flag, message->revision,
-                            sim->now_ms, &actions);
+    bt_handle_publish_commit (sim->ctx, operator->publisher, message->flag, message->revision,
+                              sim->now_ms, &actions);
   else
-    bt_take_publish_failure (sim->ctx, operator->publisher, true, sim->now_ms, &actions);
+    bt_handle_publish_failure (sim->ctx, operator->publisher, true, sim->now_ms, &actions);
   sim_run_publish_actions (sim, index, &actions);
 }
 
@@ -598,14 +598,14 @@
 static inline void
 sim_set_link (simulation_t *sim, int32_t from, int32_t to, bool open)
 {
-  bt_spread_actions_t actions = { 0 };
+  bt_sync_actions_t actions = { 0 };
 
   sim->linked[from][to] = open;
   if (open)
-    bt_open_spread_link (sim->ctx, sim->entries[from].sync, &sim->entries[to].identity,
-                         sim_get_clock_ms (sim, from), &actions);
+    bt_open_sync_link (sim->ctx, sim->entries[from].sync, &sim->entries[to].identity,
+                       sim_get_clock_ms (sim, from), &actions);
   else
-    bt_close_spread_link (sim->ctx, sim->entries[from].sync, &sim->entries[to].identity);
+    bt_close_sync_link (sim->ctx, sim->entries[from].sync, &sim->entries[to].identity);
   sim_run_actions (sim, from, &actions);
 }
 
@@ -630,8 +630,8 @@
   if (sim_random_percent (sim, sim->loss_percent))
     return;
   message = sim_send (sim, MESSAGE_HEARTBEAT, from, to, sim_random_delay_ms (sim));
-  bt_make_spread_heartbeat (entry->sync, &sim->entries[to].identity, sim_get_clock_ms (sim, from),
-                            &message->heartbeat);
+  bt_make_sync_heartbeat (entry->sync, &sim->entries[to].identity, sim_get_clock_ms (sim, from),
+                          &message->heartbeat);
 }
 
 static inline int64_t
@@ -641,7 +641,7 @@
 
   if (!sim->entries[entry].alive)
     return -1;
-  rules = bt_find_document (bt_get_spread_table (sim->entries[entry].sync), "rules");
+  rules = bt_find_document (bt_get_sync_table (sim->entries[entry].sync), "rules");
   return rules == NULL ? 0 : rules->revision;
 }
 
@@ -651,7 +651,7 @@
   const sim_entry_t *state = &sim->entries[entry];
 
   return state->alive && !state->paused
-         && bt_get_spread_state (state->sync, sim_get_clock_ms (sim, entry)) == BT_SPREAD_READY;
+         && bt_get_sync_state (state->sync, sim_get_clock_ms (sim, entry)) == BT_SYNC_READY;
 }
 
 static inline void
@@ -693,11 +693,11 @@
   sim_deliver (sim);
   for (int32_t i = 0; i < sim->entry_count; i++)
     {
-      bt_spread_actions_t actions = { 0 };
+      bt_sync_actions_t actions = { 0 };
 
       if (!sim->entries[i].alive || sim->entries[i].paused)
         continue;
-      bt_tick_config_spread (sim->ctx, sim->entries[i].sync, sim_get_clock_ms (sim, i), &actions);
+      bt_tick_config_sync (sim->ctx, sim->entries[i].sync, sim_get_clock_ms (sim, i), &actions);
       sim_run_actions (sim, i, &actions);
     }
   if (sim->now_ms % SIM_HEARTBEAT_MS == 0)
--- a/test/config/test_config_schedule.c
+++ b/test/config/test_config_schedule.c
@@ -167,7 +167,7 @@
 static void
 test_disabled_guards_are_detected (void)
 {
-  CU_ASSERT_TRUE (count_violations (150, BT_SPREAD_NEVER_ISOLATED, 0) > 0);
+  CU_ASSERT_TRUE (count_violations (150, BT_SYNC_NEVER_ISOLATED, 0) > 0);
   CU_ASSERT_TRUE (count_violations (150, 0, BT_PUBLISH_NO_READ_BACK) > 0);
   CU_ASSERT_TRUE (count_violations (150, 0, BT_PUBLISH_NO_COMPARE) > 0);
   CU_ASSERT_TRUE (count_violations (150, 0, BT_PUBLISH_NO_PUSH) > 0);
--- a/test/config/test_config_spread.c
+++ b/test/config/test_config_spread.c
@@ -66,7 +66,7 @@
   CU_ASSERT_STRING_EQUAL (sim.violation, "");
   CU_ASSERT_EQUAL (sim_get_revision (&sim, 0), sim.rules->revision);
   sim_close (&sim);
-  run_silent_watch (&sim, BT_SPREAD_TRUST_QUIET_WATCH);
+  run_silent_watch (&sim, BT_SYNC_TRUST_QUIET_WATCH);
   CU_ASSERT_STRING_NOT_EQUAL (sim.violation, "");
   sim_close (&sim);
 }
@@ -92,14 +92,14 @@
 
   run_cut_off_entry (&sim, 0);
   CU_ASSERT_STRING_EQUAL (sim.violation, "");
-  CU_ASSERT_EQUAL (bt_get_spread_state (sim.entries[2].sync, sim_get_clock_ms (&sim, 2)),
-                   BT_SPREAD_ISOLATED);
+  CU_ASSERT_EQUAL (bt_get_sync_state (sim.entries[2].sync, sim_get_clock_ms (&sim, 2)),
+                   BT_SYNC_ISOLATED);
   sim_isolate_node (&sim, 2, false);
   sim_run (&sim, SETTLE_MS);
   CU_ASSERT_TRUE (sim_is_admitting (&sim, 2));
   CU_ASSERT_EQUAL (sim_get_revision (&sim, 2), sim.rules->revision);
   sim_close (&sim);
-  run_cut_off_entry (&sim, BT_SPREAD_NEVER_ISOLATED);
+  run_cut_off_entry (&sim, BT_SYNC_NEVER_ISOLATED);
   CU_ASSERT_STRING_NOT_EQUAL (sim.violation, "");
   sim_close (&sim);
 }
@@ -129,7 +129,7 @@
   CU_ASSERT_FALSE (sim_is_admitting (&sim, 3));
   CU_ASSERT_TRUE (sim_is_admitting (&sim, 0));
   sim_close (&sim);
-  run_minority_partition (&sim, BT_SPREAD_ANY_PEER);
+  run_minority_partition (&sim, BT_SYNC_ANY_PEER);
   CU_ASSERT_STRING_NOT_EQUAL (sim.violation, "");
   sim_close (&sim);
 }
@@ -187,10 +187,10 @@
 
   run_start_from_old_peer (&sim, 0);
   CU_ASSERT_STRING_EQUAL (sim.violation, "");
-  CU_ASSERT_EQUAL (bt_get_spread_state (sim.entries[1].sync, sim_get_clock_ms (&sim, 1)),
-                   BT_SPREAD_NOT_READY);
+  CU_ASSERT_EQUAL (bt_get_sync_state (sim.entries[1].sync, sim_get_clock_ms (&sim, 1)),
+                   BT_SYNC_NOT_READY);
   sim_close (&sim);
-  run_start_from_old_peer (&sim, BT_SPREAD_ANY_PEER);
+  run_start_from_old_peer (&sim, BT_SYNC_ANY_PEER);
   CU_ASSERT_STRING_NOT_EQUAL (sim.violation, "");
   sim_close (&sim);
 }
@@ -234,9 +234,9 @@
 
   run_stale_first_read (&sim, 0);
   CU_ASSERT_STRING_EQUAL (sim.violation, "");
-  CU_ASSERT_TRUE (bt_count_offers (bt_get_spread_table (sim.entries[1].sync), BT_OFFER_OLDER) > 0);
+  CU_ASSERT_TRUE (bt_count_offers (bt_get_sync_table (sim.entries[1].sync), BT_OFFER_OLDER) > 0);
   sim_close (&sim);
-  run_stale_first_read (&sim, BT_SPREAD_TAKE_OLDER);
+  run_stale_first_read (&sim, BT_SYNC_ACCEPT_OLDER);
   CU_ASSERT_STRING_NOT_EQUAL (sim.violation, "");
   sim_close (&sim);
 }
@@ -247,11 +247,11 @@
 test_stale_read_after_recovery_is_dropped (void)
 {
   simulation_t sim;
-  bt_spread_status_t status;
+  bt_sync_status_t status;
 
   run_stale_read (&sim, 0);
   CU_ASSERT_STRING_EQUAL (sim.violation, "");
-  bt_get_spread_status (sim.entries[1].sync, sim_get_clock_ms (&sim, 1), &status);
+  bt_get_sync_status (sim.entries[1].sync, sim_get_clock_ms (&sim, 1), &status);
   CU_ASSERT_TRUE (status.stale_reads > 0);
   sim_close (&sim);
 }
@@ -274,7 +274,7 @@
   run_stale_isolated (&sim, 0);
   CU_ASSERT_FALSE (sim_is_admitting (&sim, 1));
   sim_close (&sim);
-  run_stale_isolated (&sim, BT_SPREAD_TRUST_STALE_READ);
+  run_stale_isolated (&sim, BT_SYNC_TRUST_STALE_READ);
   CU_ASSERT_TRUE (sim_is_admitting (&sim, 1));
   sim_close (&sim);
 }
@@ -308,7 +308,7 @@
   CU_ASSERT_STRING_EQUAL (sim.violation, "");
   CU_ASSERT_EQUAL (sim_get_revision (&sim, 1), sim.rules->revision);
   sim_close (&sim);
-  run_killed_forwarder (&sim, BT_SPREAD_NO_PULL);
+  run_killed_forwarder (&sim, BT_SYNC_NO_PULL);
   CU_ASSERT_TRUE (sim_get_revision (&sim, 1) < sim.rules->revision);
   sim_close (&sim);
 }
@@ -334,7 +334,7 @@
   run_delayed_heartbeats (&sim, 0);
   CU_ASSERT_FALSE (sim_is_admitting (&sim, 2));
   sim_close (&sim);
-  run_delayed_heartbeats (&sim, BT_SPREAD_TRUST_ARRIVAL);
+  run_delayed_heartbeats (&sim, BT_SYNC_TRUST_ARRIVAL);
   CU_ASSERT_TRUE (sim_is_admitting (&sim, 2));
   sim_close (&sim);
 }
--- a/test/config/test_publisher.c
+++ b/test/config/test_publisher.c
@@ -208,11 +208,11 @@
   bt_add_document (ctx, &found, rules);
   bt_set_publish_entries (ctx, publisher, names, 3);
   bt_start_publisher (ctx, publisher, 0, &actions);
-  bt_take_publish_read (ctx, publisher, &found, 0, &actions);
+  bt_handle_publish_read (ctx, publisher, &found, 0, &actions);
   for (int32_t i = 0; i < 2; i++)
     {
       bt_set_publish_incarnation (publisher, names[i], 1);
-      bt_take_publish_in_force (ctx, publisher, names[i], "rules", 6, 100, &actions);
+      bt_handle_publish_in_force (ctx, publisher, names[i], "rules", 6, 100, &actions);
     }
   bt_set_publish_incarnation (publisher, names[1], 2);
   for (int64_t now_ms = 200; now_ms < settings.isolation_ms + 1000; now_ms += 100)
@@ -257,12 +257,12 @@
   bt_add_document (ctx, &found, accounts);
   bt_add_document (ctx, &found, rules);
   bt_start_publisher (ctx, publisher, 0, &actions);
-  bt_take_publish_read (ctx, publisher, &found, 0, &actions);
+  bt_handle_publish_read (ctx, publisher, &found, 0, &actions);
   CU_ASSERT_EQUAL_FATAL (actions.count, 2);
   CU_ASSERT_EQUAL (actions.items[1].kind, BT_PUBLISH_COMMIT);
   CU_ASSERT_EQUAL_FATAL (bt_get_publish_changes (publisher)->count, 1);
   CU_ASSERT_STRING_EQUAL (bt_get_publish_changes (publisher)->items[0]->name, "rules");
-  CU_ASSERT_EQUAL (bt_get_publish_compare (publisher, 0), 6);
+  CU_ASSERT_EQUAL (bt_get_publish_compare_revision (publisher, 0), 6);
   bt_clear_publish_actions (ctx, &actions);
   bt_clear_documents (ctx, &found);
   bt_drop_document (ctx, accounts);
--- a/test/config/test_rule.c
+++ b/test/config/test_rule.c
@@ -73,7 +73,7 @@
   for (size_t i = 0; i < count; i++)
     {
       bt_header_t header = { examples[i].header, examples[i].value };
-      bt_request_facts_t attributes = { 0 };
+      bt_request_attributes_t attributes = { 0 };
       int32_t rule;
 
       attributes.account = examples[i].account;
@@ -130,7 +130,7 @@
 test_explanation_names_first_failing_part (void)
 {
   bt_declarations_t *declarations;
-  bt_request_facts_t attributes = { 0 };
+  bt_request_attributes_t attributes = { 0 };
   char *text = NULL;
   size_t bytes = 0;
   FILE *out = open_memstream (&text, &bytes);
