--- a/include/bilberrytray/base/address.h
+++ b/include/bilberrytray/base/address.h
@@ -11,8 +11,8 @@
 /** Reads "IP:PORT" (IPv4, port 0 to 65535) into @p address; false when it is malformed. */
 bool bt_parse_address (const char *text, struct sockaddr_in *address);
 
-/** True for an "IP:PORT" that one can connect to, in digits only: neither an address of no machine
- * nor port 0. For what others wrote. */
+/** Checks an address that was received from a peer. True for an "IP:PORT" in digits that can be
+ * connected to: the address is not 0.0.0.0 and the port is not 0. */
 bool bt_is_peer_address (const char *text);
 
 #endif
--- a/include/bilberrytray/base/condition.h
+++ b/include/bilberrytray/base/condition.h
@@ -2,8 +2,8 @@
 #define BILBERRYTRAY_BASE_CONDITION_H
 
 /** @file
- * Condition variables that wait by the monotonic clock, so that a jump of the time of day neither
- * stretches a wait nor cuts it.
+ * Condition variables that wait on the monotonic clock, so that a change of the wall clock neither
+ * lengthens nor shortens a wait.
  */
 
 #include <pthread.h>
@@ -12,7 +12,7 @@
 /** Initialises a condition variable for bt_wait_condition. */
 void bt_init_condition (pthread_cond_t *condition);
 
-/** Waits for a signal, @p wait_ms at most; @p lock is held. May return early. */
+/** Waits for a signal for at most @p wait_ms. The caller holds @p lock. May wake up spuriously. */
 void bt_wait_condition (pthread_cond_t *condition, pthread_mutex_t *lock, int64_t wait_ms);
 
 #endif
--- a/include/bilberrytray/base/event_log.h
+++ b/include/bilberrytray/base/event_log.h
@@ -2,21 +2,24 @@
 #define BILBERRYTRAY_BASE_EVENT_LOG_H
 
 /** @file
- * Structured events on standard output, one JSON object a line: each decision that touches a
- * request or changes what the process believes, with the inputs that decided it.
+ * Structured events on standard output, one JSON object per line. An event is logged for each
+ * decision that affects a request or changes the state that the process assumes, together with the
+ * inputs of the decision.
  *
- * Writing never blocks: a reader that has stopped costs lines. Each level has a budget of lines a
- * second, so that a flood at one level costs none of another. What is left out is counted in
- * "bilberry_log_lines_lost_total", and an event "log-left-out" tells how many lines it was, and how
- * many of them at warning or error, as soon as there is room again and anything is to be told.
+ * Writing never blocks: lines are dropped while the reader does not read. Each level has its own
+ * budget of lines per second, so that a flood at one level drops no lines of another. Dropped lines
+ * are counted in "bilberry_log_lines_lost_total". When the next event can be written, an event
+ * "log-left-out" precedes it with the number of dropped lines and how many of them had level
+ * warning or error.
  */
 
 #include <jansson.h>
 
 #include "bilberrytray/base/log.h"
 
-/** Writes one event. @p format and what follows describe the fields, as json_pack of jansson takes
- * them, such as "{s:s, s:I}"; values are s, i, I, f and b. Safe from any thread. */
+/** Writes one event. @p format and the arguments after it describe the fields in the format of
+ * jansson's json_pack, such as "{s:s, s:I}"; the value types s, i, I, f and b are supported. Can be
+ * called from any thread. */
 void
 bt_log_event (bt_context_t *ctx, bt_log_level_t level, const char *event, const char *format, ...);
 
--- a/include/bilberrytray/base/findings.h
+++ b/include/bilberrytray/base/findings.h
@@ -2,7 +2,7 @@
 #define BILBERRYTRAY_BASE_FINDINGS_H
 
 /** @file
- * Findings about input, collected with their place and reported together.
+ * Findings are problems found in input, collected with their location and reported together.
  */
 
 #include <stdint.h>
@@ -12,19 +12,19 @@
 
 typedef struct bt_findings bt_findings_t;
 
-/** One finding. Strings belong to the list. */
+/** One finding. The list owns the strings. */
 typedef struct bt_finding
 {
-  const char *file;    /**< The file, flag or variable; never NULL. */
-  int32_t line;        /**< From 1, or 0 where there is none. */
-  const char *path;    /**< Where inside the document, such as "rules[2].when.path"; may be "". */
+  const char *file;    /**< The file, flag or environment variable; never NULL. */
+  int32_t line;        /**< From 1; 0 if there is no line number. */
+  const char *path;    /**< Location in the document, such as "rules[2].when.path"; may be "". */
   const char *message; /**< One short sentence. */
 } bt_finding_t;
 
 bt_findings_t *bt_new_findings (bt_context_t *ctx);
 void bt_drop_findings (bt_context_t *ctx, bt_findings_t *findings);
 
-/** Adds a finding; strings are copied. @p path may be NULL. */
+/** Adds a finding. Strings are copied. @p path may be NULL. */
 void bt_add_finding (bt_context_t *ctx,
                      bt_findings_t *findings,
                      const char *file,
@@ -35,10 +35,10 @@
 
 int32_t bt_count_findings (const bt_findings_t *findings);
 
-/** The finding at @p index, from 0, in the order added. */
+/** Returns the finding at @p index, from 0, in the order of addition. */
 const bt_finding_t *bt_get_finding (const bt_findings_t *findings, int32_t index);
 
-/** Prints one line each: FILE:LINE: PATH: MESSAGE. */
+/** Prints one line per finding: FILE:LINE: PATH: MESSAGE. */
 void bt_print_findings (const bt_findings_t *findings, FILE *out);
 
 #endif
--- a/include/bilberrytray/base/limit.h
+++ b/include/bilberrytray/base/limit.h
@@ -2,16 +2,17 @@
 #define BILBERRYTRAY_BASE_LIMIT_H
 
 /** @file
- * What a process can't hold because of a size that is fixed in it or set for it. An operator has to
- * hear of it: what hits such a bound is otherwise left out without a trace.
+ * Reports that a fixed or configured size limit of the process was reached. Whatever exceeds such a
+ * limit is dropped, so the operator has to be told.
  */
 
 #include "bilberrytray/base/context.h"
 
-/** Counts that a bound was hit, in "bilberry_limits_reached_total" by @p limit, and logs it the
- * first time, the second, the fourth and so on. @p subject is what hit it, and @p message says what
- * follows. @p limit is a name in the program text. */
+/** Counts that a limit was reached, in "bilberry_limits_reached_total" by @p limit. Logs it when
+ * the count is a power of two (1, 2, 4, ...), so that the log is not flooded. @p limit is a
+ * constant name, @p max the limit's value, @p subject what exceeded it, and @p message the
+ * consequence. */
 void bt_note_limit (
-    bt_context_t *ctx, const char *limit, int64_t most, const char *subject, const char *message);
+    bt_context_t *ctx, const char *limit, int64_t max, const char *subject, const char *message);
 
 #endif
--- a/include/bilberrytray/page/listener.h
+++ b/include/bilberrytray/page/listener.h
@@ -2,18 +2,19 @@
 #define BILBERRYTRAY_PAGE_LISTENER_H
 
 /** @file
- * The end of listening for HTTP callers.
+ * Stops an HTTP daemon from accepting connections.
  */
 
 struct MHD_Daemon;
 
-/** Lets nobody connect any more. Connections that were made before are still served, those too that
- * wait to be accepted. A second call changes nothing. For a daemon without threads of its own. */
+/** Closes the listening socket. Established connections are still served, including those that were
+ * not yet accepted. A second call has no effect. For a daemon without threads of its own. */
 void bt_close_listener (struct MHD_Daemon *daemon);
 
-/** The same for a daemon with threads. They take the socket out of their sets when they wake up,
- * and the library aborts the process when it is closed by then: it is returned, to be closed behind
- * the end of the daemon. -1 when there is none. */
+/** Like bt_close_listener, for a daemon with threads. The threads remove the socket from their poll
+ * sets when they wake up, and libmicrohttpd aborts the process if the socket is closed before that.
+ * So the socket is only shut down and returned; the caller closes it after the daemon has stopped.
+ * Returns -1 when there is no listening socket. */
 int bt_shut_listener (struct MHD_Daemon *daemon);
 
 #endif
--- a/include/bilberrytray/page/page.h
+++ b/include/bilberrytray/page/page.h
@@ -2,7 +2,7 @@
 #define BILBERRYTRAY_PAGE_PAGE_H
 
 /** @file
- * The operators' HTTP page of a process: /metrics, /healthz and what the program adds.
+ * The HTTP page of a process for operators: /metrics, /healthz and the program's own paths.
  */
 
 #include <stdbool.h>
@@ -13,21 +13,21 @@
 
 typedef struct bt_page bt_page_t;
 
-/** Answers a path of the program's own; NULL when there is no such path. The text is freed by free.
- */
+/** Returns the text for one of the program's own paths, or NULL when there is no such path. The
+ * page releases the text with free. */
 typedef char *(*bt_page_route_t) (void *argument, const char *method, const char *path);
 
-/** Serves the page at "IP:PORT" on a thread of its own. @p route may be NULL. */
+/** Serves the page at "IP:PORT" on its own thread. @p route may be NULL. */
 bt_page_t *bt_new_page (bt_context_t *ctx,
                         const char *address,
                         bt_page_route_t route,
                         void *argument,
                         bt_error_t *error);
 
-/** Stops serving. NULL is accepted. */
+/** Stops the page and frees it. NULL is accepted. */
 void bt_drop_page (bt_context_t *ctx, bt_page_t *page);
 
-/** All counters as one text, to be freed by free. */
+/** Returns all counters as text, which the caller releases with free; NULL on failure. */
 char *bt_format_counters (bt_context_t *ctx);
 
 #endif
--- a/source/base/condition.c
+++ b/source/base/condition.c
@@ -23,15 +23,15 @@
 void
 bt_wait_condition (pthread_cond_t *condition, pthread_mutex_t *lock, int64_t wait_ms)
 {
-  struct timespec until;
+  struct timespec deadline;
 
-  clock_gettime (CLOCK_MONOTONIC, &until);
-  until.tv_sec += wait_ms / MS_PER_S;
-  until.tv_nsec += wait_ms % MS_PER_S * NS_PER_MS;
-  if (until.tv_nsec >= NS_PER_S)
+  clock_gettime (CLOCK_MONOTONIC, &deadline);
+  deadline.tv_sec += wait_ms / MS_PER_S;
+  deadline.tv_nsec += wait_ms % MS_PER_S * NS_PER_MS;
+  if (deadline.tv_nsec >= NS_PER_S)
     {
-      until.tv_sec++;
-      until.tv_nsec -= NS_PER_S;
+      deadline.tv_sec++;
+      deadline.tv_nsec -= NS_PER_S;
     }
-  pthread_cond_timedwait (condition, lock, &until);
+  pthread_cond_timedwait (condition, lock, &deadline);
 }
--- a/source/base/context.c
+++ b/source/base/context.c
@@ -29,9 +29,9 @@
   ctx->log_level = BT_LOG_INFO;
   snprintf (ctx->log_name, sizeof ctx->log_name, "-");
   ctx->events.fd = STDOUT_FILENO;
-  ctx->sentences.fd = STDERR_FILENO;
+  ctx->message_stream.fd = STDERR_FILENO;
   pthread_mutex_init (&ctx->event_lock, NULL);
-  pthread_mutex_init (&ctx->sentence_lock, NULL);
+  pthread_mutex_init (&ctx->message_lock, NULL);
   ctx->counters = bt_new_counters (ctx);
   return ctx;
 }
@@ -43,7 +43,7 @@
     return;
   bt_drop_counters (ctx, ctx->counters);
   pthread_mutex_destroy (&ctx->event_lock);
-  pthread_mutex_destroy (&ctx->sentence_lock);
+  pthread_mutex_destroy (&ctx->message_lock);
   free (ctx);
 }
 
@@ -166,10 +166,10 @@
   snprintf (stamp + used, BT_LOG_STAMP_BYTES - used, ".%03dZ", (int)(wall_ms % MS_PER_S));
 }
 
-/* Looking a counter up takes a lock, so the pointers are kept. Two threads that come here at once
- * find the same counters. */
+/* Looking up a counter takes a lock, so the pointers are cached. Two threads that run this at the
+ * same time get the same counters. */
 void
-bt_open_log_counters (bt_context_t *ctx)
+bt_init_log_counters (bt_context_t *ctx)
 {
   static const char *const family = "bilberry_log_lines_lost_total";
   static const char *const help = "Log lines that were left out, by cause.";
@@ -183,19 +183,20 @@
                    bt_find_counter (ctx, BT_COUNTER, family, help, "cause", "budget"));
 }
 
-/* Whoever reads standard error may stop too, and then no thread may wait for it. */
+/* Never blocks: the reader of standard error may stop reading, and no thread may wait for it. */
 static bool
-write_sentence (bt_context_t *ctx, const char *head, const char *line, size_t bytes)
+write_message (bt_context_t *ctx, const char *head, const char *line, size_t bytes)
 {
-  bt_log_stream_t *stream = &ctx->sentences;
-  char told[LOG_LINE_BYTES];
+  bt_log_stream_t *stream = &ctx->message_stream;
+  char notice[LOG_LINE_BYTES];
   int used;
 
   if (stream->lost_lines > 0)
     {
-      used = snprintf (told, sizeof told, "%s%s: %lld lines were lost: nobody read them.\n", head,
+      used = snprintf (notice, sizeof notice,
+                       "%s%s: %lld lines were lost because standard error was not read.\n", head,
                        part_names[BT_PART_MAIN], (long long)stream->lost_lines);
-      if (!bt_write_log_line (stream, told, (size_t)used))
+      if (!bt_write_log_line (stream, notice, (size_t)used))
         return false;
       stream->lost_lines = 0;
     }
@@ -222,13 +223,13 @@
   va_end (arguments);
   used = strlen (line);
   line[used] = '\n';
-  pthread_mutex_lock (&ctx->sentence_lock);
-  written = write_sentence (ctx, head, line, used + 1);
+  pthread_mutex_lock (&ctx->message_lock);
+  written = write_message (ctx, head, line, used + 1);
   if (!written)
-    ctx->sentences.lost_lines++;
-  pthread_mutex_unlock (&ctx->sentence_lock);
+    ctx->message_stream.lost_lines++;
+  pthread_mutex_unlock (&ctx->message_lock);
   if (written)
     return;
-  bt_open_log_counters (ctx);
+  bt_init_log_counters (ctx);
   bt_add_counter (ctx->lost_by_reader, 1);
 }
--- a/source/base/counters.c
+++ b/source/base/counters.c
@@ -10,14 +10,14 @@
   bt_counter_kind_t kind;
   char *family;
   char *help;
-  char *part;   /* of a histogram: behind the family's name; NULL for any other */
-  char *labels; /* as they are printed between braces; NULL without */
+  char *part;   /* suffix of a histogram counter's name; NULL for other kinds */
+  char *labels; /* as printed between braces; NULL without labels */
   bt_counter_t *next;
 };
 
 struct bt_counters
 {
-  pthread_mutex_t lock; /**< Guards the list; values are changed without it. */
+  pthread_mutex_t lock; /**< Guards the list; values are updated without it. */
   bt_counter_t *first;
   bt_counter_t *last;
 };
@@ -52,7 +52,7 @@
 }
 
 static bool
-same_text (const char *left, const char *right)
+equal_or_both_null (const char *left, const char *right)
 {
   if (left == NULL || right == NULL)
     return left == right;
@@ -63,8 +63,8 @@
 find_locked (bt_counters_t *counters, const char *family, const char *part, const char *labels)
 {
   for (bt_counter_t *counter = counters->first; counter != NULL; counter = counter->next)
-    if (same_text (counter->family, family) && same_text (counter->part, part)
-        && same_text (counter->labels, labels))
+    if (equal_or_both_null (counter->family, family) && equal_or_both_null (counter->part, part)
+        && equal_or_both_null (counter->labels, labels))
       return counter;
   return NULL;
 }
@@ -143,7 +143,7 @@
 }
 
 static bool
-starts_family (const bt_counters_t *counters, const bt_counter_t *counter)
+is_first_of_family (const bt_counters_t *counters, const bt_counter_t *counter)
 {
   for (const bt_counter_t *other = counters->first; other != counter; other = other->next)
     if (strcmp (other->family, counter->family) == 0)
@@ -187,7 +187,7 @@
 
   pthread_mutex_lock (&counters->lock);
   for (const bt_counter_t *counter = counters->first; counter != NULL; counter = counter->next)
-    if (starts_family (counters, counter))
+    if (is_first_of_family (counters, counter))
       print_family (counter, out);
   pthread_mutex_unlock (&counters->lock);
 }
--- a/source/base/event_fields.c
+++ b/source/base/event_fields.c
@@ -4,35 +4,36 @@
 
 enum
 {
-  /* Longest text of a field. The longest event has five texts that callers or endpoints choose, and
-   * a line has room for them all. */
-  TEXT_BYTES = 512,
-  FIRST_NOT_ASCII = 0x80,
+  /* Size limit of a text field. The longest event has five text fields that are set by callers or
+   * endpoints, and all five fit into one line. */
+  MAX_TEXT_BYTES = 512,
+  FIRST_NON_ASCII = 0x80,
 };
 
-/* A caller's id may be any bytes. jansson refuses what is no UTF-8, and the whole event with it:
- * a caller could keep its requests out of the log. */
+/* Replaces bytes that are not ASCII in text that is truncated or not valid UTF-8. A caller's id can
+ * contain any bytes, and jansson rejects invalid UTF-8 and with it the whole event, so a caller
+ * could keep its requests out of the log. */
 static json_t *
-make_text (const char *text)
+make_text_value (const char *text)
 {
-  char clean[TEXT_BYTES];
+  char sanitized[MAX_TEXT_BYTES];
   size_t bytes;
 
   if (text == NULL)
     return json_null ();
-  bytes = strnlen (text, sizeof clean);
-  if (bytes < sizeof clean)
+  bytes = strnlen (text, sizeof sanitized);
+  if (bytes < sizeof sanitized)
     {
-      json_t *whole = json_string (text);
+      json_t *string = json_string (text);
 
-      if (whole != NULL)
-        return whole;
+      if (string != NULL)
+        return string;
     }
   else
-    bytes = sizeof clean - 1;
+    bytes = sizeof sanitized - 1;
   for (size_t i = 0; i < bytes; i++)
-    clean[i] = (unsigned char)text[i] < FIRST_NOT_ASCII ? text[i] : '?';
-  return json_stringn (clean, bytes);
+    sanitized[i] = (unsigned char)text[i] < FIRST_NON_ASCII ? text[i] : '?';
+  return json_stringn (sanitized, bytes);
 }
 
 static json_t *
@@ -41,7 +42,7 @@
   switch (kind)
     {
     case 's':
-      return make_text (va_arg (*arguments, const char *));
+      return make_text_value (va_arg (*arguments, const char *));
     case 'i':
       return json_integer (va_arg (*arguments, int));
     case 'I':
--- a/source/base/event_log.c
+++ b/source/base/event_log.c
@@ -9,10 +9,10 @@
 enum
 {
   MILLI = 1000,
-  /* Lines a second that one level may write for long, and at once after a rest: a level then takes
-   * a small part of a core at the most. */
+  /* Sustained rate and burst size of one level. They keep the cost of a level at a small part of a
+   * core. */
   LINES_PER_S = 40,
-  LINES_AT_ONCE = 400,
+  LINES_BURST = 400,
 };
 
 static bool
@@ -24,18 +24,19 @@
 static void
 refill_budget (bt_log_budget_t *budget, int64_t now_ms)
 {
-  int64_t most_milli = (int64_t)LINES_AT_ONCE * MILLI;
-
-  budget->lines_milli =
-      budget->began ? budget->lines_milli + (now_ms - budget->filled_ms) * LINES_PER_S : most_milli;
-  budget->began = true;
-  budget->filled_ms = now_ms;
-  if (budget->lines_milli > most_milli)
-    budget->lines_milli = most_milli;
+  int64_t max_milli = (int64_t)LINES_BURST * MILLI;
+
+  budget->lines_milli = budget->started
+                            ? budget->lines_milli + (now_ms - budget->refilled_ms) * LINES_PER_S
+                            : max_milli;
+  budget->started = true;
+  budget->refilled_ms = now_ms;
+  if (budget->lines_milli > max_milli)
+    budget->lines_milli = max_milli;
 }
 
 static bool
-take_budget (bt_log_budget_t *budget)
+consume_line (bt_log_budget_t *budget)
 {
   if (budget->lines_milli < MILLI)
     return false;
@@ -53,7 +54,8 @@
                     "instance", ctx->log_name, "event", event);
 }
 
-/* Writes an object as one line and frees it. False when the reader does not take it. */
+/* Writes an object as one line and releases it. False when the line could not be written, usually
+ * because the reader does not read. */
 static bool
 write_object (bt_context_t *ctx, json_t *object)
 {
@@ -68,7 +70,7 @@
 }
 
 static bool
-tell_left_out (
+write_dropped_event (
     bt_context_t *ctx, bt_log_level_t level, const char *cause, int64_t lines, int64_t failures)
 {
   json_t *object = begin_object (ctx, level, "log-left-out");
@@ -79,53 +81,55 @@
   return write_object (ctx, object);
 }
 
-/* The reader stood still and lines were lost: says so before anything else. Without it, a reader
- * would take the absence of a failure's line for the absence of the failure. */
+/* After the reader had stopped and lines were lost, reports that before any other event. Otherwise
+ * the missing line of a failure would look as if there had been no failure. */
 static bool
-tell_lost (bt_context_t *ctx)
+report_lost_lines (bt_context_t *ctx)
 {
   bt_log_stream_t *events = &ctx->events;
 
   if (events->lost_lines == 0)
     return true;
-  if (!tell_left_out (ctx, BT_LOG_WARNING, "reader", events->lost_lines, events->lost_failures))
+  if (!write_dropped_event (ctx, BT_LOG_WARNING, "reader", events->lost_lines,
+                            events->lost_failures))
     return false;
   events->lost_lines = 0;
   events->lost_failures = 0;
   return true;
 }
 
-/* Says what the budgets left out, also of other levels: the end of a flood may be the last event of
- * its level for hours. Told lines count against the level's own budget. */
+/* Reports the lines that the budgets dropped, for every level: after a flood, a level may log no
+ * further event for hours. The report itself counts against the budget of its level. */
 static void
-tell_over_budget (bt_context_t *ctx, int64_t now_ms)
+report_dropped_lines (bt_context_t *ctx, int64_t now_ms)
 {
   for (int32_t level = BT_LOG_ERROR; level < BT_LOG_LEVELS; level++)
     {
       bt_log_budget_t *budget = &ctx->budgets[level];
 
       refill_budget (budget, now_ms);
-      if (budget->left_out == 0 || !take_budget (budget))
+      if (budget->dropped_lines == 0 || !consume_line (budget))
         continue;
-      if (!tell_left_out (ctx, (bt_log_level_t)level, "budget", budget->left_out,
-                          is_failure ((bt_log_level_t)level) ? budget->left_out : 0))
+      if (!write_dropped_event (ctx, (bt_log_level_t)level, "budget", budget->dropped_lines,
+                                is_failure ((bt_log_level_t)level) ? budget->dropped_lines : 0))
         return;
-      budget->left_out = 0;
+      budget->dropped_lines = 0;
     }
 }
 
-/* What the budget leaves out is not even put together: under a flood that is most lines. */
+/* Reports lost lines and takes the event from the budget. False if the event must be dropped. It is
+ * called before the event is formatted, since during a flood most events are dropped. */
 static bool
-may_write (bt_context_t *ctx, bt_log_level_t level)
+admit_event (bt_context_t *ctx, bt_log_level_t level)
 {
   int64_t now_ms = bt_now_ms (ctx);
 
-  if (tell_lost (ctx))
-    tell_over_budget (ctx, now_ms);
+  if (report_lost_lines (ctx))
+    report_dropped_lines (ctx, now_ms);
   refill_budget (&ctx->budgets[level], now_ms);
-  if (take_budget (&ctx->budgets[level]))
+  if (consume_line (&ctx->budgets[level]))
     return true;
-  ctx->budgets[level].left_out++;
+  ctx->budgets[level].dropped_lines++;
   bt_add_counter (ctx->lost_by_budget, 1);
   return false;
 }
@@ -138,9 +142,9 @@
 
   if (!bt_is_logged (ctx, level))
     return;
-  bt_open_log_counters (ctx);
+  bt_init_log_counters (ctx);
   pthread_mutex_lock (&ctx->event_lock);
-  if (may_write (ctx, level))
+  if (admit_event (ctx, level))
     {
       object = begin_object (ctx, level, event);
       va_start (arguments, format);
--- a/source/base/histogram.c
+++ b/source/base/histogram.c
@@ -12,7 +12,7 @@
 
 struct bt_histogram
 {
-  bt_counter_t *buckets[BOUNDS + 1]; /* each counts those below its bound; the last one all */
+  bt_counter_t *buckets[BOUNDS + 1]; /* cumulative; the last one counts all durations */
   bt_counter_t *sum_ms;
   bt_counter_t *count;
 };
@@ -21,11 +21,11 @@
 find_bucket (
     bt_context_t *ctx, const char *family, const char *help, const char *labels, const char *bound)
 {
-  char all[BT_LABELS_BYTES];
+  char all_labels[BT_LABELS_BYTES];
 
-  snprintf (all, sizeof all, "%s%sle=\"%s\"", labels == NULL ? "" : labels,
+  snprintf (all_labels, sizeof all_labels, "%s%sle=\"%s\"", labels == NULL ? "" : labels,
             labels == NULL ? "" : ",", bound);
-  return bt_find_labelled_counter (ctx, BT_HISTOGRAM, family, help, "bucket", all);
+  return bt_find_labelled_counter (ctx, BT_HISTOGRAM, family, help, "bucket", all_labels);
 }
 
 bt_histogram_t *
--- a/source/base/queue.c
+++ b/source/base/queue.c
@@ -7,8 +7,9 @@
 {
   ck_ring_t ring;
   ck_ring_buffer_t *slots;
-  /* Counts pushes. The ring orders its items by itself, but in assembly, where ThreadSanitizer does
-   * not see it and calls each access to an item a race. This pair of atomics says the same in C. */
+  /* Number of pushes. The ring already orders accesses to items, but in assembly, which
+   * ThreadSanitizer does not see, so it would report a race on each item. The release and acquire
+   * on this counter express the same ordering in C. */
   atomic_ullong pushes;
 };
 
--- a/source/base/settings.c
+++ b/source/base/settings.c
@@ -20,7 +20,7 @@
 static const char *const variable_prefix = "BILBERRY_";
 
 static void
-name_variable (const char *name, char *variable, size_t bytes)
+format_variable (const char *name, char *variable, size_t bytes)
 {
   size_t used = (size_t)snprintf (variable, bytes, "%s", variable_prefix);
 
@@ -128,12 +128,12 @@
 }
 
 static void
-take_fallbacks (bt_context_t *ctx,
-                const bt_setting_t *settings,
-                int32_t count,
-                const bool *given,
-                void *values,
-                bt_findings_t *findings)
+apply_fallbacks (bt_context_t *ctx,
+                 const bt_setting_t *settings,
+                 int32_t count,
+                 const bool *given,
+                 void *values,
+                 bt_findings_t *findings)
 {
   char variable[VARIABLE_BYTES];
   const char *text;
@@ -142,7 +142,7 @@
     {
       if (given[i])
         continue;
-      name_variable (settings[i].name, variable, sizeof variable);
+      format_variable (settings[i].name, variable, sizeof variable);
       text = getenv (variable);
       if (text != NULL)
         store_setting (ctx, &settings[i], variable, text, values, findings);
@@ -207,8 +207,9 @@
     *first_operand = optind;
   else
     for (int i = optind; i < argc; i++)
-      bt_add_finding (ctx, findings, argv[i], 0, NULL, "Nothing is expected behind the flags.");
-  take_fallbacks (ctx, settings, count, given, values, findings);
+      bt_add_finding (ctx, findings, argv[i], 0, NULL,
+                      "No arguments are expected after the flags.");
+  apply_fallbacks (ctx, settings, count, given, values, findings);
   return bt_count_findings (findings) == 0 ? BT_SETTINGS_OK : BT_SETTINGS_BAD;
 }
 
@@ -219,7 +220,7 @@
 
   for (int32_t i = 0; i < count; i++)
     {
-      name_variable (settings[i].name, variable, sizeof variable);
+      format_variable (settings[i].name, variable, sizeof variable);
       fprintf (out, "  --%-24s %s\n", settings[i].name, settings[i].help);
       if (settings[i].default_text == NULL)
         fprintf (out, "    %-24s %s, required\n", "", variable);
--- a/source/page/listener.c
+++ b/source/page/listener.c
@@ -8,53 +8,54 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-/* A connection that broke while it waited, or a signal, says nothing of those behind it. */
+/* An interrupted call, or a connection that was aborted in the queue, does not mean that the queue
+ * is empty. */
 static bool
-may_more_wait (int fd)
+may_have_more (int fd)
 {
   return fd >= 0 || errno == EINTR || errno == ECONNABORTED;
 }
 
-/* Serves the connections that the kernel has made already: their callers may have sent a request,
- * and would see it end without an answer when the socket that listens is closed. One that the
- * kernel makes between the last look and the closing is reset; nothing of it was read. */
+/* Accepts all connections in the kernel's queue. Their callers may already have sent a request,
+ * which would get no answer if the listening socket were closed. A connection that is established
+ * between the last accept and the close is reset; nothing of it was read. */
 static void
-take_waiting_connections (struct MHD_Daemon *daemon, int listening)
+accept_pending_connections (struct MHD_Daemon *daemon, int listen_fd)
 {
   struct sockaddr_in address;
   socklen_t bytes;
   int fd;
 
-  fcntl (listening, F_SETFL, fcntl (listening, F_GETFL) | O_NONBLOCK);
+  fcntl (listen_fd, F_SETFL, fcntl (listen_fd, F_GETFL) | O_NONBLOCK);
   do
     {
       bytes = sizeof address;
-      fd = accept4 (listening, (struct sockaddr *)&address, &bytes, SOCK_NONBLOCK | SOCK_CLOEXEC);
+      fd = accept4 (listen_fd, (struct sockaddr *)&address, &bytes, SOCK_NONBLOCK | SOCK_CLOEXEC);
       if (fd >= 0)
         MHD_add_connection (daemon, fd, (struct sockaddr *)&address, bytes);
     }
-  while (may_more_wait (fd));
+  while (may_have_more (fd));
 }
 
 void
 bt_close_listener (struct MHD_Daemon *daemon)
 {
-  int listening = MHD_quiesce_daemon (daemon);
+  int listen_fd = MHD_quiesce_daemon (daemon);
 
-  if (listening < 0)
+  if (listen_fd < 0)
     return;
-  take_waiting_connections (daemon, listening);
-  close (listening);
+  accept_pending_connections (daemon, listen_fd);
+  close (listen_fd);
 }
 
 int
 bt_shut_listener (struct MHD_Daemon *daemon)
 {
-  int listening = MHD_quiesce_daemon (daemon);
+  int listen_fd = MHD_quiesce_daemon (daemon);
 
-  if (listening < 0)
+  if (listen_fd < 0)
     return -1;
-  take_waiting_connections (daemon, listening);
-  shutdown (listening, SHUT_RDWR);
-  return listening;
+  accept_pending_connections (daemon, listen_fd);
+  shutdown (listen_fd, SHUT_RDWR);
+  return listen_fd;
 }
--- a/source/page/page.c
+++ b/source/page/page.c
@@ -46,14 +46,14 @@
 }
 
 static enum MHD_Result
-handle (void *argument,
-        struct MHD_Connection *connection,
-        const char *url,
-        const char *method,
-        const char *version,
-        const char *data,
-        size_t *bytes,
-        void **state)
+handle_request (void *argument,
+                struct MHD_Connection *connection,
+                const char *url,
+                const char *method,
+                const char *version,
+                const char *data,
+                size_t *bytes,
+                void **state)
 {
   bt_page_t *page = argument;
   struct MHD_Response *response;
@@ -104,13 +104,13 @@
   page->route = route;
   page->argument = argument;
   page->daemon = MHD_start_daemon (
-      MHD_USE_EPOLL_INTERNAL_THREAD, 0, NULL, NULL, handle, page, MHD_OPTION_SOCK_ADDR,
+      MHD_USE_EPOLL_INTERNAL_THREAD, 0, NULL, NULL, handle_request, page, MHD_OPTION_SOCK_ADDR,
       (struct sockaddr *)&target, MHD_OPTION_LISTENING_ADDRESS_REUSE, 1U,
       MHD_OPTION_CONNECTION_LIMIT, (unsigned int)CONNECTION_LIMIT, MHD_OPTION_CONNECTION_TIMEOUT,
       (unsigned int)CONNECTION_TIMEOUT_S, MHD_OPTION_END);
   if (page->daemon == NULL)
     {
-      bt_set_error (error, BT_ERROR_SYSTEM, "Can't serve the operators' page on %s.", address);
+      bt_set_error (error, BT_ERROR_SYSTEM, "Cannot serve the operators' page on %s.", address);
       bt_free (ctx, page);
       return NULL;
     }
--- a/test/base/test_counters.c
+++ b/test/base/test_counters.c
@@ -17,7 +17,7 @@
 static bt_context_t *ctx;
 
 static char *
-print (void)
+print_counters (void)
 {
   char *text = NULL;
   size_t bytes = 0;
@@ -37,7 +37,7 @@
   bt_add_counter (bt_find_counter (ctx, BT_COUNTER, "a_total", "Things.", "kind", "x"), 2);
   bt_set_gauge (bt_find_counter (ctx, BT_GAUGE, "level", "A level.", NULL, NULL), -3);
   bt_add_counter (bt_find_counter (ctx, BT_COUNTER, "a_total", "Things.", "kind", "y"), 5);
-  text = print ();
+  text = print_counters ();
   CU_ASSERT_STRING_EQUAL (text, "# HELP a_total Things.\n# TYPE a_total counter\n"
                                 "a_total{kind=\"x\"} 2\na_total{kind=\"y\"} 5\n"
                                 "# HELP level A level.\n# TYPE level gauge\nlevel -3\n");
@@ -58,7 +58,7 @@
   bt_record_duration (histogram, 6);
   bt_record_duration (histogram, 20000);
   bt_drop_histogram (ctx, histogram);
-  text = print ();
+  text = print_counters ();
   CU_ASSERT_PTR_NOT_NULL (strstr (text, "# HELP wait_ms Waits.\n# TYPE wait_ms histogram\n"));
   CU_ASSERT_PTR_NOT_NULL (strstr (text, "wait_ms_bucket{le=\"2\"} 1\n"));
   CU_ASSERT_PTR_NOT_NULL (strstr (text, "wait_ms_bucket{le=\"5\"} 2\n"));
@@ -89,7 +89,7 @@
     pthread_create (&threads[i], NULL, add_many, NULL);
   for (int32_t i = 0; i < THREADS; i++)
     pthread_join (threads[i], NULL);
-  text = print ();
+  text = print_counters ();
   CU_ASSERT_PTR_NOT_NULL (strstr (text, "bilberry_refusals_total{reason=\"no-rule\"} 40000\n"));
   free (text);
   bt_drop_context (ctx);
@@ -102,7 +102,7 @@
 
   ctx = bt_new_context ();
   bt_prepare_outcome_counters (ctx);
-  text = print ();
+  text = print_counters ();
   for (int32_t i = BT_REASON_NONE + 1; i < BT_REASON_COUNT; i++)
     {
       char line[128];
--- a/test/base/test_limit.c
+++ b/test/base/test_limit.c
@@ -3,8 +3,9 @@
 #include "bilberrytray/base.h"
 #include "bilberrytray/base/limit.h"
 
-/* Peers were turned away for hours and nothing said so. Each time is counted; the log says it at
- * once and then ever less often, so that a bound hit a thousand times a second floods nothing. */
+/* Guards against a limit that rejects peers for hours without any trace. Each time that a limit is
+ * reached is counted; the first is logged at once, later ones ever more rarely, so that a limit
+ * that is reached a thousand times a second does not flood the log. */
 static void
 test_each_time_is_counted (void)
 {
--- a/test/base/test_queue.c
+++ b/test/base/test_queue.c
@@ -11,7 +11,7 @@
   CAPACITY = 64,
 };
 
-/** What a producer fills before it hands it over, without any atomic. */
+/** An item that a producer fills without atomics before it pushes it. */
 typedef struct item
 {
   int64_t value;
@@ -34,10 +34,10 @@
   return NULL;
 }
 
-/* Items handed over between threads arrive whole, each once; under ThreadSanitizer without a race
- * on what they hold (seen: a race on an agent's commands, reported once in some runs). */
+/* Items passed between threads arrive complete and exactly once. ThreadSanitizer must report no
+ * race on their contents; it reported one on an agent's commands in some runs. */
 static void
-test_items_arrive_whole_and_once (void)
+test_items_arrive_complete_and_once (void)
 {
   pthread_t threads[PRODUCERS];
   int64_t sum = 0;
@@ -66,7 +66,7 @@
 }
 
 static void
-test_full_queue_refuses (void)
+test_full_queue_rejects_items (void)
 {
   int32_t pushed = 0;
   int64_t value = 1;
@@ -88,8 +88,8 @@
 
   CU_initialize_registry ();
   suite = CU_add_suite ("queue", NULL, NULL);
-  CU_ADD_TEST (suite, test_items_arrive_whole_and_once);
-  CU_ADD_TEST (suite, test_full_queue_refuses);
+  CU_ADD_TEST (suite, test_items_arrive_complete_and_once);
+  CU_ADD_TEST (suite, test_full_queue_rejects_items);
   CU_basic_set_mode (CU_BRM_VERBOSE);
   CU_basic_run_tests ();
   failed = CU_get_number_of_failures ();
--- a/test/base/test_settings.c
+++ b/test/base/test_settings.c
@@ -32,7 +32,7 @@
 }
 
 static void
-test_flags_win_over_environment (void)
+test_flags_override_environment (void)
 {
   bt_context_t *ctx = bt_new_context ();
   bt_findings_t *findings = bt_new_findings (ctx);
@@ -72,7 +72,7 @@
 }
 
 static void
-test_bad_addresses_are_found (void)
+test_invalid_addresses_are_reported (void)
 {
   static const char *const bad[] = { "localhost:80", "127.0.0.1", "127.0.0.1:", "1.2.3.4:99999" };
 
@@ -90,7 +90,7 @@
 }
 
 static void
-test_decimals (void)
+test_decimals_are_parsed_and_checked (void)
 {
   static const char *const bad[] = { "", "much", "0.5x", "-0.1", "8.5", "nan" };
   bt_context_t *ctx = bt_new_context ();
@@ -136,10 +136,10 @@
 
   CU_initialize_registry ();
   suite = CU_add_suite ("settings", NULL, NULL);
-  CU_ADD_TEST (suite, test_flags_win_over_environment);
+  CU_ADD_TEST (suite, test_flags_override_environment);
   CU_ADD_TEST (suite, test_all_findings_are_reported_together);
-  CU_ADD_TEST (suite, test_bad_addresses_are_found);
-  CU_ADD_TEST (suite, test_decimals);
+  CU_ADD_TEST (suite, test_invalid_addresses_are_reported);
+  CU_ADD_TEST (suite, test_decimals_are_parsed_and_checked);
   CU_ADD_TEST (suite, test_help_and_version);
   CU_basic_set_mode (CU_BRM_VERBOSE);
   CU_basic_run_tests ();
