--- a/include/bilberrytray/wire/engine_messages.h
+++ b/include/bilberrytray/wire/engine_messages.h
@@ -2,14 +2,15 @@
 #define BILBERRYTRAY_WIRE_ENGINE_MESSAGES_H
 
 /** @file
- * Reports and orders of a group's engines as frames between agents and entries.
+ * Converts reports and orders of a group's engines to and from the messages that agents and entries
+ * exchange.
  */
 
 #include "bilberrytray/core/identity.h"
 #include "bilberrytray/maps/group_rounds.h"
 #include "bilberrytray/wire/frame.h"
 
-/** How an engine stands. */
+/** State of an engine. */
 typedef struct bt_engine_report
 {
   char group[BT_NAME_BYTES]; /**< "" for an engine without a group. */
@@ -17,21 +18,21 @@
   int32_t ranks;
   bt_rank_report_t maps;
   int32_t running;     /**< Requests in its batch. */
-  int32_t queued;      /**< Requests that wait for it. */
-  int64_t memory_used; /**< Tokens in its memory that can't yield. */
-  int64_t memory;
-  double pace; /**< Above 1 it is slow. */
+  int32_t queued;      /**< Requests in its queue. */
+  int64_t memory_used; /**< Tokens in its memory that cannot be evicted. */
+  int64_t memory;      /**< Capacity of its memory in tokens. */
+  double pace;         /**< Slowdown factor; above 1 the engine is slow. */
 } bt_engine_report_t;
 
-/** Fills in a message for a report; its strings stay those of @p report. */
+/** Fills in the message for a report. The message refers to the strings of @p report. */
 void bt_write_engine_report (const bt_engine_report_t *report, Bilberry__EngineReport *message);
 
 void bt_read_engine_report (const Bilberry__EngineReport *message, bt_engine_report_t *report);
 
-/** Fills in a message for an order; the map's bytes stay the caller's. */
+/** Fills in the message for an order, except the bytes of the map, which the caller sets. */
 void bt_write_engine_order (const bt_group_order_t *order, Bilberry__EngineOrder *message);
 
-/** False when the kind is not known. */
+/** Reads an order. False if its kind is unknown. */
 bool bt_read_engine_order (const Bilberry__EngineOrder *message, bt_group_order_t *order);
 
 #endif
--- a/source/wire/frame.c
+++ b/source/wire/frame.c
@@ -92,7 +92,7 @@
   bytes = read_length (at);
   if (bytes > max_bytes)
     {
-      bt_set_error (error, BT_ERROR_TOO_LARGE, "A frame of %zu bytes is over the limit of %zu.",
+      bt_set_error (error, BT_ERROR_TOO_LARGE, "A frame of %zu bytes exceeds the limit of %zu.",
                     bytes, max_bytes);
       return NULL;
     }
@@ -102,7 +102,8 @@
   if (frame == NULL || frame->body_case == BILBERRY__FRAME__BODY__NOT_SET)
     {
       bt_drop_frame (frame);
-      bt_set_error (error, BT_ERROR_FORMAT, "A frame of %zu bytes holds no known message.", bytes);
+      bt_set_error (error, BT_ERROR_FORMAT, "A frame of %zu bytes contains no known message.",
+                    bytes);
       return NULL;
     }
   bt_take_buffer (buffer, BT_FRAME_PREFIX_BYTES + bytes);
--- a/source/wire/handshake.c
+++ b/source/wire/handshake.c
@@ -5,7 +5,7 @@
 static void
 add_text (crypto_auth_hmacsha256_state *state, const char *text)
 {
-  /* The closing zero goes in too, so that no two lists of texts run together alike. */
+  /* Includes the terminating zero, so that different lists of texts never give the same bytes. */
   crypto_auth_hmacsha256_update (state, (const unsigned char *)text, strlen (text) + 1);
 }
 
@@ -48,10 +48,10 @@
                 const uint8_t *proof,
                 size_t bytes)
 {
-  uint8_t wanted[BT_PROOF_BYTES];
+  uint8_t expected[BT_PROOF_BYTES];
 
   if (bytes != BT_PROOF_BYTES)
     return false;
-  bt_make_proof (secret, label, nonce, prover, verifier, wanted);
-  return sodium_memcmp (wanted, proof, BT_PROOF_BYTES) == 0;
+  bt_make_proof (secret, label, nonce, prover, verifier, expected);
+  return sodium_memcmp (expected, proof, BT_PROOF_BYTES) == 0;
 }
--- a/source/wire/handshake.h
+++ b/source/wire/handshake.h
@@ -2,7 +2,7 @@
 #define BILBERRYTRAY_SOURCE_WIRE_HANDSHAKE_H
 
 /** @file
- * The proofs of the opening of a link.
+ * The proofs that the ends of a link exchange in its handshake.
  */
 
 #include <stdbool.h>
@@ -16,7 +16,7 @@
   BT_PROOF_BYTES = crypto_auth_hmacsha256_BYTES,
 };
 
-/** One end of an opening. */
+/** Identity of one end of a handshake. */
 typedef struct bt_handshake_end
 {
   const char *role;
@@ -24,8 +24,9 @@
   uint64_t incarnation;
 } bt_handshake_end_t;
 
-/** Makes the proof of @p prover to the holder of @p nonce. The label tells the two directions
- * apart, so that a proof sent back to its maker proves nothing. */
+/** Computes the proof of @p prover for the @p nonce that @p verifier chose: an HMAC-SHA256 with the
+ * secret. The label differs between the two directions, so that a proof that is reflected to its
+ * sender is invalid. */
 void bt_make_proof (const char *secret,
                     const char *label,
                     const uint8_t *nonce,
@@ -33,7 +34,8 @@
                     const bt_handshake_end_t *verifier,
                     uint8_t *proof);
 
-/** True when @p proof, of @p bytes bytes, is that of the call above; in constant time. */
+/** True if @p proof, of @p bytes bytes, equals the result of bt_make_proof. Compares in constant
+ * time. */
 bool bt_check_proof (const char *secret,
                      const char *label,
                      const uint8_t *nonce,
--- a/source/wire/link.c
+++ b/source/wire/link.c
@@ -20,8 +20,8 @@
   link->fd = fd;
   link->dialled = dialled;
   link->state = dialled ? BT_LINK_CONNECTING : BT_LINK_AWAIT_HELLO;
-  link->opened_ms = bt_now_ms (loop->ctx);
-  link->heard_ms = link->opened_ms;
+  link->created_ms = bt_now_ms (loop->ctx);
+  link->last_receive_ms = link->created_ms;
   bt_fill_secure_random (link->nonce, sizeof link->nonce);
   pthread_mutex_init (&link->lock, NULL);
   atomic_fetch_add (&loop->link_count, 1);
@@ -50,14 +50,14 @@
 }
 
 static void
-want_writable (bt_link_t *link, bool wanted)
+set_write_interest (bt_link_t *link, bool enabled)
 {
   struct epoll_event event = { .events = EPOLLIN, .data.ptr = link };
 
-  if (link->writable_wanted == wanted)
+  if (link->write_interest == enabled)
     return;
-  link->writable_wanted = wanted;
-  if (wanted)
+  link->write_interest = enabled;
+  if (enabled)
     event.events |= EPOLLOUT;
   epoll_ctl (link->loop->epoll_fd, EPOLL_CTL_MOD, link->fd, &event);
 }
@@ -74,14 +74,14 @@
         continue;
       if (sent < 0 && (errno == EAGAIN || errno == EWOULDBLOCK))
         {
-          want_writable (link, true);
+          set_write_interest (link, true);
           return true;
         }
       if (sent < 0)
         return false;
       bt_take_buffer (&link->unsent, (size_t)sent);
     }
-  want_writable (link, false);
+  set_write_interest (link, false);
   return true;
 }
 
@@ -107,8 +107,8 @@
   if (link->fd >= 0)
     {
       bt_encode_frame (ctx, &link->unsent, frame);
-      /* A peer that has stopped reading would fill this process's memory. Cutting it off frees it,
-       * and what was in flight is asked for again by key, like after any dead link. */
+      /* Unsent data for a peer that has stopped reading would fill this process's memory, so the
+       * link is closed. Requests in flight are resent by key, as after any dead link. */
       sent = bt_count_buffer (&link->unsent) <= link->loop->options.max_unsent_bytes
              && flush_locked (link);
     }
--- a/source/wire/link_loop.c
+++ b/source/wire/link_loop.c
@@ -19,8 +19,8 @@
 
 enum
 {
-  EVENTS_AT_ONCE = 64,
-  TICK_MS = 20,
+  MAX_EVENTS = 64,
+  SWEEP_INTERVAL_MS = 20,
   RECEIVE_BYTES = 65536,
   LISTEN_BACKLOG = 256,
 };
@@ -51,13 +51,13 @@
   if (link->dialled)
     {
       event.events |= EPOLLOUT;
-      link->writable_wanted = true;
+      link->write_interest = true;
     }
   return epoll_ctl (loop->epoll_fd, EPOLL_CTL_ADD, link->fd, &event) == 0;
 }
 
 static void
-set_low_delay (int fd)
+disable_nagle (int fd)
 {
   int one = 1;
 
@@ -83,8 +83,8 @@
   if (atomic_load (&loop->link_count) >= loop->options.max_links)
     {
       bt_note_limit (loop->ctx, "links", loop->options.max_links, address,
-                     "It is not dialled; another try follows.");
-      bt_set_error (error, BT_ERROR_TOO_LARGE, "There are %d links already.",
+                     "The peer is not dialled; another attempt follows.");
+      bt_set_error (error, BT_ERROR_TOO_LARGE, "The limit of %d links is reached.",
                     loop->options.max_links);
       return NULL;
     }
@@ -92,12 +92,12 @@
   if (fd < 0
       || (connect (fd, (struct sockaddr *)&target, sizeof target) < 0 && errno != EINPROGRESS))
     {
-      bt_set_error (error, BT_ERROR_SYSTEM, "Can't dial %s: %s.", address, strerror (errno));
+      bt_set_error (error, BT_ERROR_SYSTEM, "Cannot dial %s: %s.", address, strerror (errno));
       if (fd >= 0)
         close (fd);
       return NULL;
     }
-  set_low_delay (fd);
+  disable_nagle (fd);
   link = bt_new_link (loop, fd, true);
   bt_copy_name (link->target, instance);
   add_link (loop, link);
@@ -126,16 +126,16 @@
       || listen (fd, LISTEN_BACKLOG) < 0
       || getsockname (fd, (struct sockaddr *)&target, &bytes) < 0)
     {
-      bt_set_error (error, BT_ERROR_SYSTEM, "Can't listen on %s: %s.", address, strerror (errno));
+      bt_set_error (error, BT_ERROR_SYSTEM, "Cannot listen on %s: %s.", address, strerror (errno));
       if (fd >= 0)
         close (fd);
       return -1;
     }
-  /* Stored before the loop's thread can hear of it. */
+  /* Set before epoll can report the socket to the loop's thread. */
   loop->listen_fd = fd;
   if (epoll_ctl (loop->epoll_fd, EPOLL_CTL_ADD, fd, &event) == 0)
     return ntohs (target.sin_port);
-  bt_set_error (error, BT_ERROR_SYSTEM, "Can't wait for links on %s: %s.", address,
+  bt_set_error (error, BT_ERROR_SYSTEM, "Cannot wait for links on %s: %s.", address,
                 strerror (errno));
   return -1;
 }
@@ -152,11 +152,11 @@
       if (atomic_load (&loop->link_count) >= loop->options.max_links)
         {
           bt_note_limit (loop->ctx, "links", loop->options.max_links, "a peer that dialled",
-                         "The connection is closed; the peer tries again.");
+                         "The connection is closed; the peer will retry.");
           close (fd);
           continue;
         }
-      set_low_delay (fd);
+      disable_nagle (fd);
       link = bt_new_link (loop, fd, false);
       add_link (loop, link);
       bt_drop_link (loop->ctx, link);
@@ -178,12 +178,12 @@
 }
 
 static void
-take_frame (bt_link_t *link, const bt_frame_t *frame)
+handle_frame (bt_link_t *link, const bt_frame_t *frame)
 {
   bt_link_handler_t *handler = link->loop->options.handler;
   bt_error_t error = { 0 };
 
-  link->heard_ms = bt_now_ms (link->loop->ctx);
+  link->last_receive_ms = bt_now_ms (link->loop->ctx);
   if (link->state == BT_LINK_UP)
     {
       handler->vtable->on_frame (handler, link, frame);
@@ -202,7 +202,7 @@
 }
 
 static void
-take_frames (bt_link_t *link)
+decode_frames (bt_link_t *link)
 {
   bt_error_t error = { 0 };
   bt_frame_t *frame;
@@ -215,7 +215,7 @@
       frame = bt_decode_frame (&link->received, limit, &error);
       if (frame == NULL)
         break;
-      take_frame (link, frame);
+      handle_frame (link, frame);
       bt_drop_frame (frame);
     }
   if (error.code != BT_ERROR_NONE)
@@ -236,7 +236,7 @@
       if (received > 0)
         {
           link->received.end += (size_t)received;
-          take_frames (link);
+          decode_frames (link);
         }
     }
   while (received == RECEIVE_BYTES && !atomic_load (&link->closing));
@@ -259,7 +259,7 @@
 }
 
 static void
-serve_event (bt_link_t *link, uint32_t events)
+handle_event (bt_link_t *link, uint32_t events)
 {
   if ((events & EPOLLOUT) != 0)
     {
@@ -273,7 +273,7 @@
 }
 
 static void
-admit_added (bt_link_loop_t *loop)
+register_added_links (bt_link_loop_t *loop)
 {
   bt_link_t *added;
 
@@ -296,38 +296,39 @@
 }
 
 static void
-check_times (bt_link_t *link, int64_t now_ms)
+check_timeouts (bt_link_t *link, int64_t now_ms)
 {
   const bt_link_options_t *options = &link->loop->options;
   bt_error_t error = { 0 };
 
   if (link->state != BT_LINK_UP)
     {
-      if (now_ms - link->opened_ms > options->opening_ms)
+      if (now_ms - link->created_ms > options->opening_ms)
         {
-          bt_set_error (&error, BT_ERROR_TIMEOUT, "The opening took too long.");
+          bt_set_error (&error, BT_ERROR_TIMEOUT, "The handshake timed out.");
           fail_link (link, &error);
         }
       return;
     }
-  /* An open connection can go silent for good while new ones work. The peer sends heartbeats, so
-   * silence for the idle limit means that nothing arrives any more, whatever the socket says. */
-  if (now_ms - link->heard_ms > options->idle_ms)
+  /* An open connection can go silent permanently while new ones work. Since the peer sends
+   * heartbeats, no frame within the idle limit means that the connection is dead, whatever the
+   * state of the socket. */
+  if (now_ms - link->last_receive_ms > options->idle_ms)
     {
-      bt_set_error (&error, BT_ERROR_TIMEOUT, "No frame came for %lld ms.",
-                    (long long)(now_ms - link->heard_ms));
+      bt_set_error (&error, BT_ERROR_TIMEOUT, "No frame arrived for %lld ms.",
+                    (long long)(now_ms - link->last_receive_ms));
       fail_link (link, &error);
       return;
     }
-  if (now_ms - link->beat_ms >= options->beat_ms)
+  if (now_ms - link->last_heartbeat_ms >= options->beat_ms)
     {
-      link->beat_ms = now_ms;
+      link->last_heartbeat_ms = now_ms;
       options->handler->vtable->on_beat (options->handler, link);
     }
 }
 
 static void
-retire_link (bt_link_loop_t *loop, bt_link_t *link)
+finish_link (bt_link_loop_t *loop, bt_link_t *link)
 {
   bool was_up = link->state == BT_LINK_UP;
 
@@ -356,11 +357,11 @@
       bt_link_t *link = *place;
 
       if (!all && !atomic_load (&link->closing))
-        check_times (link, now_ms);
+        check_timeouts (link, now_ms);
       if (all || atomic_load (&link->closing))
         {
           *place = link->next;
-          retire_link (loop, link);
+          finish_link (loop, link);
         }
       else
         place = &link->next;
@@ -368,7 +369,7 @@
 }
 
 static void
-drain_wake (bt_link_loop_t *loop)
+reset_wakeup (bt_link_loop_t *loop)
 {
   uint64_t count;
 
@@ -380,37 +381,37 @@
 run_loop (void *argument)
 {
   bt_link_loop_t *loop = argument;
-  struct epoll_event events[EVENTS_AT_ONCE];
-  int64_t swept_ms = 0;
+  struct epoll_event events[MAX_EVENTS];
+  int64_t last_sweep_ms = 0;
 
   while (!atomic_load (&loop->stopping))
     {
       bool closing = false;
-      int count = epoll_wait (loop->epoll_fd, events, EVENTS_AT_ONCE, TICK_MS);
+      int count = epoll_wait (loop->epoll_fd, events, MAX_EVENTS, SWEEP_INTERVAL_MS);
 
       for (int i = 0; i < count; i++)
         {
           if (events[i].data.ptr == &loop->wake_fd)
             {
-              drain_wake (loop);
+              reset_wakeup (loop);
               closing = true;
             }
           else if (events[i].data.ptr == &loop->listen_fd)
             accept_links (loop);
           else
             {
-              serve_event (events[i].data.ptr, events[i].events);
+              handle_event (events[i].data.ptr, events[i].events);
               closing |= atomic_load (&((bt_link_t *)events[i].data.ptr)->closing);
             }
         }
-      admit_added (loop);
-      if (closing || bt_now_ms (loop->ctx) - swept_ms >= TICK_MS)
+      register_added_links (loop);
+      if (closing || bt_now_ms (loop->ctx) - last_sweep_ms >= SWEEP_INTERVAL_MS)
         {
-          swept_ms = bt_now_ms (loop->ctx);
+          last_sweep_ms = bt_now_ms (loop->ctx);
           sweep_links (loop, false);
         }
     }
-  admit_added (loop);
+  register_added_links (loop);
   sweep_links (loop, true);
   return NULL;
 }
@@ -430,7 +431,7 @@
   epoll_ctl (loop->epoll_fd, EPOLL_CTL_ADD, loop->wake_fd, &event);
   if (pthread_create (&loop->thread, NULL, run_loop, loop) != 0)
     {
-      bt_set_error (error, BT_ERROR_SYSTEM, "Can't start a thread: %s.", strerror (errno));
+      bt_set_error (error, BT_ERROR_SYSTEM, "Cannot start a thread: %s.", strerror (errno));
       bt_free (ctx, loop);
       return NULL;
     }
--- a/source/wire/link_opening.c
+++ b/source/wire/link_opening.c
@@ -24,7 +24,7 @@
 }
 
 static bool
-take_name (char *target, size_t bytes, const char *name)
+copy_valid_name (char *target, size_t bytes, const char *name)
 {
   if (name[0] == '\0' || strlen (name) >= bytes)
     return false;
@@ -76,21 +76,22 @@
 }
 
 static bool
-take_challenge (bt_link_t *link, const Bilberry__Challenge *challenge, bt_error_t *error)
+handle_challenge (bt_link_t *link, const Bilberry__Challenge *challenge, bt_error_t *error)
 {
-  if (!take_name (link->instance, sizeof link->instance, challenge->instance)
-      || !take_name (link->role, sizeof link->role, challenge->role)
+  if (!copy_valid_name (link->instance, sizeof link->instance, challenge->instance)
+      || !copy_valid_name (link->role, sizeof link->role, challenge->role)
       || challenge->nonce.len != BT_NONCE_BYTES)
     return bt_set_error (error, BT_ERROR_FORMAT, "The challenge is malformed.");
   link->incarnation = challenge->incarnation;
-  /* Addresses are reused when instances are replaced: without this check a dispatch meant for one
-   * endpoint would reach whichever process now listens there. */
+  /* Addresses are reused when instances are replaced. Without this check a dispatch for one
+   * endpoint would reach whichever process now listens at its address. */
   if (strcmp (link->instance, link->target) != 0)
     return bt_set_error (error, BT_ERROR_REFUSED, "Dialled %s but reached %s.", link->target,
                          link->instance);
   link->state = BT_LINK_AWAIT_WELCOME;
   if (!send_hello (link, challenge->nonce.data))
-    return bt_set_error (error, BT_ERROR_CLOSED, "The peer closed while opening.");
+    return bt_set_error (error, BT_ERROR_CLOSED,
+                         "The peer closed the connection during the handshake.");
   return true;
 }
 
@@ -114,40 +115,43 @@
 }
 
 static bool
-take_hello (bt_link_t *link, const Bilberry__Hello *hello, bt_error_t *error)
+handle_hello (bt_link_t *link, const Bilberry__Hello *hello, bt_error_t *error)
 {
   const bt_link_options_t *options = &link->loop->options;
   bt_handshake_end_t own = get_own_end (link);
   bt_handshake_end_t peer;
 
-  if (!take_name (link->instance, sizeof link->instance, hello->instance)
-      || !take_name (link->role, sizeof link->role, hello->role)
+  if (!copy_valid_name (link->instance, sizeof link->instance, hello->instance)
+      || !copy_valid_name (link->role, sizeof link->role, hello->role)
       || hello->nonce.len != BT_NONCE_BYTES || strlen (hello->failure_domain) >= BT_NAME_BYTES)
     return bt_set_error (error, BT_ERROR_FORMAT, "The hello is malformed.");
   link->incarnation = hello->incarnation;
   peer = get_peer_end (link);
   if (!bt_check_proof (options->secret, hello_label, link->nonce, &peer, &own, hello->proof.data,
                        hello->proof.len))
-    return bt_set_error (error, BT_ERROR_REFUSED, "%s does not know the secret.", link->instance);
+    return bt_set_error (error, BT_ERROR_REFUSED, "%s sent an invalid proof of the shared secret.",
+                         link->instance);
   if (strcmp (hello->target_instance, options->instance) != 0)
-    return bt_set_error (error, BT_ERROR_REFUSED, "%s meant to reach %s.", link->instance,
+    return bt_set_error (error, BT_ERROR_REFUSED, "%s tried to reach %s.", link->instance,
                          hello->target_instance);
   bt_copy_name (link->failure_domain, hello->failure_domain);
   if (!send_welcome (link, hello->nonce.data))
-    return bt_set_error (error, BT_ERROR_CLOSED, "The peer closed while opening.");
+    return bt_set_error (error, BT_ERROR_CLOSED,
+                         "The peer closed the connection during the handshake.");
   link->state = BT_LINK_UP;
   return true;
 }
 
 static bool
-take_welcome (bt_link_t *link, const Bilberry__Welcome *welcome, bt_error_t *error)
+handle_welcome (bt_link_t *link, const Bilberry__Welcome *welcome, bt_error_t *error)
 {
   bt_handshake_end_t own = get_own_end (link);
   bt_handshake_end_t peer = get_peer_end (link);
 
   if (!bt_check_proof (link->loop->options.secret, welcome_label, link->nonce, &peer, &own,
                        welcome->proof.data, welcome->proof.len))
-    return bt_set_error (error, BT_ERROR_REFUSED, "%s does not know the secret.", link->instance);
+    return bt_set_error (error, BT_ERROR_REFUSED, "%s sent an invalid proof of the shared secret.",
+                         link->instance);
   if (strlen (welcome->failure_domain) >= BT_NAME_BYTES)
     return bt_set_error (error, BT_ERROR_FORMAT, "The welcome is malformed.");
   bt_copy_name (link->failure_domain, welcome->failure_domain);
@@ -159,10 +163,10 @@
 bt_take_opening_frame (bt_link_t *link, const bt_frame_t *frame, bt_error_t *error)
 {
   if (link->state == BT_LINK_AWAIT_CHALLENGE && frame->body_case == BILBERRY__FRAME__BODY_CHALLENGE)
-    return take_challenge (link, frame->challenge, error);
+    return handle_challenge (link, frame->challenge, error);
   if (link->state == BT_LINK_AWAIT_HELLO && frame->body_case == BILBERRY__FRAME__BODY_HELLO)
-    return take_hello (link, frame->hello, error);
+    return handle_hello (link, frame->hello, error);
   if (link->state == BT_LINK_AWAIT_WELCOME && frame->body_case == BILBERRY__FRAME__BODY_WELCOME)
-    return take_welcome (link, frame->welcome, error);
-  return bt_set_error (error, BT_ERROR_FORMAT, "A frame came out of order while opening.");
+    return handle_welcome (link, frame->welcome, error);
+  return bt_set_error (error, BT_ERROR_FORMAT, "A frame was out of order in the handshake.");
 }
--- a/source/wire/link_private.h
+++ b/source/wire/link_private.h
@@ -2,7 +2,7 @@
 #define BILBERRYTRAY_SOURCE_WIRE_LINK_PRIVATE_H
 
 /** @file
- * What link.c, link_opening.c and link_loop.c share.
+ * Internal declarations of link.c, link_opening.c and link_loop.c.
  */
 
 #include <pthread.h>
@@ -12,10 +12,9 @@
 #include "bilberrytray/wire/link.h"
 #include "handshake.h"
 
-/** Longest frame before the peer has proved the secret, in bytes. */
 enum
 {
-  BT_OPENING_FRAME_BYTES = 4096,
+  BT_OPENING_FRAME_BYTES = 4096, /**< Maximum frame size until the peer has proved the secret. */
   BT_ROLE_BYTES = 16,
 };
 
@@ -34,13 +33,13 @@
   atomic_int references;
   bt_link_loop_t *loop;
   uint64_t id;
-  int fd; /**< Owned by the loop's thread; written to under the lock. */
+  int fd; /**< Owned by the loop's thread; written to with lock held. */
   bool dialled;
-  bt_link_state_t state; /**< Of the loop's thread alone. */
-  int64_t opened_ms;
-  int64_t heard_ms;
-  int64_t beat_ms;
-  char target[BT_NAME_BYTES]; /**< The instance that was dialled. */
+  bt_link_state_t state; /**< Used by the loop's thread only. */
+  int64_t created_ms;
+  int64_t last_receive_ms;    /**< Time of the last received frame. */
+  int64_t last_heartbeat_ms;  /**< Time of the last call of on_beat. */
+  char target[BT_NAME_BYTES]; /**< Instance that was dialled; "" for an accepted link. */
   char instance[BT_NAME_BYTES];
   char role[BT_ROLE_BYTES];
   char failure_domain[BT_NAME_BYTES];
@@ -49,11 +48,11 @@
   bt_buffer_t received;
   bt_link_t *next; /**< In the loop's list. */
 
-  atomic_bool closing; /**< The loop is to close it. */
+  atomic_bool closing; /**< The loop has to close the link. */
   atomic_bool closed;
-  pthread_mutex_t lock; /**< Guards what stands below, and writing to the socket. */
+  pthread_mutex_t lock; /**< Guards the members below and writing to the socket. */
   bt_buffer_t unsent;
-  bool writable_wanted;
+  bool write_interest;
 };
 
 struct bt_link_loop
@@ -65,24 +64,24 @@
   int listen_fd;
   pthread_t thread;
   atomic_bool stopping;
-  pthread_mutex_t lock; /**< Guards the list of new links and the counts. */
-  bt_link_t *added;
-  bt_link_t *links; /**< Of the loop's thread alone. */
+  pthread_mutex_t lock; /**< Guards added. */
+  bt_link_t *added;     /**< New links that the thread has not registered yet. */
+  bt_link_t *links;     /**< Used by the loop's thread only. */
   atomic_int link_count;
   atomic_ullong next_id;
 };
 
-/** Makes a link with two references: the loop's and the caller's. */
+/** Creates a link with two references, one for the loop and one for the caller. */
 bt_link_t *bt_new_link (bt_link_loop_t *loop, int fd, bool dialled);
 
-/** Sends what is left; called when the socket takes bytes again. */
+/** Sends unsent bytes; called when the socket is writable. False if the socket failed. */
 bool bt_flush_link (bt_context_t *ctx, bt_link_t *link);
 
-/** First frame of an accepted link. */
+/** Sends the first frame on an accepted link. */
 void bt_send_challenge (bt_link_t *link);
 
-/** Takes a frame of the opening. False: the link is to be closed. Sets the state to up at its end.
- */
+/** Handles a frame of the handshake, and sets the state to BT_LINK_UP when the handshake is
+ * complete. On false the caller has to close the link. */
 bool bt_take_opening_frame (bt_link_t *link, const bt_frame_t *frame, bt_error_t *error);
 
 /** Wakes the loop's thread. */
--- a/test/wire/test_frame.c
+++ b/test/wire/test_frame.c
@@ -28,7 +28,7 @@
 }
 
 static void
-test_frames_come_out_as_they_went_in (void)
+test_frames_decode_as_encoded (void)
 {
   bt_buffer_t buffer = { 0 };
   bt_error_t error = { 0 };
@@ -52,30 +52,30 @@
 }
 
 static void
-test_half_a_frame_waits (void)
+test_incomplete_frame_needs_more_bytes (void)
 {
-  bt_buffer_t whole = { 0 };
-  bt_buffer_t half = { 0 };
+  bt_buffer_t complete = { 0 };
+  bt_buffer_t partial = { 0 };
   bt_error_t error = { 0 };
 
   ctx = bt_new_context ();
-  encode_piece (&whole, "text");
-  for (size_t bytes = 0; bytes < bt_count_buffer (&whole); bytes++)
+  encode_piece (&complete, "text");
+  for (size_t bytes = 0; bytes < bt_count_buffer (&complete); bytes++)
     {
-      half.start = half.end = 0;
-      bt_append_buffer (ctx, &half, whole.data, bytes);
-      CU_ASSERT_PTR_NULL (bt_decode_frame (&half, LIMIT_BYTES, &error));
+      partial.start = partial.end = 0;
+      bt_append_buffer (ctx, &partial, complete.data, bytes);
+      CU_ASSERT_PTR_NULL (bt_decode_frame (&partial, LIMIT_BYTES, &error));
       CU_ASSERT_EQUAL (error.code, BT_ERROR_NONE);
     }
-  bt_clear_buffer (ctx, &whole);
-  bt_clear_buffer (ctx, &half);
+  bt_clear_buffer (ctx, &complete);
+  bt_clear_buffer (ctx, &partial);
   bt_drop_context (ctx);
 }
 
 /* A peer announces a frame of gigabytes and sends nothing more. Waiting for it would hold memory
- * for good, so the length itself is refused. */
+ * permanently, so the frame is rejected by its length. */
 static void
-test_long_frame_is_refused_by_its_length (void)
+test_long_frame_is_rejected_by_its_length (void)
 {
   static const uint8_t head[] = { 0x7f, 0xff, 0xff, 0xff };
   bt_buffer_t buffer = { 0 };
@@ -89,13 +89,13 @@
   bt_drop_context (ctx);
 }
 
-/* Bits flip on the way. Each damaged frame is refused, waits for more bytes, or is read as some
- * other well-formed frame; nothing is read or written out of bounds (ASan). */
+/* Bits of a frame are flipped. Each damaged frame is rejected, waits for more bytes, or decodes as
+ * another valid frame; nothing is read or written out of bounds, which ASan checks. */
 static void
-test_damaged_frames_do_no_harm (void)
+test_damaged_frames_are_handled_safely (void)
 {
   bt_random_t random;
-  int32_t refused = 0;
+  int32_t rejected = 0;
 
   ctx = bt_new_context ();
   bt_seed_random (&random, 7);
@@ -111,11 +111,11 @@
             (uint8_t)(1U << bt_random_below (&random, 8));
       frame = bt_decode_frame (&buffer, LIMIT_BYTES, &error);
       CU_ASSERT_TRUE (frame == NULL || error.code == BT_ERROR_NONE);
-      refused += error.code != BT_ERROR_NONE;
+      rejected += error.code != BT_ERROR_NONE;
       bt_drop_frame (frame);
       bt_clear_buffer (ctx, &buffer);
     }
-  CU_ASSERT_TRUE (refused > 0);
+  CU_ASSERT_TRUE (rejected > 0);
   bt_drop_context (ctx);
 }
 
@@ -127,10 +127,10 @@
 
   CU_initialize_registry ();
   suite = CU_add_suite ("frame", NULL, NULL);
-  CU_ADD_TEST (suite, test_frames_come_out_as_they_went_in);
-  CU_ADD_TEST (suite, test_half_a_frame_waits);
-  CU_ADD_TEST (suite, test_long_frame_is_refused_by_its_length);
-  CU_ADD_TEST (suite, test_damaged_frames_do_no_harm);
+  CU_ADD_TEST (suite, test_frames_decode_as_encoded);
+  CU_ADD_TEST (suite, test_incomplete_frame_needs_more_bytes);
+  CU_ADD_TEST (suite, test_long_frame_is_rejected_by_its_length);
+  CU_ADD_TEST (suite, test_damaged_frames_are_handled_safely);
   CU_basic_set_mode (CU_BRM_VERBOSE);
   CU_basic_run_tests ();
   failed = CU_get_number_of_failures ();
--- a/test/wire/test_link.c
+++ b/test/wire/test_link.c
@@ -15,18 +15,18 @@
   WAIT_MS = 20000,
   POLL_MS = 5,
   IDLE_MS = 200,
-  GARBAGE_ROUNDS = 50,
+  NOISE_ROUNDS = 50,
   ADDRESS_TEXT_BYTES = 32,
 };
 
-/** One end that counts what happens to its links. */
+/** A process with links that counts their callbacks. */
 typedef struct end
 {
   bt_link_handler_t base;
   bt_context_t *ctx;
   bt_link_loop_t *loop;
   int32_t port;
-  bool silent; /**< Sends no heartbeats. */
+  bool silent; /**< Does not send heartbeats. */
   atomic_int ups;
   atomic_int downs;
   atomic_int frames;
@@ -113,11 +113,11 @@
 }
 
 static bool
-wait_count (atomic_int *count, int32_t wanted)
+wait_count (atomic_int *count, int32_t expected)
 {
   for (int32_t waited_ms = 0; waited_ms < WAIT_MS; waited_ms += POLL_MS)
     {
-      if (atomic_load (count) >= wanted)
+      if (atomic_load (count) >= expected)
         return true;
       bt_sleep_ms (POLL_MS);
     }
@@ -137,7 +137,7 @@
 }
 
 static void
-test_two_ends_prove_themselves (void)
+test_handshake_authenticates_both_ends (void)
 {
   end_t left;
   end_t right;
@@ -158,10 +158,10 @@
   stop_end (&right);
 }
 
-/* An instance was replaced and another process now listens at its address. The dialling end wants
- * the old one: without the check of names its dispatches would run at the wrong endpoint. */
+/* An instance was replaced and another process now listens at its address. The dialling end must
+ * notice by the name, or its dispatches would run at the wrong endpoint. */
 static void
-test_reused_address_is_noticed (void)
+test_wrong_instance_at_address_is_rejected (void)
 {
   end_t left;
   end_t right;
@@ -179,7 +179,7 @@
 }
 
 static void
-test_wrong_secret_is_refused (void)
+test_wrong_secret_is_rejected (void)
 {
   end_t left;
   end_t right;
@@ -196,10 +196,10 @@
   stop_end (&right);
 }
 
-/* Something between the two ends forgets the connection: it stays open and silent. The end that
- * hears nothing for its idle limit gives it up, whatever the socket says. */
+/* A connection stays open but silent, as when a device on the path loses its state. The end that
+ * receives no frame within the idle limit must close the link, whatever the state of the socket. */
 static void
-test_silent_link_is_given_up (void)
+test_silent_link_is_closed (void)
 {
   end_t left;
   end_t right;
@@ -230,7 +230,7 @@
 }
 
 static bool
-reads_end (int fd)
+wait_disconnected (int fd)
 {
   char bytes[4096];
   ssize_t got;
@@ -241,10 +241,10 @@
   return got == 0 || got < 0;
 }
 
-/* A stranger sends noise, or nothing at all, to the port for links. Each such connection is closed,
- * and a proper peer still gets its link. */
+/* An unknown client sends random bytes, or nothing, to the port for links. Each such connection is
+ * closed, and a valid peer can still open a link. */
 static void
-test_noise_is_closed_and_does_no_harm (void)
+test_connections_with_noise_are_closed (void)
 {
   end_t left;
   end_t right;
@@ -254,7 +254,7 @@
   bt_seed_random (&random, 11);
   start_end (&left, "left", "secret", false);
   start_end (&right, "right", "secret", false);
-  for (int32_t round = 0; round < GARBAGE_ROUNDS; round++)
+  for (int32_t round = 0; round < NOISE_ROUNDS; round++)
     {
       uint8_t noise[256];
       int fd = connect_raw (right.port);
@@ -262,12 +262,12 @@
       CU_ASSERT_TRUE (fd >= 0);
       for (size_t i = 0; i < sizeof noise; i++)
         noise[i] = (uint8_t)bt_next_random (&random);
-      /* A zero length first, so that some of the noise is taken for short frames. */
+      /* Clears the high bytes of the length, so that this noise is read as short frames. */
       if (round % 2 == 0)
         memset (noise, 0, 3);
       if (round % 10 != 9)
         CU_ASSERT_TRUE (send (fd, noise, sizeof noise, MSG_NOSIGNAL) >= 0);
-      CU_ASSERT_TRUE (reads_end (fd));
+      CU_ASSERT_TRUE (wait_disconnected (fd));
       close (fd);
     }
   CU_ASSERT_EQUAL (atomic_load (&right.ups), 0);
@@ -286,11 +286,11 @@
 
   CU_initialize_registry ();
   suite = CU_add_suite ("link", NULL, NULL);
-  CU_ADD_TEST (suite, test_two_ends_prove_themselves);
-  CU_ADD_TEST (suite, test_reused_address_is_noticed);
-  CU_ADD_TEST (suite, test_wrong_secret_is_refused);
-  CU_ADD_TEST (suite, test_silent_link_is_given_up);
-  CU_ADD_TEST (suite, test_noise_is_closed_and_does_no_harm);
+  CU_ADD_TEST (suite, test_handshake_authenticates_both_ends);
+  CU_ADD_TEST (suite, test_wrong_instance_at_address_is_rejected);
+  CU_ADD_TEST (suite, test_wrong_secret_is_rejected);
+  CU_ADD_TEST (suite, test_silent_link_is_closed);
+  CU_ADD_TEST (suite, test_connections_with_noise_are_closed);
   CU_basic_set_mode (CU_BRM_VERBOSE);
   CU_basic_run_tests ();
   failed = CU_get_number_of_failures ();
