--- a/include/bilberrytray/base/error.h
+++ b/include/bilberrytray/base/error.h
@@ -2,7 +2,7 @@
 #define BILBERRYTRAY_BASE_ERROR_H
 
 /** @file
- * The error struct that every function that can fail takes.
+ * The error struct that functions fill in when they fail.
  */
 
 #include <stdbool.h>
--- a/include/bilberrytray/base/limit.h
+++ b/include/bilberrytray/base/limit.h
@@ -3,7 +3,7 @@
 
 /** @file
  * Reports that a fixed or configured size limit of the process was reached. Whatever exceeds such a
- * limit is dropped, so the operator has to be told.
+ * limit is dropped, so the operator must be informed.
  */
 
 #include "bilberrytray/base/context.h"
--- a/include/bilberrytray/store/fenced_lease.h
+++ b/include/bilberrytray/store/fenced_lease.h
@@ -31,7 +31,7 @@
 } bt_lease_result_t;
 
 /** Renews the lease if it is held, else tries to acquire it; sets @p fence only when it is
- * acquired. The caller counts the TTL from before this call. Blocks on the store. */
+ * acquired. The holder must count the TTL from before this call. Blocks on the store. */
 bt_lease_result_t
 bt_hold_fenced_lease (bt_context_t *ctx, bt_fenced_lease_t *lease, uint64_t *fence);
 
--- a/include/bilberrytray/store/instances.h
+++ b/include/bilberrytray/store/instances.h
@@ -47,7 +47,7 @@
 void bt_drop_instances (bt_context_t *ctx, bt_instances_t *instances);
 
 /** Reads the list. On failure @p list is unchanged, and the error names the location of a malformed
- * field. Only one call may run at a time. */
+ * field. Calls run one at a time. */
 bool bt_read_instances (bt_context_t *ctx,
                         bt_instances_t *instances,
                         bt_instance_list_t *list,
--- a/include/bilberrytray/store/kv_calls.h
+++ b/include/bilberrytray/store/kv_calls.h
@@ -27,10 +27,10 @@
 
 /** Parses an answer, which is only valid during the call. False with @p error set if it is invalid.
  */
-typedef bool (*bt_take_kv_answer_t) (bt_context_t *ctx,
-                                     void *data,
-                                     const bt_http_answer_t *answer,
-                                     bt_error_t *error);
+typedef bool (*bt_parse_kv_answer_t) (bt_context_t *ctx,
+                                      void *data,
+                                      const bt_http_answer_t *answer,
+                                      bt_error_t *error);
 
 bt_kv_calls_t *bt_new_kv_calls (bt_context_t *ctx, const bt_kv_settings_t *settings);
 
@@ -49,7 +49,7 @@
                       bt_kv_calls_t *calls,
                       bt_kv_call_t kind,
                       const bt_http_request_t *request,
-                      bt_take_kv_answer_t parse,
+                      bt_parse_kv_answer_t parse,
                       void *data,
                       bt_error_t *error);
 
--- a/source/base/context.c
+++ b/source/base/context.c
@@ -142,7 +142,7 @@
 }
 
 bool
-bt_is_logged (bt_context_t *ctx, bt_log_level_t level)
+bt_is_level_enabled (bt_context_t *ctx, bt_log_level_t level)
 {
   return (int32_t)level <= ck_pr_load_int (&ctx->log_level);
 }
@@ -213,7 +213,7 @@
   bool written;
   size_t used;
 
-  if (!bt_is_logged (ctx, level))
+  if (!bt_is_level_enabled (ctx, level))
     return;
   bt_format_log_stamp (stamp);
   snprintf (head, sizeof head, "%s %s %s ", stamp, level_names[level], ctx->log_name);
--- a/source/base/context_private.h
+++ b/source/base/context_private.h
@@ -44,7 +44,7 @@
 };
 
 /** True if lines of @p level are logged at the context's level. */
-bool bt_is_logged (bt_context_t *ctx, bt_log_level_t level);
+bool bt_is_level_enabled (bt_context_t *ctx, bt_log_level_t level);
 
 /** Creates the counters of lost lines, so that the metrics page shows them even at zero. */
 void bt_init_log_counters (bt_context_t *ctx);
--- a/source/base/event_log.c
+++ b/source/base/event_log.c
@@ -140,7 +140,7 @@
   json_t *object;
   va_list arguments;
 
-  if (!bt_is_logged (ctx, level))
+  if (!bt_is_level_enabled (ctx, level))
     return;
   bt_init_log_counters (ctx);
   pthread_mutex_lock (&ctx->event_lock);
--- a/source/base/limit.c
+++ b/source/base/limit.c
@@ -5,7 +5,7 @@
 
 void
 bt_note_limit (
-    bt_context_t *ctx, const char *limit, int64_t most, const char *subject, const char *message)
+    bt_context_t *ctx, const char *limit, int64_t max, const char *subject, const char *message)
 {
   bt_counter_t *counter =
       bt_find_counter (ctx, BT_COUNTER, "bilberry_limits_reached_total",
@@ -17,6 +17,6 @@
   if ((times & (times - 1)) != 0)
     return;
   bt_log_event (ctx, BT_LOG_WARNING, "limit-reached", "{s:s, s:I, s:s, s:I, s:s}", "limit", limit,
-                "most", (json_int_t)most, "subject", subject, "times", (json_int_t)times, "message",
+                "most", (json_int_t)max, "subject", subject, "times", (json_int_t)times, "message",
                 message);
 }
--- a/source/store/kv_calls.c
+++ b/source/store/kv_calls.c
@@ -129,7 +129,7 @@
                  bt_kv_calls_t *calls,
                  bt_kv_call_t kind,
                  const bt_http_request_t *request,
-                 bt_take_kv_answer_t parse,
+                 bt_parse_kv_answer_t parse,
                  void *data,
                  bt_error_t *error)
 {
--- a/source/wire/link_loop.c
+++ b/source/wire/link_loop.c
@@ -189,7 +189,7 @@
       handler->vtable->on_frame (handler, link, frame);
       return;
     }
-  if (!bt_take_opening_frame (link, frame, &error))
+  if (!bt_handle_handshake_frame (link, frame, &error))
     {
       fail_link (link, &error);
       return;
@@ -209,8 +209,8 @@
 
   while (!atomic_load (&link->closing))
     {
-      size_t limit =
-          link->state == BT_LINK_UP ? link->loop->options.max_frame_bytes : BT_OPENING_FRAME_BYTES;
+      size_t limit = link->state == BT_LINK_UP ? link->loop->options.max_frame_bytes
+                                               : BT_HANDSHAKE_FRAME_BYTES;
 
       frame = bt_decode_frame (&link->received, limit, &error);
       if (frame == NULL)
--- a/source/wire/link_opening.c
+++ b/source/wire/link_opening.c
@@ -160,7 +160,7 @@
 }
 
 bool
-bt_take_opening_frame (bt_link_t *link, const bt_frame_t *frame, bt_error_t *error)
+bt_handle_handshake_frame (bt_link_t *link, const bt_frame_t *frame, bt_error_t *error)
 {
   if (link->state == BT_LINK_AWAIT_CHALLENGE && frame->body_case == BILBERRY__FRAME__BODY_CHALLENGE)
     return handle_challenge (link, frame->challenge, error);
--- a/source/wire/link_private.h
+++ b/source/wire/link_private.h
@@ -2,7 +2,7 @@
 #define BILBERRYTRAY_SOURCE_WIRE_LINK_PRIVATE_H
 
 /** @file
- * Internal declarations of link.c, link_opening.c and link_loop.c.
+ * Internal declarations of the link implementation.
  */
 
 #include <pthread.h>
@@ -14,7 +14,7 @@
 
 enum
 {
-  BT_OPENING_FRAME_BYTES = 4096, /**< Maximum frame size until the peer has proved the secret. */
+  BT_HANDSHAKE_FRAME_BYTES = 4096, /**< Maximum frame size until the peer has proved the secret. */
   BT_ROLE_BYTES = 16,
 };
 
@@ -82,7 +82,7 @@
 
 /** Handles a frame of the handshake, and sets the state to BT_LINK_UP when the handshake is
  * complete. On false the caller has to close the link. */
-bool bt_take_opening_frame (bt_link_t *link, const bt_frame_t *frame, bt_error_t *error);
+bool bt_handle_handshake_frame (bt_link_t *link, const bt_frame_t *frame, bt_error_t *error);
 
 /** Wakes the loop's thread. */
 void bt_wake_link_loop (bt_link_loop_t *loop);
