--- a/source/store/fenced_lease.c
+++ b/source/store/fenced_lease.c
@@ -75,7 +75,7 @@
 }
 
 /* Writes both keys in one transaction, so that every holder has written the fencing key and its
- * fencing lease_id is above those of all earlier holders. If the effect is unknown, the key may be
+ * fencing number is above those of all earlier holders. If the effect is unknown, the key may be
  * attached to a lease that is not renewed, and the next attempt has to wait for its expiry. */
 static bt_lease_result_t
 acquire_lease (bt_context_t *ctx, bt_fenced_lease_t *lease, uint64_t *fence)
--- a/test/base/test_event_log.c
+++ b/test/base/test_event_log.c
@@ -14,7 +14,7 @@
 
 enum
 {
-  /* alarm: a log call that blocks would never return, since nothing reads the log meanwhile. */
+  /* Ends the program if a log call blocks: nothing reads the log during the call. */
   TIMEOUT_S = 60,
   MS_PER_S = 1000,
   SMALL_BUFFER_BYTES = 4096,
@@ -33,7 +33,7 @@
 static bt_fake_clock_t fake_clock;
 static int saved_fd;    /* duplicate of the original descriptor */
 static int log_fd;      /* descriptor that the log writes to */
-static int read_fd;     /* read end */
+static int read_fd;     /* the log is read from here */
 static char *read_text; /* text read so far */
 static size_t read_bytes;
 
