--- a/source/entry/addresses.c
+++ b/source/entry/addresses.c
@@ -9,8 +9,9 @@
   MAX_ADDRESSES = 8,
 };
 
-/* Live entries in an order of their own for each caller, so that callers who ask together do not
- * all begin with the same one. Until the list names this instance, it names itself. */
+/* Adds the addresses of live entry instances. The order differs per request, so that callers who
+ * ask at the same time do not all start with the same instance. This instance adds its own
+ * address while the instance list does not name it, unless it is leaving. */
 static void
 add_addresses (bt_entry_t *entry, json_t *addresses)
 {
--- a/source/entry/caller.c
+++ b/source/entry/caller.c
@@ -23,8 +23,8 @@
 {
   ANSWER_NONE = 0,
   ANSWER_BEGUN,
-  ANSWER_WHOLE,
-  ANSWER_CUT,
+  ANSWER_COMPLETE,
+  ANSWER_ABORTED,
 } answer_state_t;
 
 struct bt_caller
@@ -37,7 +37,7 @@
   char account[BT_NAME_BYTES];
   bool submitted;
 
-  pthread_mutex_t lock; /**< Guards what stands below. */
+  pthread_mutex_t lock; /**< Guards the members below. */
   struct MHD_Connection *connection;
   bool suspended;
   answer_state_t state;
@@ -161,7 +161,7 @@
           added = true;
         }
       else
-        caller->state = ANSWER_CUT;
+        caller->state = ANSWER_ABORTED;
       resume_locked (caller);
     }
   pthread_mutex_unlock (&caller->lock);
@@ -184,7 +184,7 @@
 bt_end_answer (bt_context_t *ctx, bt_caller_t *caller)
 {
   bt_count_outcome (ctx, BT_OUTCOME_ANSWERED);
-  end_answer (caller, ANSWER_WHOLE);
+  end_answer (caller, ANSWER_COMPLETE);
 }
 
 void
@@ -201,7 +201,7 @@
   pthread_mutex_lock (&caller->lock);
   if (caller->state == ANSWER_BEGUN)
     {
-      caller->state = ANSWER_CUT;
+      caller->state = ANSWER_ABORTED;
       outcome = BT_OUTCOME_UNKNOWN;
     }
   else if (caller->state == ANSWER_NONE)
@@ -209,7 +209,7 @@
       snprintf (body, sizeof body, "{\"outcome\":\"%s\",\"reason\":\"%s\",\"message\":\"%s\"}\n",
                 bt_name_outcome (outcome), bt_name_reason (reason), message == NULL ? "" : message);
       bt_append_buffer (ctx, &caller->pending, body, strlen (body));
-      caller->state = ANSWER_WHOLE;
+      caller->state = ANSWER_COMPLETE;
       caller->status = bt_get_reason_status (reason);
       caller->outcome = outcome;
       caller->reason = reason;
@@ -222,15 +222,15 @@
 }
 
 void
-bt_refuse_unread_caller (bt_context_t *ctx,
-                         bt_caller_t *caller,
-                         bt_reason_t reason,
-                         int64_t retry_after_ms,
-                         const char *message)
+bt_refuse_unprocessed_caller (bt_context_t *ctx,
+                              bt_caller_t *caller,
+                              bt_reason_t reason,
+                              int64_t retry_after_ms,
+                              const char *message)
 {
-  bool keyed = bt_find_caller_header (caller, "Idempotency-Key") != NULL;
+  bool has_key = bt_find_caller_header (caller, "Idempotency-Key") != NULL;
 
-  bt_refuse_caller (ctx, caller, keyed ? BT_OUTCOME_UNKNOWN : BT_OUTCOME_NOT_RUN, reason,
+  bt_refuse_caller (ctx, caller, has_key ? BT_OUTCOME_UNKNOWN : BT_OUTCOME_NOT_RUN, reason,
                     retry_after_ms, message);
 }
 
@@ -243,7 +243,7 @@
 {
   bt_begin_answer (ctx, caller, status, content_type);
   bt_add_answer (ctx, caller, text, strlen (text));
-  end_answer (caller, ANSWER_WHOLE);
+  end_answer (caller, ANSWER_COMPLETE);
 }
 
 bool
@@ -273,9 +273,9 @@
       bt_take_buffer (&caller->pending, bytes);
       result = (ssize_t)bytes;
     }
-  else if (caller->state == ANSWER_WHOLE)
+  else if (caller->state == ANSWER_COMPLETE)
     result = MHD_CONTENT_READER_END_OF_STREAM;
-  else if (caller->state == ANSWER_CUT)
+  else if (caller->state == ANSWER_ABORTED)
     result = MHD_CONTENT_READER_END_WITH_ERROR;
   else
     {
@@ -288,14 +288,14 @@
 }
 
 static void
-free_reader (void *argument)
+release_caller (void *argument)
 {
   bt_caller_t *caller = argument;
 
   bt_drop_caller (caller->ctx, caller);
 }
 
-/** What a response is made from, read under the lock. */
+/** The fields of the answer that a response is made from, copied under the lock. */
 typedef struct answer_head
 {
   bool ready;
@@ -313,10 +313,10 @@
 
   pthread_mutex_lock (&caller->lock);
   head.ready = caller->state != ANSWER_NONE;
-  /* An answer that is already whole goes out with its length; a longer one in chunks, whose last
-   * chunk is the caller's proof that nothing is missing. */
+  /* An answer that is already complete is sent with its length. Any other is sent in chunks, and
+   * the final chunk tells the caller that nothing is missing. */
   head.length =
-      caller->state == ANSWER_WHOLE ? bt_count_buffer (&caller->pending) : MHD_SIZE_UNKNOWN;
+      caller->state == ANSWER_COMPLETE ? bt_count_buffer (&caller->pending) : MHD_SIZE_UNKNOWN;
   head.status = caller->status;
   head.outcome = caller->outcome;
   head.reason = caller->reason;
@@ -350,14 +350,14 @@
   MHD_add_response_header (response, "Bilberry-Retry-After-Ms", number);
 }
 
-/* Called without the lock: the library locks a response while it calls read_answer, which takes the
- * caller's lock, so the two are never taken the other way round. What was read stays true, since
- * only a caller without an answer gets another head. */
+/* Called without the caller's lock: libmicrohttpd locks a response while it calls read_answer,
+ * which takes the caller's lock, so the two locks must not be taken in the opposite order. The
+ * head is still valid, since its fields change only while the caller has no answer. */
 static enum MHD_Result
 queue_answer (bt_caller_t *caller, const answer_head_t *head)
 {
   struct MHD_Response *response = MHD_create_response_from_callback (
-      head->length, READ_BLOCK_BYTES, read_answer, bt_keep_caller (caller), free_reader);
+      head->length, READ_BLOCK_BYTES, read_answer, bt_keep_caller (caller), release_caller);
   enum MHD_Result result;
 
   add_outcome_headers (caller, head, response);
@@ -367,7 +367,7 @@
 }
 
 enum MHD_Result
-bt_serve_caller (bt_context_t *ctx, bt_caller_t *caller)
+bt_respond_or_suspend (bt_context_t *ctx, bt_caller_t *caller)
 {
   answer_head_t head = read_head_or_suspend (caller);
 
--- a/source/entry/calls.c
+++ b/source/entry/calls.c
@@ -6,24 +6,24 @@
 #include "entry_private.h"
 #include "messages.h"
 
-static const char *const json_content = "application/json";
+static const char *const json_content_type = "application/json";
 
 static bt_call_t **
-find_place (bt_entry_t *entry, uint64_t id)
+find_call_slot (bt_entry_t *entry, uint64_t id)
 {
-  bt_call_t **place = &entry->calls[id % BT_CALL_BUCKETS];
+  bt_call_t **slot = &entry->calls[id % BT_CALL_BUCKETS];
 
-  while (*place != NULL && (*place)->id != id)
-    place = &(*place)->next;
-  return place;
+  while (*slot != NULL && (*slot)->id != id)
+    slot = &(*slot)->next;
+  return slot;
 }
 
 void
 bt_remove_call (bt_entry_t *entry, bt_call_t *call)
 {
-  if (call->waiting)
+  if (call->queued)
     bt_cancel_admission (entry->admission, call->id);
-  *find_place (entry, call->id) = call->next;
+  *find_call_slot (entry, call->id) = call->next;
   entry->call_count--;
   bt_drop_delivery (entry->ctx, call->delivery);
   bt_drop_declarations (entry->ctx, call->declarations);
@@ -34,10 +34,11 @@
 bt_call_t *
 bt_find_call (bt_entry_t *entry, uint64_t id)
 {
-  return *find_place (entry, id);
+  return *find_call_slot (entry, id);
 }
 
-/* The app that a request names: by header, or by the field "model" of a JSON body. */
+/* Returns the app that a request names in a header or in the field "model" of a JSON body; "" if
+ * none. */
 static char *
 read_app (bt_entry_t *entry, bt_caller_t *caller)
 {
@@ -50,7 +51,7 @@
 
   if (header != NULL)
     return bt_strdup (entry->ctx, header);
-  if (type == NULL || strncmp (type, json_content, strlen (json_content)) != 0)
+  if (type == NULL || strncmp (type, json_content_type, strlen (json_content_type)) != 0)
     return bt_strdup (entry->ctx, "");
   body = json_loadb ((const char *)request->body, request->body_bytes, 0, NULL);
   model = json_string_value (json_object_get (body, "model"));
@@ -73,56 +74,58 @@
 }
 
 static int32_t
-match_caller (bt_entry_t *entry,
-              bt_caller_t *caller,
-              const bt_declarations_t *declarations,
-              int32_t *app,
-              int32_t *wanted_priority)
+match_rule (bt_entry_t *entry,
+            bt_caller_t *caller,
+            const bt_declarations_t *declarations,
+            int32_t *app,
+            int32_t *call_priority)
 {
   const bt_caller_request_t *request = bt_get_caller_request (caller);
   const char *priority = bt_find_caller_header (caller, "Bilberry-Priority");
-  char *named = read_app (entry, caller);
-  bt_request_facts_t facts = { 0 };
+  char *app_name = read_app (entry, caller);
+  bt_request_facts_t attributes = { 0 };
   int32_t rule;
 
-  facts.account = bt_get_caller_account (caller);
-  facts.app = named;
-  facts.method = request->method;
-  facts.path = request->path;
-  facts.headers = request->headers;
-  facts.header_count = request->header_count;
-  facts.idempotent = is_idempotent (caller);
-  facts.body_bytes = (int64_t)request->body_bytes;
-  facts.priority = BT_PRIORITY_NORMAL;
+  attributes.account = bt_get_caller_account (caller);
+  attributes.app = app_name;
+  attributes.method = request->method;
+  attributes.path = request->path;
+  attributes.headers = request->headers;
+  attributes.header_count = request->header_count;
+  attributes.idempotent = is_idempotent (caller);
+  attributes.body_bytes = (int64_t)request->body_bytes;
+  attributes.priority = BT_PRIORITY_NORMAL;
   if (priority != NULL)
-    bt_parse_priority (priority, &facts.priority);
-  rule = bt_match_rules (declarations, &facts);
-  *wanted_priority = rule >= 0 && declarations->rules[rule].then.priority >= 0
-                         ? declarations->rules[rule].then.priority
-                         : (int32_t)facts.priority;
-  *app = rule >= 0 && declarations->rules[rule].then.app >= 0 ? declarations->rules[rule].then.app
-                                                              : bt_find_app (declarations, named);
-  bt_free (entry->ctx, named);
+    bt_parse_priority (priority, &attributes.priority);
+  rule = bt_match_rules (declarations, &attributes);
+  *call_priority = rule >= 0 && declarations->rules[rule].then.priority >= 0
+                       ? declarations->rules[rule].then.priority
+                       : (int32_t)attributes.priority;
+  *app = rule >= 0 && declarations->rules[rule].then.app >= 0
+             ? declarations->rules[rule].then.app
+             : bt_find_app (declarations, app_name);
+  bt_free (entry->ctx, app_name);
   return rule;
 }
 
-/* What a request's key comes to. A request that may be repeated needs none, so a foreign one is
- * passed over there. */
+/* Checks the idempotency key of a request and reads the ticket that it holds. An idempotent
+ * request needs no ticket, so a key that is not a ticket is ignored there. */
 static bt_reason_t
-read_key (bt_entry_t *entry,
-          bt_caller_t *caller,
-          const bt_rule_then_t *then,
-          bool idempotent,
-          bt_ticket_t *ticket,
-          bool *keyed)
+check_idempotency_key (bt_entry_t *entry,
+                       bt_caller_t *caller,
+                       const bt_rule_then_t *then,
+                       bool idempotent,
+                       bt_ticket_t *ticket,
+                       bool *has_ticket)
 {
   const char *text = bt_find_caller_header (caller, "Idempotency-Key");
 
-  /* A ticket opens the kept answer of its request, so it works only for the account it was given
-   * to: found in a log or sent by mistake, it shows another account nothing. */
-  *keyed = text != NULL && bt_parse_ticket (entry->ring, text, ticket, NULL)
-           && ticket->account == bt_hash_account (bt_get_caller_account (caller));
-  if (*keyed || idempotent)
+  /* A ticket gives access to the stored answer of its request, so it is valid only for the
+   * account it was issued to. Another account that finds it in a log or receives it by mistake
+   * gets nothing. */
+  *has_ticket = text != NULL && bt_parse_ticket (entry->ring, text, ticket, NULL)
+                && ticket->account == bt_hash_account (bt_get_caller_account (caller));
+  if (*has_ticket || idempotent)
     return BT_REASON_NONE;
   if (text != NULL)
     return BT_REASON_KEY_NOT_MINTED;
@@ -130,12 +133,12 @@
 }
 
 static bt_call_t *
-add_call (bt_entry_t *entry, bt_caller_t *caller, const bt_call_t *facts)
+add_call (bt_entry_t *entry, bt_caller_t *caller, const bt_call_t *initial)
 {
   bt_call_t *call = bt_calloc (entry->ctx, 1, sizeof *call);
-  const bt_rule_then_t *then = &facts->declarations->rules[facts->rule].then;
+  const bt_rule_then_t *then = &initial->declarations->rules[initial->rule].then;
 
-  *call = *facts;
+  *call = *initial;
   call->id = ++entry->next_call;
   call->caller = bt_keep_caller (caller);
   bt_keep_declarations (call->declarations);
@@ -151,12 +154,13 @@
 }
 
 static void
-admit_call (bt_entry_t *entry, bt_caller_t *caller, bt_call_t *facts)
+start_call (bt_entry_t *entry, bt_caller_t *caller, bt_call_t *initial)
 {
-  const bt_rule_then_t *then = &facts->declarations->rules[facts->rule].then;
+  const bt_rule_then_t *then = &initial->declarations->rules[initial->rule].then;
   bool idempotent = then->idempotent >= 0 ? then->idempotent == 1 : is_idempotent (caller);
   bt_ticket_t ticket = { 0 };
-  bt_reason_t reason = read_key (entry, caller, then, idempotent, &ticket, &facts->keyed);
+  bt_reason_t reason =
+      check_idempotency_key (entry, caller, then, idempotent, &ticket, &initial->has_ticket);
   bt_call_t *call;
 
   if (reason != BT_REASON_NONE)
@@ -165,20 +169,21 @@
                         "take a ticket from /v1/addresses as Idempotency-Key");
       return;
     }
-  facts->home = ticket.home;
-  facts->idempotent = idempotent;
+  initial->home = ticket.home;
+  initial->idempotent = idempotent;
   pthread_mutex_lock (&entry->lock);
-  /* Checked where calls are added: one that is added behind the last cut would sleep for ever, and
-   * the HTTP library aborts a process that stops it with a connection asleep. */
+  /* Checked under the lock that calls are added with: a call added after bt_abort_calls would
+   * stay suspended for ever, and libmicrohttpd aborts a process that stops the server while a
+   * connection is suspended. */
   if (entry->closed)
     {
       pthread_mutex_unlock (&entry->lock);
-      bt_refuse_unread_caller (entry->ctx, caller, BT_REASON_STOPPING, 0, NULL);
+      bt_refuse_unprocessed_caller (entry->ctx, caller, BT_REASON_STOPPING, 0, NULL);
       return;
     }
-  call = add_call (entry, caller, facts);
-  bt_prepare_delivery (entry, call, call->keyed ? &ticket : NULL);
-  bt_place_call (entry, call, false);
+  call = add_call (entry, caller, initial);
+  bt_prepare_delivery (entry, call, call->has_ticket ? &ticket : NULL);
+  bt_request_admission (entry, call, false);
   pthread_mutex_unlock (&entry->lock);
 }
 
@@ -194,35 +199,35 @@
 }
 
 void
-bt_submit_entry (bt_context_t *ctx, bt_entry_t *entry, bt_caller_t *caller)
+bt_submit_request (bt_context_t *ctx, bt_entry_t *entry, bt_caller_t *caller)
 {
   bt_declarations_t *declarations = bt_get_entry_declarations (entry);
   const bt_rule_then_t *then;
-  bt_call_t facts = { .declarations = declarations };
+  bt_call_t initial = { .declarations = declarations };
   bt_reason_t refusal = get_config_refusal (entry, declarations);
 
   if (refusal != BT_REASON_NONE)
     {
-      bt_refuse_unread_caller (ctx, caller, refusal, 0, NULL);
+      bt_refuse_unprocessed_caller (ctx, caller, refusal, 0, NULL);
       bt_drop_declarations (ctx, declarations);
       return;
     }
-  facts.rule = match_caller (entry, caller, declarations, &facts.app, &facts.priority);
-  then = facts.rule < 0 ? NULL : &declarations->rules[facts.rule].then;
+  initial.rule = match_rule (entry, caller, declarations, &initial.app, &initial.priority);
+  then = initial.rule < 0 ? NULL : &declarations->rules[initial.rule].then;
   if (then == NULL)
-    bt_refuse_unread_caller (ctx, caller, BT_REASON_NO_RULE, 0, NULL);
+    bt_refuse_unprocessed_caller (ctx, caller, BT_REASON_NO_RULE, 0, NULL);
   else if (then->action == BT_ACTION_REFUSE)
-    bt_refuse_unread_caller (ctx, caller, BT_REASON_RULE_REFUSED, then->retry_after_ms,
-                             then->message);
-  else if (facts.app < 0)
-    bt_refuse_unread_caller (ctx, caller, BT_REASON_NO_ENDPOINT, 0, NULL);
+    bt_refuse_unprocessed_caller (ctx, caller, BT_REASON_RULE_REFUSED, then->retry_after_ms,
+                                  then->message);
+  else if (initial.app < 0)
+    bt_refuse_unprocessed_caller (ctx, caller, BT_REASON_NO_ENDPOINT, 0, NULL);
   else
-    admit_call (entry, caller, &facts);
+    start_call (entry, caller, &initial);
   bt_drop_declarations (ctx, declarations);
 }
 
 void
-bt_take_answer_frame (bt_entry_t *entry, bt_link_t *link, const bt_frame_t *frame)
+bt_handle_answer_frame (bt_entry_t *entry, bt_link_t *link, const bt_frame_t *frame)
 {
   bt_reply_t reply = { 0 };
   bt_delivery_event_t event = { .kind = BT_DELIVERY_REPLY, .reply = &reply };
@@ -232,12 +237,12 @@
     return;
   call = bt_find_call (entry, reply.path.call);
   if (call != NULL)
-    bt_drive_call (entry, call, &event);
-  bt_place_waiting_calls (entry);
+    bt_handle_call_event (entry, call, &event);
+  bt_admit_queued_calls (entry);
 }
 
 static void
-drive_all (bt_entry_t *entry, const bt_delivery_event_t *event)
+broadcast_event (bt_entry_t *entry, const bt_delivery_event_t *event)
 {
   for (int32_t i = 0; i < BT_CALL_BUCKETS && entry->call_count > 0; i++)
     {
@@ -246,7 +251,7 @@
       for (bt_call_t *call = entry->calls[i]; call != NULL; call = next)
         {
           next = call->next;
-          bt_drive_call (entry, call, event);
+          bt_handle_call_event (entry, call, event);
         }
     }
 }
@@ -256,7 +261,7 @@
 {
   bt_delivery_event_t event = { .kind = BT_DELIVERY_LINK_DOWN, .link = bt_get_link_id (link) };
 
-  drive_all (entry, &event);
+  broadcast_event (entry, &event);
 }
 
 void
@@ -264,19 +269,19 @@
 {
   bt_delivery_event_t event = { .kind = BT_DELIVERY_LINK_UP, .identity = *identity };
 
-  drive_all (entry, &event);
+  broadcast_event (entry, &event);
 }
 
 void
-bt_expire_calls (bt_entry_t *entry, int64_t now_ms)
+bt_tick_calls (bt_entry_t *entry, int64_t now_ms)
 {
   bt_delivery_event_t event = { .kind = BT_DELIVERY_TICK };
 
-  drive_all (entry, &event);
+  broadcast_event (entry, &event);
 }
 
 void
-bt_cut_calls (bt_entry_t *entry)
+bt_abort_calls (bt_entry_t *entry)
 {
   for (int32_t i = 0; i < BT_CALL_BUCKETS; i++)
     while (entry->calls[i] != NULL)
@@ -294,8 +299,8 @@
   bt_call_t *call;
 
   pthread_mutex_lock (&entry->lock);
-  call = *find_place (entry, id);
+  call = *find_call_slot (entry, id);
   if (id != 0 && call != NULL)
-    bt_drive_call (entry, call, &event);
+    bt_handle_call_event (entry, call, &event);
   pthread_mutex_unlock (&entry->lock);
 }
--- a/source/entry/command_check.c
+++ b/source/entry/command_check.c
@@ -2,7 +2,7 @@
 
 #include "commands.h"
 
-/** Settings of `bilberryd check`: none. */
+/** Settings of `bilberryd check`, which has none. */
 typedef struct check_values
 {
   bool unused;
--- a/source/entry/command_gateway.c
+++ b/source/entry/command_gateway.c
@@ -15,54 +15,56 @@
   { "instance", BT_SETTING_TEXT, FIELD (instance), NULL, 0, 0, "Name of this instance." },
   { "failure-domain", BT_SETTING_TEXT, FIELD (failure_domain), NULL, 0, 0,
     "Failure domain of this instance." },
-  { "listen", BT_SETTING_ADDRESS, FIELD (listen), NULL, 0, 0, "Where callers are served." },
+  { "listen", BT_SETTING_ADDRESS, FIELD (listen), NULL, 0, 0,
+    "Address on which callers are served." },
   { "addresses", BT_SETTING_ADDRESS, FIELD (addresses), NULL, 0, 0,
-    "Where callers ask which addresses to use." },
+    "Address on which callers ask which addresses to use." },
   { "ready", BT_SETTING_ADDRESS, FIELD (ready), NULL, 0, 0,
-    "Where the platform asks whether this instance is ready." },
-  { "page", BT_SETTING_ADDRESS, FIELD (page), "", 0, 0, "Where the operators' page is served." },
+    "Address on which the platform checks whether this instance is ready." },
+  { "page", BT_SETTING_ADDRESS, FIELD (page), "", 0, 0,
+    "Address on which the operators' page is served." },
   { "links", BT_SETTING_ADDRESS, FIELD (links), NULL, 0, 0,
-    "Where links of other instances are accepted." },
+    "Address on which links from other instances are accepted." },
   { "secret", BT_SETTING_TEXT, FIELD (secret), "", 0, 0,
-    "Secret that all processes of the deployment share; better set by its variable." },
+    "Secret shared by all processes of the deployment; prefer the environment variable." },
   { "seeds", BT_SETTING_TEXT, FIELD (seeds), "", 0, 0,
-    "Where some instances accept links, with commas between: for a start without the store." },
+    "Link addresses of some instances, separated by commas, for a start without the store." },
   { "store", BT_SETTING_ADDRESS, FIELD (store), NULL, 0, 0, "The platform's store." },
   { "log-level", BT_SETTING_TEXT, FIELD (log_level), "info", 0, 0,
     "error, warning, info or debug." },
   { "cores", BT_SETTING_DECIMAL, FIELD (cores), "1", 0, 1024,
-    "Processor share of this instance, in cores; the instance with most leads." },
+    "Processor share of this instance, in cores; the instance with the largest share leads." },
   { "max-connections", BT_SETTING_INTEGER, FIELD (max_connections), "2000", 8, 60000,
-    "Callers' connections at a time." },
+    "Maximum number of connections from callers." },
   { "address-life-ms", BT_SETTING_INTEGER, FIELD (address_life_ms), "1500", 100, 3600000,
-    "How long callers may keep an answer with addresses, ms." },
+    "Time for which callers may cache an answer with addresses, ms." },
   { "drain-ms", BT_SETTING_INTEGER, FIELD (drain_ms), "7800", 0, 3600000,
-    "Longest time from SIGTERM to the end, ms." },
+    "Maximum time from SIGTERM to exit, ms." },
   { "watch-ms", BT_SETTING_INTEGER, FIELD (watch_ms), "1000", 100, 30000,
-    "Longest wait of one watch on the store, ms." },
+    "Maximum duration of one watch call to the store, ms." },
   { "lease-s", BT_SETTING_INTEGER, FIELD (lease_s), "4", 1, 600,
-    "Life of this instance's listing without renewal, s." },
+    "Time after which this instance's listing expires without renewal, s." },
   { "renew-ms", BT_SETTING_INTEGER, FIELD (renew_ms), "1300", 100, 600000,
-    "Between two renewals of the listing, ms." },
+    "Interval between renewals of the listing, ms." },
   { "retry-percent", BT_SETTING_INTEGER, FIELD (retry_percent), "15", 0, 100,
-    "Retries for 100 requests of an app." },
+    "Retries allowed per 100 requests of an app." },
   { "retry-reserve", BT_SETTING_DECIMAL, FIELD (retry_reserve), "90", 0, 1000000,
-    "Retries of an app that all instances together may make beside that." },
+    "Additional retries of an app that all instances together may make." },
   { "crash-ends", BT_SETTING_INTEGER, FIELD (crash_ends), "3", 2, 1000,
-    "Endpoints that may crash under one request before it is refused everywhere." },
+    "Number of endpoints that may crash on one request before all instances refuse it." },
   { "crash-keep-s", BT_SETTING_INTEGER, FIELD (crash_keep_s), "3600", 60, 86400,
-    "How long such a request is remembered after its last return, s." },
+    "How long such a request is remembered after it was last received, s." },
   { "agent-port", BT_SETTING_INTEGER, FIELD (agent_port), "0", 0, 65535,
-    "Port on which agents beside engines accept links; 0: there are none." },
+    "Port on which agents next to engines accept links; 0: there are no agents." },
   { "lead-lease-s", BT_SETTING_INTEGER, FIELD (lead_lease_s), "2", 1, 600,
-    "Life of the lease of the instance that leads the rank groups, s." },
+    "Duration of the lease of the instance that leads the rank groups, s." },
   { "lead-renew-ms", BT_SETTING_INTEGER, FIELD (lead_renew_ms), "600", 50, 600000,
-    "Between two renewals of that lease, ms." },
+    "Interval between renewals of that lease, ms." },
   { "plan-ms", BT_SETTING_INTEGER, FIELD (plan_ms), "200", 20, 3600000,
-    "Between two plans of a group's expert map, ms." },
+    "Interval between plans of a group's expert map, ms." },
 };
 
-/** What the thread that waits for signals needs. */
+/** Arguments of the thread that waits for signals. */
 typedef struct signal_waiter
 {
   bt_context_t *ctx;
@@ -82,7 +84,7 @@
         return NULL;
       if (received == SIGHUP)
         bt_log_event (waiter->ctx, BT_LOG_INFO, "reload", "{s:s}", "message",
-                      "Flags are read at the start only; nothing changes.");
+                      "Flags are read only at startup; nothing changes.");
       else
         bt_stop_gateway (waiter->gateway);
     }
@@ -131,8 +133,8 @@
   if (operand_count > 0 || !bt_parse_log_level (settings->log_level, &level))
     {
       fprintf (stderr, "%s\n",
-               operand_count > 0 ? "gateway: Nothing is expected behind the flags."
-                                 : "log-level: There is no such level.");
+               operand_count > 0 ? "gateway: Expected no operands after the flags."
+                                 : "log-level: Unknown log level.");
       return BT_EXIT_USAGE;
     }
   bt_set_log_level (ctx, (int32_t)level);
@@ -153,7 +155,7 @@
 
 const bt_command_t bt_gateway_command = {
   "gateway",
-  "Serve callers on a platform whose endpoints are reached by HTTP, until SIGTERM.",
+  "Serve callers on a platform whose endpoints are reached over HTTP, until SIGTERM.",
   "",
   gateway_settings,
   sizeof gateway_settings / sizeof gateway_settings[0],
--- a/source/entry/command_publish.c
+++ b/source/entry/command_publish.c
@@ -13,7 +13,7 @@
 enum
 {
   TICK_MS = 10,
-  LIST_MS = 500,
+  LIST_INTERVAL_MS = 500,
   LIST_TOTAL_MS = 2000,
   PATH_BYTES = 1024,
   KEY_BYTES = 256,
@@ -37,23 +37,24 @@
 #define FIELD(name) offsetof (publish_values_t, name)
 
 static const bt_setting_t publish_settings[] = {
-  { "store-url", BT_SETTING_URL, FIELD (store_url), NULL, 0, 0, "The key-value service." },
+  { "store-url", BT_SETTING_URL, FIELD (store_url), NULL, 0, 0, "URL of the key-value store." },
   { "store-prefix", BT_SETTING_TEXT, FIELD (store_prefix), "bilberrytray/", 0, 0,
-    "What the keys of the configuration begin with." },
-  { "instances-url", BT_SETTING_URL, FIELD (instances_url), NULL, 0, 0, "The instance list." },
+    "Prefix of the configuration's keys." },
+  { "instances-url", BT_SETTING_URL, FIELD (instances_url), NULL, 0, 0,
+    "URL of the instance list." },
   { "secret", BT_SETTING_TEXT, FIELD (secret), NULL, 0, 0,
-    "Secret that all processes of the deployment share; better set by its variable." },
+    "Secret shared by all processes of the deployment; prefer the environment variable." },
   { "base-revision", BT_SETTING_INTEGER, FIELD (base_revision), "-1", -1, INT64_MAX,
-    "Newest revision that the edit has seen; a newer document is a conflict. -1: what is read." },
+    "Newest revision the edit is based on; a newer document is a conflict. -1: the current one." },
   { "write-limit-ms", BT_SETTING_INTEGER, FIELD (write_limit_ms), "15000", 100, 3600000,
-    "How long to try to write, ms." },
+    "Time limit for writing to the store, ms." },
   { "spread-limit-ms", BT_SETTING_INTEGER, FIELD (spread_limit_ms), "30000", 100, 3600000,
-    "How long to wait for the entry instances, ms." },
+    "Time limit for the entry instances to confirm, ms." },
   { "isolation-ms", BT_SETTING_INTEGER, FIELD (isolation_ms), "10000", 500, 600000,
-    "The entry instances' isolation limit, ms." },
+    "The --isolation-ms of the entry instances, ms." },
 };
 
-/** One publish under way. */
+/** State of one publish. */
 typedef struct publish
 {
   bt_context_t *ctx;
@@ -61,7 +62,7 @@
   bt_kv_t *kv;
   bt_instances_t *instances;
   bt_instance_list_t list;
-  int64_t list_ms; /**< When the list is read again. */
+  int64_t next_list_ms; /**< Time of the next read of the instance list. */
   bt_operator_links_t *links;
   bt_publisher_t *publisher;
   bool finished;
@@ -137,8 +138,8 @@
           else if (action->kind == BT_PUBLISH_COMMIT)
             commit_documents (publish, &next);
           else if (action->kind == BT_PUBLISH_HAND_OVER)
-            bt_hand_over (publish->ctx, publish->links, action->instance,
-                          bt_get_publish_changes (publish->publisher));
+            bt_push_documents (publish->ctx, publish->links, action->instance,
+                               bt_get_publish_changes (publish->publisher));
           else
             publish->finished = true;
         }
@@ -155,7 +156,7 @@
   int32_t count = 0;
   bt_error_t error = { 0 };
 
-  publish->list_ms = bt_now_ms (publish->ctx) + LIST_MS;
+  publish->next_list_ms = bt_now_ms (publish->ctx) + LIST_INTERVAL_MS;
   if (!bt_read_instances (publish->ctx, publish->instances, &publish->list, &error))
     return;
   bt_dial_listed_entries (publish->ctx, publish->links, &publish->list);
@@ -168,23 +169,23 @@
 }
 
 static void
-take_news (publish_t *publish, bt_publish_actions_t *actions)
+handle_entry_statuses (publish_t *publish, bt_publish_actions_t *actions)
 {
-  for (int32_t i = 0; i < bt_count_told (publish->links); i++)
+  for (int32_t i = 0; i < bt_count_entry_statuses (publish->links); i++)
     {
-      bt_told_t told;
+      bt_entry_status_t status;
 
-      bt_get_told (publish->links, i, &told);
-      bt_set_publish_incarnation (publish->publisher, told.instance, told.incarnation);
-      for (int32_t j = 0; told.news && j < told.state_count; j++)
-        bt_take_publish_in_force (publish->ctx, publish->publisher, told.instance,
-                                  told.states[j].name, told.states[j].revision,
+      bt_get_entry_status (publish->links, i, &status);
+      bt_set_publish_incarnation (publish->publisher, status.instance, status.incarnation);
+      for (int32_t j = 0; status.updated && j < status.state_count; j++)
+        bt_take_publish_in_force (publish->ctx, publish->publisher, status.instance,
+                                  status.states[j].name, status.states[j].revision,
                                   bt_now_ms (publish->ctx), actions);
     }
 }
 
 static void
-run_publish_to_end (publish_t *publish)
+run_publish_loop (publish_t *publish)
 {
   bt_publish_actions_t actions = { 0 };
 
@@ -194,10 +195,10 @@
       run_actions (publish, &actions);
       if (publish->finished)
         break;
-      if (bt_now_ms (publish->ctx) >= publish->list_ms)
+      if (bt_now_ms (publish->ctx) >= publish->next_list_ms)
         read_list (publish);
       bt_sleep_ms (TICK_MS);
-      take_news (publish, &actions);
+      handle_entry_statuses (publish, &actions);
       bt_tick_publisher (publish->ctx, publish->publisher, bt_now_ms (publish->ctx), &actions);
     }
 }
@@ -244,7 +245,7 @@
   return result == BT_PUBLISH_ACCEPTED ? BT_EXIT_DONE : BT_EXIT_FAILED;
 }
 
-/* Reads the files that `check` has found to be good. */
+/* Checks the declarations of a folder as `check` does, and reads its files. */
 static bool
 read_files (bt_context_t *ctx,
             const publish_values_t *values,
@@ -301,7 +302,7 @@
     fprintf (stderr, "publish: %s\n", error.message);
   else
     {
-      run_publish_to_end (&publish);
+      run_publish_loop (&publish);
       status = print_result (&publish, change);
     }
   bt_drop_operator_links (ctx, publish.links);
--- a/source/entry/command_status.c
+++ b/source/entry/command_status.c
@@ -24,71 +24,73 @@
 #define FIELD(name) offsetof (status_values_t, name)
 
 static const bt_setting_t status_settings[] = {
-  { "instances-url", BT_SETTING_URL, FIELD (instances_url), NULL, 0, 0, "The instance list." },
+  { "instances-url", BT_SETTING_URL, FIELD (instances_url), NULL, 0, 0,
+    "URL of the instance list." },
   { "secret", BT_SETTING_TEXT, FIELD (secret), NULL, 0, 0,
-    "Secret that all processes of the deployment share; better set by its variable." },
+    "Secret shared by all processes of the deployment; prefer the environment variable." },
   { "wait-ms", BT_SETTING_INTEGER, FIELD (wait_ms), "3000", 10, 600000,
-    "How long to wait for answers, ms." },
+    "Time limit for the answers, ms." },
 };
 
 static void
-print_told (const bt_told_t *told)
+print_entry_status (const bt_entry_status_t *status)
 {
   static const char *const states[] = { "ready", "not-ready", "isolated" };
 
-  printf ("%s (%s): ", told->instance, told->failure_domain);
-  if (!told->answered)
+  printf ("%s (%s): ", status->instance, status->failure_domain);
+  if (!status->answered)
     {
       printf ("did not answer\n");
       return;
     }
-  printf ("%s, freshest news %lld ms old\n", states[told->spread_state % 3],
-          (long long)told->fresh_age_ms);
-  for (int32_t i = 0; i < told->state_count; i++)
-    printf ("  %s: revision %lld, change %s\n", told->states[i].name,
-            (long long)told->states[i].revision,
-            told->states[i].change[0] == '\0' ? "-" : told->states[i].change);
+  printf ("%s, latest update %lld ms old\n", states[status->sync_state % 3],
+          (long long)status->fresh_age_ms);
+  for (int32_t i = 0; i < status->state_count; i++)
+    printf ("  %s: revision %lld, change %s\n", status->states[i].name,
+            (long long)status->states[i].revision,
+            status->states[i].change[0] == '\0' ? "-" : status->states[i].change);
 }
 
-/* Asks every entry that has not answered yet; true when all have. */
+/* Queries each entry instance that has not been queried yet. Returns true when all have
+ * answered. */
 static bool
-ask_entries (bt_context_t *ctx, bt_operator_links_t *links, bool *asked)
+query_entries (bt_context_t *ctx, bt_operator_links_t *links, bool *queried)
 {
   static const bt_document_list_t nothing = { 0 };
   bool all = true;
 
-  for (int32_t i = 0; i < bt_count_told (links); i++)
+  for (int32_t i = 0; i < bt_count_entry_statuses (links); i++)
     {
-      bt_told_t told;
+      bt_entry_status_t status;
 
-      bt_get_told (links, i, &told);
-      if (told.answered)
+      bt_get_entry_status (links, i, &status);
+      if (status.answered)
         continue;
       all = false;
-      if (!asked[i])
-        asked[i] = bt_hand_over (ctx, links, told.instance, &nothing);
+      if (!queried[i])
+        queried[i] = bt_push_documents (ctx, links, status.instance, &nothing);
     }
   return all;
 }
 
 static int
-ask_all (bt_context_t *ctx, bt_operator_links_t *links, int64_t wait_ms)
+print_statuses (bt_context_t *ctx, bt_operator_links_t *links, int64_t wait_ms)
 {
-  int32_t count = bt_count_told (links);
-  bool *asked = bt_calloc (ctx, (size_t)count, sizeof *asked);
+  int32_t count = bt_count_entry_statuses (links);
+  bool *queried = bt_calloc (ctx, (size_t)count, sizeof *queried);
   int64_t until_ms = bt_now_ms (ctx) + wait_ms;
   bool all;
 
-  while (!(all = ask_entries (ctx, links, asked)) && bt_now_ms (ctx) < until_ms)
+  while (!(all = query_entries (ctx, links, queried)) && bt_now_ms (ctx) < until_ms)
     bt_sleep_ms (TICK_MS);
   for (int32_t i = 0; i < count; i++)
     {
-      bt_told_t told;
+      bt_entry_status_t status;
 
-      bt_get_told (links, i, &told);
-      print_told (&told);
+      bt_get_entry_status (links, i, &status);
+      print_entry_status (&status);
     }
-  bt_free (ctx, asked);
+  bt_free (ctx, queried);
   return all ? BT_EXIT_DONE : BT_EXIT_FAILED;
 }
 
@@ -113,7 +115,7 @@
   else
     {
       bt_dial_listed_entries (ctx, links, &list);
-      status = ask_all (ctx, links, settings->wait_ms);
+      status = print_statuses (ctx, links, settings->wait_ms);
     }
   bt_drop_operator_links (ctx, links);
   bt_drop_instance_list (ctx, &list);
--- a/source/entry/commands.h
+++ b/source/entry/commands.h
@@ -2,8 +2,8 @@
 #define BILBERRYTRAY_SOURCE_ENTRY_COMMANDS_H
 
 /** @file
- * The subcommands of bilberryd. Each takes the arguments from its own name on and returns the exit
- * code: 0 done, 1 failed, 2 wrong settings or findings.
+ * The subcommands of bilberryd. Each receives its parsed settings and operands and returns the exit
+ * code: 0 done, 1 failed, 2 invalid settings or findings.
  */
 
 #include "bilberrytray/base.h"
@@ -21,7 +21,7 @@
 {
   const char *name;
   const char *help;     /**< One line. */
-  const char *operands; /**< What follows the flags, "" for nothing. */
+  const char *operands; /**< Usage text of the operands after the flags; "" for none. */
   const bt_setting_t *settings;
   int32_t setting_count;
   size_t values_bytes; /**< Size of the settings struct. */
@@ -35,11 +35,13 @@
 extern const bt_command_t bt_publish_command;
 extern const bt_command_t bt_status_command;
 
-/** Reads the four documents of a folder. NULL with findings when one is missing or wrong. */
+/** Reads the four documents of a folder. Returns NULL and adds findings if one is missing or
+ * invalid. */
 bt_declarations_t *
 bt_load_declarations (bt_context_t *ctx, const char *folder, bt_findings_t *findings);
 
-/** The text of a file, to be freed with bt_free; NULL with a finding when it can't be read. */
+/** Reads a file of at most @p max_bytes. Free the result with bt_free. Returns NULL and adds a
+ * finding if the file cannot be read or is too long. */
 char *bt_read_file (
     bt_context_t *ctx, const char *path, size_t max_bytes, size_t *bytes, bt_findings_t *findings);
 
--- a/source/entry/config_documents.h
+++ b/source/entry/config_documents.h
@@ -2,8 +2,7 @@
 #define BILBERRYTRAY_SOURCE_ENTRY_CONFIG_DOCUMENTS_H
 
 /** @file
- * Documents of the configuration as the key-value service and the frames between processes hold
- * them.
+ * Conversion of configuration documents from and to key-value ranges and frames.
  */
 
 #include "bilberrytray/config/declarations.h"
@@ -11,8 +10,8 @@
 #include "bilberrytray/store/kv.h"
 #include "bilberrytray/wire/frame.h"
 
-/** Adds the documents that a range of the service holds. Keys that name no document and values that
- * cannot be read are left out; the latter are logged. */
+/** Adds the documents of a range of the key-value store. Skips keys that name no document and
+ * values that cannot be decoded; the latter are logged. */
 void bt_add_range_documents (bt_context_t *ctx,
                              const bt_kv_range_t *range,
                              const char *prefix,
@@ -23,7 +22,7 @@
                             const Bilberry__ConfigPush *push,
                             bt_document_list_t *list);
 
-/** A push to send. Zero-initialise it; its message points into the list. */
+/** A push to send. Zero-initialize it. The message points into the document list. */
 typedef struct bt_push_frame
 {
   Bilberry__Frame frame;
@@ -32,14 +31,15 @@
   Bilberry__ConfigDocument **pointers;
 } bt_push_frame_t;
 
-/** Makes the frame of a push, which holds no reference to the documents of @p list. */
+/** Fills the frame of a push. It holds no reference to the documents of @p list, which must
+ * outlive it. */
 void bt_make_push_frame (bt_context_t *ctx, bt_push_frame_t *push, const bt_document_list_t *list);
 
-/** Frees what the frame holds. */
+/** Frees the memory of the frame. */
 void bt_clear_push_frame (bt_context_t *ctx, bt_push_frame_t *push);
 
-/** Reads declarations from the four documents of a list. NULL when one is missing or wrong; wrong
- * ones are added to @p findings. */
+/** Parses declarations from the four documents of a list. Returns NULL if one is missing or
+ * invalid; what is invalid is added to @p findings. */
 bt_declarations_t *
 bt_read_declarations (bt_context_t *ctx, const bt_document_list_t *list, bt_findings_t *findings);
 
--- a/source/entry/config_driver.c
+++ b/source/entry/config_driver.c
@@ -15,18 +15,18 @@
   NS_PER_MS = 1000000,
 };
 
-/* Notes the one call on the service that is wanted; its thread picks it up. */
+/* Schedules the next store call; there is at most one. The store thread picks it up. */
 static void
-want_store_call (bt_config_driver_t *driver, const bt_spread_action_t *action)
+schedule_store_call (bt_config_driver_t *driver, const bt_spread_action_t *action)
 {
-  driver->store_wanted = true;
+  driver->store_call_pending = true;
   driver->store_kind = action->kind;
   driver->store_since = action->since;
   driver->store_wait_ms = action->wait_ms;
   pthread_cond_broadcast (&driver->wake);
 }
 
-/* Waits, with the entry's lock, until something is wanted or a tick has passed. */
+/* Waits until work is pending or a tick has passed. With the entry's lock held. */
 static void
 wait_for_work (bt_config_driver_t *driver)
 {
@@ -47,10 +47,10 @@
       const bt_spread_action_t *action = &actions->items[i];
 
       if (action->kind == BT_SPREAD_READ || action->kind == BT_SPREAD_WATCH)
-        want_store_call (driver, action);
+        schedule_store_call (driver, action);
       else if (action->kind == BT_SPREAD_APPLY)
         {
-          driver->apply_wanted = true;
+          driver->apply_pending = true;
           pthread_cond_broadcast (&driver->wake);
         }
       else
@@ -60,17 +60,17 @@
 }
 
 static void
-count_status (bt_config_driver_t *driver, int64_t now_ms)
+update_gauges (bt_config_driver_t *driver, int64_t now_ms)
 {
-  const bt_config_table_t *table = bt_get_spread_table (driver->spread);
+  const bt_config_table_t *table = bt_get_spread_table (driver->sync);
   bt_spread_status_t status;
 
-  bt_get_spread_status (driver->spread, now_ms, &status);
+  bt_get_spread_status (driver->sync, now_ms, &status);
   bt_set_gauge (driver->gauges[BT_CONFIG_GAUGE_REVISION], status.revision);
   bt_set_gauge (driver->gauges[BT_CONFIG_GAUGE_FRESH_AGE], status.fresh_age_ms);
   bt_set_gauge (driver->gauges[BT_CONFIG_GAUGE_WATCHER], status.watcher);
   bt_set_gauge (driver->gauges[BT_CONFIG_GAUGE_STATE],
-                (int64_t)bt_get_spread_state (driver->spread, now_ms));
+                (int64_t)bt_get_spread_state (driver->sync, now_ms));
   bt_set_gauge (driver->gauges[BT_CONFIG_GAUGE_OLDER],
                 (int64_t)bt_count_offers (table, BT_OFFER_OLDER));
   bt_set_gauge (driver->gauges[BT_CONFIG_GAUGE_STALE_READS], (int64_t)status.stale_reads);
@@ -78,8 +78,8 @@
   bt_set_gauge (driver->gauges[BT_CONFIG_GAUGE_PUSHES], (int64_t)status.pushes);
 }
 
-/* Reads what the table holds into declarations, outside the lock, and puts them in force. What is
- * wrong stays out of force, and is not reported as in force to anyone. */
+/* Parses documents of the table into declarations, without the lock, and puts them in force.
+ * Invalid documents do not come into force and are not reported as in force. */
 static void
 apply_documents (bt_config_driver_t *driver, bt_document_list_t *documents)
 {
@@ -88,7 +88,7 @@
   bt_declarations_t *declarations = bt_read_declarations (ctx, documents, findings);
 
   if (bt_count_findings (findings) > 0)
-    bt_log (ctx, BT_LOG_ERROR, BT_PART_CONFIG, "What the service holds is wrong: %s: %s",
+    bt_log (ctx, BT_LOG_ERROR, BT_PART_CONFIG, "The configuration in the store is invalid: %s: %s",
             bt_get_finding (findings, 0)->path, bt_get_finding (findings, 0)->message);
   if (declarations != NULL)
     {
@@ -113,19 +113,19 @@
   bool apply;
 
   pthread_mutex_lock (&entry->lock);
-  bt_tick_config_spread (driver->ctx, driver->spread, now_ms, &actions);
+  bt_tick_config_spread (driver->ctx, driver->sync, now_ms, &actions);
   bt_run_config_actions (driver, &actions, NULL);
-  count_status (driver, now_ms);
-  apply = driver->apply_wanted;
-  driver->apply_wanted = false;
+  update_gauges (driver, now_ms);
+  apply = driver->apply_pending;
+  driver->apply_pending = false;
   if (apply)
-    bt_list_documents_above (driver->ctx, bt_get_spread_table (driver->spread), 0, &documents);
+    bt_list_documents_above (driver->ctx, bt_get_spread_table (driver->sync), 0, &documents);
   pthread_mutex_unlock (&entry->lock);
   if (apply)
     apply_documents (driver, &documents);
   bt_clear_documents (driver->ctx, &documents);
   pthread_mutex_lock (&entry->lock);
-  if (!driver->apply_wanted)
+  if (!driver->apply_pending)
     bt_send_config_replies (driver);
   pthread_mutex_unlock (&entry->lock);
 }
@@ -139,7 +139,7 @@
     {
       tick_driver (driver);
       pthread_mutex_lock (&driver->entry->lock);
-      if (!driver->apply_wanted && driver->replies == NULL)
+      if (!driver->apply_pending && driver->replies == NULL)
         wait_for_work (driver);
       pthread_mutex_unlock (&driver->entry->lock);
     }
@@ -147,19 +147,19 @@
 }
 
 static void
-give_read (bt_config_driver_t *driver,
-           int64_t revision,
-           const bt_document_list_t *documents,
-           const bt_error_t *error)
+handle_store_read (bt_config_driver_t *driver,
+                   int64_t revision,
+                   const bt_document_list_t *documents,
+                   const bt_error_t *error)
 {
   bt_spread_actions_t actions = { 0 };
   int64_t now_ms = bt_now_ms (driver->ctx);
 
   pthread_mutex_lock (&driver->entry->lock);
   if (error->code == BT_ERROR_NONE)
-    bt_take_store_read (driver->ctx, driver->spread, revision, documents, now_ms, &actions);
+    bt_take_store_read (driver->ctx, driver->sync, revision, documents, now_ms, &actions);
   else
-    bt_take_store_failure (driver->ctx, driver->spread, now_ms);
+    bt_take_store_failure (driver->ctx, driver->sync, now_ms);
   bt_run_config_actions (driver, &actions, NULL);
   pthread_mutex_unlock (&driver->entry->lock);
 }
@@ -176,7 +176,7 @@
   bt_add_range_documents (driver->ctx, &range, prefix, &documents);
   revision = range.revision;
   bt_drop_kv_range (driver->ctx, &range);
-  give_read (driver, revision, &documents, error);
+  handle_store_read (driver, revision, &documents, error);
   bt_clear_documents (driver->ctx, &documents);
 }
 
@@ -192,10 +192,9 @@
   now_ms = bt_now_ms (driver->ctx);
   pthread_mutex_lock (&driver->entry->lock);
   if (error->code == BT_ERROR_NONE)
-    bt_take_store_watch (driver->ctx, driver->spread, result != BT_KV_WATCH_QUIET, now_ms,
-                         &actions);
+    bt_take_store_watch (driver->ctx, driver->sync, result != BT_KV_WATCH_QUIET, now_ms, &actions);
   else
-    bt_take_store_failure (driver->ctx, driver->spread, now_ms);
+    bt_take_store_failure (driver->ctx, driver->sync, now_ms);
   bt_run_config_actions (driver, &actions, NULL);
   pthread_mutex_unlock (&driver->entry->lock);
 }
@@ -211,32 +210,32 @@
       bt_spread_action_kind_t kind;
       int64_t since;
       int64_t wait_ms;
-      bool wanted;
+      bool pending;
 
       pthread_mutex_lock (&driver->entry->lock);
-      if (!driver->store_wanted)
+      if (!driver->store_call_pending)
         wait_for_work (driver);
-      wanted = driver->store_wanted;
-      driver->store_wanted = false;
+      pending = driver->store_call_pending;
+      driver->store_call_pending = false;
       kind = driver->store_kind;
       since = driver->store_since;
       wait_ms = driver->store_wait_ms;
       pthread_mutex_unlock (&driver->entry->lock);
-      if (!wanted)
+      if (!pending)
         continue;
       if (kind == BT_SPREAD_READ)
         read_store (driver, since, &error);
       else
         watch_store (driver, since, wait_ms, &error);
       if (error.code != BT_ERROR_NONE && !atomic_load (&driver->stopping))
-        bt_log (driver->ctx, BT_LOG_WARNING, BT_PART_STORE, "Can't read the configuration: %s",
+        bt_log (driver->ctx, BT_LOG_WARNING, BT_PART_STORE, "Cannot read the configuration: %s",
                 error.message);
     }
   return NULL;
 }
 
 static void
-find_gauges (bt_config_driver_t *driver)
+register_gauges (bt_config_driver_t *driver)
 {
   static const char *const names[][2] = {
     { "bilberry_config_revision", "Highest revision known on this instance." },
@@ -255,7 +254,7 @@
 }
 
 static void
-init_wake (bt_config_driver_t *driver)
+init_condition (bt_config_driver_t *driver)
 {
   pthread_condattr_t attributes;
 
@@ -269,7 +268,7 @@
 start_thread (bt_config_driver_t *driver, void *(*body) (void *), bt_error_t *error)
 {
   if (pthread_create (&driver->threads[driver->thread_count], NULL, body, driver) != 0)
-    return bt_set_error (error, BT_ERROR_SYSTEM, "Can't start a thread: %s.", strerror (errno));
+    return bt_set_error (error, BT_ERROR_SYSTEM, "Cannot start a thread: %s.", strerror (errno));
   driver->thread_count++;
   return true;
 }
@@ -299,9 +298,9 @@
   driver->ctx = ctx;
   driver->entry = entry;
   driver->kv = kv;
-  driver->spread = bt_new_config_spread (ctx, &self, &settings, seed, bt_now_ms (ctx));
-  find_gauges (driver);
-  init_wake (driver);
+  driver->sync = bt_new_config_spread (ctx, &self, &settings, seed, bt_now_ms (ctx));
+  register_gauges (driver);
+  init_condition (driver);
   pthread_mutex_lock (&entry->lock);
   entry->config = driver;
   bt_update_config_members (entry);
@@ -327,7 +326,7 @@
   pthread_mutex_unlock (&driver->entry->lock);
   pthread_cond_destroy (&driver->wake);
   bt_clear_documents (ctx, &driver->applied);
-  bt_drop_config_spread (ctx, driver->spread);
+  bt_drop_config_spread (ctx, driver->sync);
   bt_free (ctx, driver);
 }
 
@@ -340,7 +339,7 @@
   if (entry->config == NULL)
     return;
   members = bt_list_spread_members (entry->ctx, entry->membership, &count);
-  bt_set_spread_members (entry->ctx, entry->config->spread, members, count);
+  bt_set_spread_members (entry->ctx, entry->config->sync, members, count);
   bt_free (entry->ctx, members);
 }
 
@@ -349,7 +348,7 @@
 {
   if (entry->config == NULL || entry->declarations == NULL)
     return BT_REASON_NOT_READY;
-  switch (bt_get_spread_state (entry->config->spread, now_ms))
+  switch (bt_get_spread_state (entry->config->sync, now_ms))
     {
     case BT_SPREAD_NOT_READY:
       return BT_REASON_NOT_READY;
--- a/source/entry/config_driver_private.h
+++ b/source/entry/config_driver_private.h
@@ -2,7 +2,7 @@
 #define BILBERRYTRAY_SOURCE_ENTRY_CONFIG_DRIVER_PRIVATE_H
 
 /** @file
- * What the driver of the configuration and its frames share.
+ * State shared by config_driver.c and config_frames.c.
  */
 
 #include <pthread.h>
@@ -12,7 +12,7 @@
 #include "config_driver.h"
 #include "entry_private.h"
 
-/** Values on the operators' page. */
+/** Gauges on the operators' page. */
 enum
 {
   BT_CONFIG_GAUGE_REVISION = 0,
@@ -26,7 +26,8 @@
   BT_CONFIG_GAUGE_COUNT,
 };
 
-/** An answer to an operator that waits until what it asks about is in force or found wrong. */
+/** A reply to an operator, held back until the documents it pushed are in force or found
+ * invalid. */
 typedef struct bt_config_reply
 {
   bt_link_t *link;
@@ -44,28 +45,28 @@
   atomic_bool stopping;
   bt_counter_t *gauges[BT_CONFIG_GAUGE_COUNT];
 
-  /* Under the entry's lock. */
-  pthread_cond_t wake; /**< A call on the service or a reading of documents is wanted. */
-  bt_config_spread_t *spread;
-  bool store_wanted;
+  /* Guarded by the entry's lock. */
+  pthread_cond_t wake; /**< Signalled when work is pending. */
+  bt_config_spread_t *sync;
+  bool store_call_pending;
   bt_spread_action_kind_t store_kind;
   int64_t store_since;
   int64_t store_wait_ms;
-  bool apply_wanted;
-  bt_document_list_t applied; /**< What the declarations in force were read from. */
+  bool apply_pending;
+  bt_document_list_t applied; /**< The documents that the declarations in force were parsed from. */
   bt_config_reply_t *replies;
 };
 
-/** Carries out actions. @p source is the link that the event came from; NULL: none. */
+/** Performs actions. @p source is the link that the event came from, or NULL. */
 void
 bt_run_config_actions (bt_config_driver_t *driver, bt_spread_actions_t *actions, bt_link_t *source);
 
-/** Sends a push or a pull, or notes an answer about what is in force. */
+/** Sends a push or a pull, or queues a reply about the documents in force. */
 void bt_send_config_action (bt_config_driver_t *driver,
                             const bt_spread_action_t *action,
                             bt_link_t *source);
 
-/** Sends the answers that wait. */
+/** Sends the queued replies. */
 void bt_send_config_replies (bt_config_driver_t *driver);
 
 void bt_drop_config_replies (bt_config_driver_t *driver);
--- a/source/entry/config_frames.c
+++ b/source/entry/config_frames.c
@@ -30,7 +30,7 @@
 }
 
 static void
-note_reply (bt_config_driver_t *driver, const bt_spread_action_t *action, bt_link_t *link)
+queue_reply (bt_config_driver_t *driver, const bt_spread_action_t *action, bt_link_t *link)
 {
   bt_config_reply_t *reply = bt_calloc (driver->ctx, 1, sizeof *reply);
 
@@ -56,7 +56,7 @@
   else if (action->kind == BT_SPREAD_PULL)
     send_pull (driver, action, link);
   else
-    note_reply (driver, action, link);
+    queue_reply (driver, action, link);
 }
 
 static void
@@ -93,11 +93,11 @@
   states = bt_calloc (driver->ctx, count, sizeof *states);
   pointers = bt_calloc (driver->ctx, count, sizeof (Bilberry__DocumentState *));
   fill_states (driver, states, pointers);
-  bt_get_spread_status (driver->spread, now_ms, &status);
+  bt_get_spread_status (driver->sync, now_ms, &status);
   in_force.revision = status.revision;
   in_force.n_documents = count;
   in_force.documents = pointers;
-  in_force.state = (uint32_t)bt_get_spread_state (driver->spread, now_ms);
+  in_force.state = (uint32_t)bt_get_spread_state (driver->sync, now_ms);
   in_force.fresh_age_ms = status.fresh_age_ms;
   frame.body_case = BILBERRY__FRAME__BODY_CONFIG_IN_FORCE;
   frame.config_in_force = &in_force;
@@ -125,37 +125,36 @@
 }
 
 static void
-take_push (bt_config_driver_t *driver,
-           bt_link_t *link,
-           const bt_identity_t *source,
-           const Bilberry__ConfigPush *frame,
-           bt_spread_actions_t *actions)
+handle_push (bt_config_driver_t *driver,
+             bt_link_t *link,
+             const bt_identity_t *source,
+             const Bilberry__ConfigPush *frame,
+             bt_spread_actions_t *actions)
 {
   bt_document_list_t documents = { 0 };
   bt_spread_push_t push = { &documents, frame->from_revision, frame->store_revision, frame->whole,
                             frame->request };
 
   bt_add_push_documents (driver->ctx, frame, &documents);
-  bt_take_spread_push (driver->ctx, driver->spread, source, &push, bt_now_ms (driver->ctx),
-                       actions);
+  bt_take_spread_push (driver->ctx, driver->sync, source, &push, bt_now_ms (driver->ctx), actions);
   bt_clear_documents (driver->ctx, &documents);
 }
 
 void
-bt_take_config_frame (bt_entry_t *entry, bt_link_t *link, const bt_frame_t *frame)
+bt_handle_config_frame (bt_entry_t *entry, bt_link_t *link, const bt_frame_t *frame)
 {
   bt_config_driver_t *driver = entry->config;
   bt_identity_t source = { .incarnation = bt_get_link_incarnation (link) };
   bt_spread_actions_t actions = { 0 };
 
-  /* An agent has nothing to say about configuration. */
+  /* Agents take no part in config sync. */
   if (driver == NULL || strcmp (bt_get_link_role (link), "agent") == 0)
     return;
   bt_copy_name (source.instance, bt_get_link_instance (link));
   if (frame->body_case == BILBERRY__FRAME__BODY_CONFIG_PUSH)
-    take_push (driver, link, &source, frame->config_push, &actions);
+    handle_push (driver, link, &source, frame->config_push, &actions);
   else if (frame->body_case == BILBERRY__FRAME__BODY_CONFIG_PULL)
-    bt_take_spread_pull (driver->ctx, driver->spread, &source, frame->config_pull->since, &actions);
+    bt_take_spread_pull (driver->ctx, driver->sync, &source, frame->config_pull->since, &actions);
   bt_run_config_actions (driver, &actions, link);
 }
 
@@ -166,7 +165,7 @@
 
   if (entry->config == NULL)
     return;
-  bt_open_spread_link (entry->ctx, entry->config->spread, peer, bt_now_ms (entry->ctx), &actions);
+  bt_open_spread_link (entry->ctx, entry->config->sync, peer, bt_now_ms (entry->ctx), &actions);
   bt_run_config_actions (entry->config, &actions, NULL);
 }
 
@@ -174,7 +173,7 @@
 bt_close_config_link (bt_entry_t *entry, const bt_identity_t *peer)
 {
   if (entry->config != NULL)
-    bt_close_spread_link (entry->ctx, entry->config->spread, peer);
+    bt_close_spread_link (entry->ctx, entry->config->sync, peer);
 }
 
 void
@@ -182,35 +181,35 @@
                           const bt_identity_t *peer,
                           Bilberry__Heartbeat *heartbeat)
 {
-  bt_spread_heartbeat_t said;
+  bt_spread_heartbeat_t fields;
 
   if (entry->config == NULL)
     return;
-  bt_make_spread_heartbeat (entry->config->spread, peer, heartbeat->now_ms, &said);
-  heartbeat->echo_ms = said.echo_ms < 0 ? 0 : said.echo_ms;
-  heartbeat->config_floor = said.floor;
-  heartbeat->config_fresh_age_ms = said.fresh_age_ms;
-  heartbeat->config_digest = said.digest;
-  heartbeat->max_revision = said.revision;
+  bt_make_spread_heartbeat (entry->config->sync, peer, heartbeat->now_ms, &fields);
+  heartbeat->echo_ms = fields.echo_ms < 0 ? 0 : fields.echo_ms;
+  heartbeat->config_floor = fields.floor;
+  heartbeat->config_fresh_age_ms = fields.fresh_age_ms;
+  heartbeat->config_digest = fields.digest;
+  heartbeat->max_revision = fields.revision;
   heartbeat->admitting = bt_get_config_refusal (entry, heartbeat->now_ms) == BT_REASON_NONE;
 }
 
 void
-bt_take_config_heartbeat (bt_entry_t *entry,
-                          const bt_identity_t *peer,
-                          const Bilberry__Heartbeat *heartbeat)
+bt_handle_config_heartbeat (bt_entry_t *entry,
+                            const bt_identity_t *peer,
+                            const Bilberry__Heartbeat *heartbeat)
 {
-  bt_spread_heartbeat_t said = { .now_ms = heartbeat->now_ms,
-                                 .echo_ms = heartbeat->echo_ms == 0 ? -1 : heartbeat->echo_ms,
-                                 .floor = heartbeat->config_floor,
-                                 .fresh_age_ms = heartbeat->config_fresh_age_ms,
-                                 .revision = heartbeat->max_revision,
-                                 .digest = heartbeat->config_digest };
+  bt_spread_heartbeat_t fields = { .now_ms = heartbeat->now_ms,
+                                   .echo_ms = heartbeat->echo_ms == 0 ? -1 : heartbeat->echo_ms,
+                                   .floor = heartbeat->config_floor,
+                                   .fresh_age_ms = heartbeat->config_fresh_age_ms,
+                                   .revision = heartbeat->max_revision,
+                                   .digest = heartbeat->config_digest };
   bt_spread_actions_t actions = { 0 };
 
   if (entry->config == NULL)
     return;
-  bt_take_spread_heartbeat (entry->ctx, entry->config->spread, peer, &said, bt_now_ms (entry->ctx),
+  bt_take_spread_heartbeat (entry->ctx, entry->config->sync, peer, &fields, bt_now_ms (entry->ctx),
                             &actions);
   bt_run_config_actions (entry->config, &actions, NULL);
 }
--- a/source/entry/deliveries.c
+++ b/source/entry/deliveries.c
@@ -5,34 +5,35 @@
 #include "messages.h"
 #include "placement.h"
 
-/* Where a call's delivery is driven: its actions become frames, questions to the policy and answers
- * to the caller. */
+/* Runs the delivery of each call: performs its actions by sending frames to agents, asking the
+ * router and the retry budget, and answering the caller. */
 
 enum
 {
-  GIVE_UP_PART = 8,     /* of the time to the deadline is kept for proving not-run, */
-  MAX_GIVE_UP_MS = 500, /* but no more than this. */
+  /* Part of the time to the deadline that is reserved for proving "not run": 1/8, but at most
+   * MAX_GIVE_UP_MS. */
+  GIVE_UP_DIVISOR = 8,
+  MAX_GIVE_UP_MS = 500,
   REPLY_LIMIT_MS = 1000,
   RECONNECT_LIMIT_MS = 3000,
   RETRY_AFTER_MS = 1000,
   MAX_RESENDS = 3,
   MAX_HOPS = 4,
-  MAX_FOLLOWING = 8, /* Events that one step's actions can lead to. */
+  MAX_QUEUED_EVENTS = 8, /* Events that the actions of one event can cause. */
 };
 
-/* Events that follow from actions, in order; each is given after the step that led to it. */
-typedef struct following
+/* A queue of events that actions caused. Each is handled after the event that caused it. */
+typedef struct event_queue
 {
-  bt_delivery_event_t events[MAX_FOLLOWING];
+  bt_delivery_event_t events[MAX_QUEUED_EVENTS];
   int32_t first;
   int32_t count;
-} following_t;
+} event_queue_t;
 
 static bt_delivery_event_t *
-add_following (following_t *following, bt_delivery_event_kind_t kind)
+queue_event (event_queue_t *queue, bt_delivery_event_kind_t kind)
 {
-  bt_delivery_event_t *event =
-      &following->events[(following->first + following->count++) % MAX_FOLLOWING];
+  bt_delivery_event_t *event = &queue->events[(queue->first + queue->count++) % MAX_QUEUED_EVENTS];
 
   memset (event, 0, sizeof *event);
   event->kind = kind;
@@ -58,7 +59,7 @@
     .idempotent = call->idempotent,
     .body_digest = digest_request (bt_get_caller_request (call->caller)),
     .deadline_ms = call->deadline_ms,
-    .give_up_margin_ms = left_ms / GIVE_UP_PART,
+    .give_up_margin_ms = left_ms / GIVE_UP_DIVISOR,
     .reply_limit_ms = REPLY_LIMIT_MS,
     .reconnect_limit_ms = RECONNECT_LIMIT_MS,
     .retry_after_ms = RETRY_AFTER_MS,
@@ -78,9 +79,9 @@
 {
   int64_t now_ms = bt_now_ms (entry->ctx);
 
-  if (!call->routed)
+  if (!call->attempt_active)
     return;
-  call->routed = false;
+  call->attempt_active = false;
   bt_record_attempt_end (entry->router, &call->route, end, now_ms - call->dispatched_ms, now_ms);
 }
 
@@ -92,29 +93,32 @@
   end_attempt (entry, call, BT_ATTEMPT_CANCELLED);
   if (!bt_same_identity (&call->route.identity, target))
     return;
-  call->routed = true;
+  call->attempt_active = true;
   call->dispatched_ms = now_ms;
   bt_record_dispatch (entry->router, &call->route, bt_get_call_prefix (call), now_ms);
 }
 
-/* A key runs at its home without any further message, so home goes first. Once anything was tried
- * the choice is open. */
+/* A request with a ticket runs at the ticket's home agent without any further message, so that
+ * agent is tried first. Once an endpoint was tried, any may be chosen. */
 static bt_reason_t
-choose_home (bt_entry_t *entry, bt_call_t *call, const bt_route_request_t *request, int64_t now_ms)
+choose_home_agent (bt_entry_t *entry,
+                   bt_call_t *call,
+                   const bt_route_request_t *request,
+                   int64_t now_ms)
 {
-  bt_route_request_t at_home = *request;
+  bt_route_request_t home_request = *request;
   int64_t retry_after_ms;
   int32_t tried_count;
 
   bt_get_delivery_excluded (call->delivery, &tried_count);
-  if (!call->keyed || tried_count > 0)
+  if (!call->has_ticket || tried_count > 0)
     return BT_REASON_NO_ENDPOINT;
-  at_home.only = &call->home;
-  return bt_choose_endpoint (entry->router, &at_home, now_ms, &call->route, &retry_after_ms);
+  home_request.only = &call->home;
+  return bt_choose_endpoint (entry->router, &home_request, now_ms, &call->route, &retry_after_ms);
 }
 
 static void
-choose (bt_entry_t *entry, bt_call_t *call, following_t *following)
+choose_endpoint (bt_entry_t *entry, bt_call_t *call, event_queue_t *queue)
 {
   bt_route_request_t request = { 0 };
   int64_t now_ms = bt_now_ms (entry->ctx);
@@ -129,7 +133,7 @@
   request.deadline_left_ms = call->deadline_ms - now_ms;
   request.prefix = bt_get_call_prefix (call);
   request.seed = entry->seed++;
-  reason = choose_home (entry, call, &request, now_ms);
+  reason = choose_home_agent (entry, call, &request, now_ms);
   if (reason != BT_REASON_NONE)
     {
       request.excluded = bt_get_delivery_excluded (call->delivery, &request.excluded_count);
@@ -138,14 +142,14 @@
   peer = reason == BT_REASON_NONE ? bt_find_peer_identity (entry, &call->route.identity) : NULL;
   if (peer == NULL)
     {
-      event = add_following (following, BT_DELIVERY_NO_CANDIDATE);
+      event = queue_event (queue, BT_DELIVERY_NO_CANDIDATE);
       event->reason = reason == BT_REASON_NONE ? BT_REASON_NO_ENDPOINT : reason;
       event->retry_after_ms = retry_after_ms;
       return;
     }
-  event = add_following (following, BT_DELIVERY_CANDIDATE);
+  event = queue_event (queue, BT_DELIVERY_CANDIDATE);
   event->identity = call->route.identity;
-  /* By that agent's own clock, as it last told it: lag only makes the grant shorter. */
+  /* Based on that agent's clock as of its last heartbeat: a delay only shortens the grant. */
   event->grant_expires_ms = peer->peer_now_ms + entry->settings.ticket_life_ms;
 }
 
@@ -191,7 +195,7 @@
 }
 
 static bt_peer_t *
-find_instance (bt_entry_t *entry, const char *instance)
+find_linked_peer (bt_entry_t *entry, const char *instance)
 {
   for (bt_peer_t *peer = entry->peers; peer != NULL; peer = peer->next)
     if (peer->up && strcmp (peer->identity.instance, instance) == 0)
@@ -206,7 +210,7 @@
               bt_link_t *link)
 {
   const char *key = bt_find_caller_header (call->caller, "Idempotency-Key");
-  const char *ticket = call->keyed ? key : "";
+  const char *ticket = call->has_ticket ? key : "";
 
   if (action->kind == BT_DELIVERY_SEND_GRANT)
     return bt_send_grant_request (entry->ctx, link, &action->grant_request, ticket);
@@ -215,26 +219,26 @@
   return send_dispatch (entry, call, link, &action->dispatch, ticket);
 }
 
-/* Without a link to that very start of the agent nothing leaves. When another start of it is there
- * already, the delivery is told so at once and needs not wait. */
+/* Nothing is sent without a link to exactly that incarnation of the agent. If another
+ * incarnation is already linked, the delivery learns it at once and does not need to wait. */
 static void
 send_message (bt_entry_t *entry,
               bt_call_t *call,
               const bt_delivery_action_t *action,
-              following_t *following)
+              event_queue_t *queue)
 {
   bt_peer_t *peer = bt_find_peer_identity (entry, &action->identity);
-  bt_peer_t *other = find_instance (entry, action->identity.instance);
+  bt_peer_t *other = find_linked_peer (entry, action->identity.instance);
   uint64_t link = peer == NULL ? 0 : bt_get_link_id (peer->link);
   bool sent = peer != NULL && send_by_kind (entry, call, action, peer->link);
 
-  add_following (following, BT_DELIVERY_SENT)->link = link;
+  queue_event (queue, BT_DELIVERY_SENT)->link = link;
   if (peer == NULL)
-    bt_want_peer (entry, action->identity.instance);
+    bt_request_peer_link (entry, action->identity.instance);
   if (peer == NULL && other != NULL)
-    add_following (following, BT_DELIVERY_LINK_UP)->identity = other->identity;
+    queue_event (queue, BT_DELIVERY_LINK_UP)->identity = other->identity;
   if (peer != NULL && !sent)
-    add_following (following, BT_DELIVERY_LINK_DOWN)->link = link;
+    queue_event (queue, BT_DELIVERY_LINK_DOWN)->link = link;
 }
 
 static void
@@ -243,11 +247,11 @@
   for (bt_peer_t *peer = entry->peers; peer != NULL; peer = peer->next)
     if (peer->up && bt_get_link_id (peer->link) == path->link)
       bt_send_cancel (entry->ctx, peer->link, path);
-  end_attempt (entry, call, call->ending);
+  end_attempt (entry, call, call->attempt_end);
 }
 
-/* An endpoint that leaves refuses what it never began, however many callers that meets at once: no
- * fault that retries could multiply, so they are bounded by the rule alone. */
+/* A leaving endpoint refuses requests that it has not started, however many there are at once.
+ * This is no failure that retries could amplify, so only the rule limits these retries. */
 static bool
 may_retry (bt_entry_t *entry, const bt_call_t *call, bt_retry_t retry)
 {
@@ -260,19 +264,19 @@
 }
 
 static void
-ask_budget (bt_entry_t *entry, bt_call_t *call, bt_retry_t retry, following_t *following)
+check_retry_budget (bt_entry_t *entry, bt_call_t *call, bt_retry_t retry, event_queue_t *queue)
 {
   bool allowed = may_retry (entry, call, retry);
 
   call->retries++;
-  end_attempt (entry, call, call->ending);
-  add_following (following, BT_DELIVERY_BUDGET)->allowed = allowed;
+  end_attempt (entry, call, call->attempt_end);
+  queue_event (queue, BT_DELIVERY_BUDGET)->allowed = allowed;
 }
 
-/* One line for each request, naming what it was judged under. Those that are sure of their end are
- * for debugging only: in a burst they would be most of the log. */
+/* Logs one line per request with the rule and revision that applied. Requests with a certain
+ * outcome are logged at debug level only: in a burst they would be most of the log. */
 static void
-log_end (bt_entry_t *entry, const bt_call_t *call, bt_outcome_t outcome, bt_reason_t reason)
+log_request_end (bt_entry_t *entry, const bt_call_t *call, bt_outcome_t outcome, bt_reason_t reason)
 {
   bt_log_level_t level = outcome == BT_OUTCOME_UNKNOWN ? BT_LOG_INFO : BT_LOG_DEBUG;
 
@@ -292,32 +296,32 @@
   end_attempt (entry, call, failed ? BT_ATTEMPT_FAILED : BT_ATTEMPT_CANCELLED);
   bt_refuse_caller (entry->ctx, call->caller, action->outcome, action->reason,
                     action->retry_after_ms, NULL);
-  log_end (entry, call, action->outcome, action->reason);
+  log_request_end (entry, call, action->outcome, action->reason);
   call->finished = true;
 }
 
 static void
-do_action (bt_entry_t *entry,
-           bt_call_t *call,
-           const bt_delivery_action_t *action,
-           following_t *following)
+perform_action (bt_entry_t *entry,
+                bt_call_t *call,
+                const bt_delivery_action_t *action,
+                event_queue_t *queue)
 {
   switch (action->kind)
     {
     case BT_DELIVERY_ASK_CANDIDATE:
       if (call->submitted)
-        call->place_again = true;
+        call->needs_admission = true;
       else
-        choose (entry, call, following);
+        choose_endpoint (entry, call, queue);
       call->submitted = true;
       break;
     case BT_DELIVERY_ASK_BUDGET:
-      ask_budget (entry, call, action->retry, following);
+      check_retry_budget (entry, call, action->retry, queue);
       break;
     case BT_DELIVERY_SEND_DISPATCH:
     case BT_DELIVERY_SEND_GRANT:
     case BT_DELIVERY_SEND_TOMBSTONE:
-      send_message (entry, call, action, following);
+      send_message (entry, call, action, queue);
       break;
     case BT_DELIVERY_SEND_CANCEL:
       send_cancel (entry, call, &action->path);
@@ -327,12 +331,12 @@
       break;
     case BT_DELIVERY_GIVE_PIECE:
       if (!bt_add_answer (entry->ctx, call->caller, action->data, action->data_bytes))
-        add_following (following, BT_DELIVERY_CALLER_GONE);
+        queue_event (queue, BT_DELIVERY_CALLER_GONE);
       break;
     case BT_DELIVERY_FINISH_WHOLE:
       end_attempt (entry, call, BT_ATTEMPT_ANSWERED);
       bt_end_answer (entry->ctx, call->caller);
-      log_end (entry, call, BT_OUTCOME_ANSWERED, BT_REASON_NONE);
+      log_request_end (entry, call, BT_OUTCOME_ANSWERED, BT_REASON_NONE);
       call->finished = true;
       break;
     default:
@@ -342,44 +346,44 @@
 }
 
 static void
-judge_reply (bt_call_t *call, const bt_delivery_event_t *event)
+set_attempt_end (bt_call_t *call, const bt_delivery_event_t *event)
 {
-  call->ending = BT_ATTEMPT_FAILED;
+  call->attempt_end = BT_ATTEMPT_FAILED;
   if (event->kind == BT_DELIVERY_CALLER_GONE)
-    call->ending = BT_ATTEMPT_CANCELLED;
+    call->attempt_end = BT_ATTEMPT_CANCELLED;
   else if (event->kind == BT_DELIVERY_REPLY && event->reply->kind == BT_REPLY_REFUSED
            && event->reply->outcome == BT_OUTCOME_NOT_RUN)
-    call->ending = BT_ATTEMPT_REFUSED;
+    call->attempt_end = BT_ATTEMPT_REFUSED;
 }
 
 void
-bt_drive_call (bt_entry_t *entry, bt_call_t *call, const bt_delivery_event_t *event)
+bt_handle_call_event (bt_entry_t *entry, bt_call_t *call, const bt_delivery_event_t *event)
 {
-  following_t following;
+  event_queue_t queue;
   bt_delivery_actions_t actions = { 0 };
 
-  judge_reply (call, event);
-  following.first = 0;
-  following.count = 1;
-  following.events[0] = *event;
-  while (following.count > 0 && !call->finished)
+  set_attempt_end (call, event);
+  queue.first = 0;
+  queue.count = 1;
+  queue.events[0] = *event;
+  while (queue.count > 0 && !call->finished)
     {
-      bt_delivery_event_t next = following.events[following.first];
+      bt_delivery_event_t next = queue.events[queue.first];
 
-      following.first = (following.first + 1) % MAX_FOLLOWING;
-      following.count--;
+      queue.first = (queue.first + 1) % MAX_QUEUED_EVENTS;
+      queue.count--;
       actions.count = 0;
       bt_step_delivery (entry->ctx, call->delivery, &next, bt_now_ms (entry->ctx), &actions);
       for (int32_t i = 0; i < actions.count && !call->finished; i++)
-        do_action (entry, call, &actions.items[i], &following);
+        perform_action (entry, call, &actions.items[i], &queue);
     }
   bt_free_delivery_actions (entry->ctx, &actions);
   if (call->finished)
     bt_remove_call (entry, call);
-  else if (call->place_again)
+  else if (call->needs_admission)
     {
-      call->place_again = false;
-      bt_place_call (entry, call, true);
+      call->needs_admission = false;
+      bt_request_admission (entry, call, true);
     }
 }
 
@@ -387,16 +391,16 @@
 bt_dispatch_call (bt_entry_t *entry, bt_call_t *call)
 {
   bt_delivery_event_t submit = { .kind = BT_DELIVERY_SUBMIT };
-  following_t following = { 0 };
+  event_queue_t queue = { 0 };
 
   if (!call->submitted)
     {
       bt_record_attempt (entry->budget);
-      bt_drive_call (entry, call, &submit);
+      bt_handle_call_event (entry, call, &submit);
       return;
     }
-  choose (entry, call, &following);
-  bt_drive_call (entry, call, &following.events[0]);
+  choose_endpoint (entry, call, &queue);
+  bt_handle_call_event (entry, call, &queue.events[0]);
 }
 
 void
@@ -410,5 +414,5 @@
                                 .reason = reason,
                                 .retry_after_ms = retry_after_ms };
 
-  bt_drive_call (entry, call, &event);
+  bt_handle_call_event (entry, call, &event);
 }
--- a/source/entry/entry.c
+++ b/source/entry/entry.c
@@ -13,8 +13,8 @@
   TICK_MS = 10,
   OPENING_MS = 2000,
   MAX_UNSENT_BYTES = 16 << 20,
-  /* The workers write in this time what callers are told last, and refuse those whose request comes
-   * a round trip behind the end of listening. */
+  /* Time for the workers to write the last answers, and to refuse requests that arrive up to a
+   * round trip after listening stopped. */
   LINGER_MS = 120,
 };
 
@@ -28,8 +28,8 @@
       int64_t now_ms = bt_now_ms (entry->ctx);
 
       pthread_mutex_lock (&entry->lock);
-      bt_expire_calls (entry, now_ms);
-      bt_place_waiting_calls (entry);
+      bt_tick_calls (entry, now_ms);
+      bt_admit_queued_calls (entry);
       bt_dial_peers (entry, now_ms);
       bt_set_gauge (entry->admitting,
                     entry->declarations != NULL
@@ -124,8 +124,8 @@
   if (entry->http == NULL)
     return false;
   if (pthread_create (&entry->ticker, NULL, run_ticker, entry) != 0)
-    return bt_set_error (error, BT_ERROR_SYSTEM, "Can't start a thread: %s.", strerror (errno));
-  entry->ticking = true;
+    return bt_set_error (error, BT_ERROR_SYSTEM, "Cannot start a thread: %s.", strerror (errno));
+  entry->ticker_started = true;
   return true;
 }
 
@@ -218,7 +218,8 @@
   entry->leaving = true;
   bt_set_self_leaving (entry->membership, bt_now_ms (ctx));
   pthread_mutex_unlock (&entry->lock);
-  bt_log (ctx, BT_LOG_INFO, BT_PART_MAIN, "Leaving: no caller is sent here any more.");
+  bt_log (ctx, BT_LOG_INFO, BT_PART_MAIN,
+          "Leaving: this instance is no longer advertised to callers.");
 }
 
 bool
@@ -246,7 +247,7 @@
 {
   pthread_mutex_lock (&entry->lock);
   entry->closed = true;
-  bt_cut_calls (entry);
+  bt_abort_calls (entry);
   pthread_mutex_unlock (&entry->lock);
   bt_sleep_ms (LINGER_MS);
   bt_drop_http_server (ctx, entry->http);
@@ -272,7 +273,7 @@
   if (entry == NULL)
     return;
   atomic_store (&entry->stopping, true);
-  if (entry->ticking)
+  if (entry->ticker_started)
     pthread_join (entry->ticker, NULL);
   if (entry->http != NULL)
     bt_end_entry_callers (ctx, entry);
--- a/source/entry/entry.h
+++ b/source/entry/entry.h
@@ -2,7 +2,8 @@
 #define BILBERRYTRAY_SOURCE_ENTRY_ENTRY_H
 
 /** @file
- * One entry instance: callers' requests in, the rules applied, dispatches to agents out.
+ * One entry instance: receives callers' requests, applies the rules and dispatches requests to
+ * agents.
  */
 
 #include <stdbool.h>
@@ -66,12 +67,12 @@
   int64_t plan_ms;
 } bt_entry_settings_t;
 
-/** An instance that the instance list names. */
+/** An instance in the instance list. */
 typedef struct bt_entry_peer
 {
   const char *instance;
-  const char *address; /**< Where it accepts links. */
-  const char *http;    /**< Where callers reach it; entries only. */
+  const char *address; /**< Address on which it accepts links. */
+  const char *http;    /**< Address for callers; entry instances only. */
   const char *endpoint;
   const char *app;
   bool agent;
@@ -83,39 +84,41 @@
 
 int32_t bt_get_entry_http_port (const bt_entry_t *entry);
 
-/** Puts declarations in force; keeps a reference. Older ones are dropped. */
+/** Puts declarations in force and keeps a reference to them. Ignores them if a newer revision is
+ * in force. */
 void
 bt_set_entry_declarations (bt_context_t *ctx, bt_entry_t *entry, bt_declarations_t *declarations);
 
-/** The declarations in force, with a reference for the caller; NULL when there are none yet. */
+/** Returns a new reference to the declarations in force; NULL if there are none yet. */
 bt_declarations_t *bt_get_entry_declarations (bt_entry_t *entry);
 
-/** Takes a new reading of the instance list: dials who is new, and forgets who is gone. */
+/** Applies a new version of the instance list: dials new instances and drops removed ones. */
 void bt_set_entry_peers (bt_context_t *ctx,
                          bt_entry_t *entry,
                          const bt_entry_peer_t *peers,
                          int32_t count);
 
-/** Serves a request whose body is whole. Called by the HTTP server without any lock. */
-void bt_submit_entry (bt_context_t *ctx, bt_entry_t *entry, bt_caller_t *caller);
+/** Processes a request whose body is complete. Called by the HTTP server without any lock. */
+void bt_submit_request (bt_context_t *ctx, bt_entry_t *entry, bt_caller_t *caller);
 
-/** Tells a caller which addresses to use. */
+/** Answers a request for the addresses that the caller should use. */
 void bt_answer_addresses (bt_context_t *ctx, bt_entry_t *entry, bt_caller_t *caller);
 
-/** The caller's connection is gone. */
+/** Reports to a call that its caller's connection is closed. Does nothing if there is no such
+ * call. */
 void bt_abandon_entry_call (bt_context_t *ctx, bt_entry_t *entry, uint64_t id);
 
-/** No longer named in address answers; still serves. */
+/** Stops advertising this instance to callers; it still serves requests. */
 void bt_leave_entry (bt_context_t *ctx, bt_entry_t *entry);
 
-/** True when no call is under way, and every answer is written to its last byte. */
+/** Returns true when no call is in progress and every answer is fully written. */
 bool bt_is_entry_idle (bt_entry_t *entry);
 
-/** Lets nobody connect any more, and refuses what comes on connections that were made before. */
+/** Stops accepting connections, and refuses new requests on existing ones. */
 void bt_close_entry (bt_entry_t *entry);
 
-/** Ends the calls that are still under way, and closes all callers' connections once they have what
- * they are told. To be called on a closed entry before anything that may block. */
+/** Aborts the calls still in progress, and closes all callers' connections after a short time
+ * for the last answers. Call this on a closed entry, before anything that may block. */
 void bt_end_entry_callers (bt_context_t *ctx, bt_entry_t *entry);
 
 /** Stops all threads and frees the entry. NULL is accepted. */
--- a/source/entry/entry_links.c
+++ b/source/entry/entry_links.c
@@ -38,8 +38,8 @@
   return NULL;
 }
 
-/* Of two entry instances the one whose name sorts first dials, so that there is one link, not two.
- */
+/* Between two entry instances, the one whose name sorts first dials, so that there is only one
+ * link. */
 static bool
 dials_peer (const bt_entry_t *entry, const bt_peer_t *peer)
 {
@@ -59,27 +59,28 @@
       peer->link = NULL;
       peer->up = false;
     }
-  if (peer->link != NULL || now_ms < peer->dial_ms)
+  if (peer->link != NULL || now_ms < peer->next_dial_ms)
     return;
   peer->dial_wait_ms = peer->dial_wait_ms == 0 ? FIRST_DIAL_WAIT_MS : peer->dial_wait_ms * 2;
   if (peer->dial_wait_ms > MAX_DIAL_WAIT_MS)
     peer->dial_wait_ms = MAX_DIAL_WAIT_MS;
-  peer->dial_ms = now_ms + peer->dial_wait_ms;
+  peer->next_dial_ms = now_ms + peer->dial_wait_ms;
   peer->link = bt_dial_link (entry->ctx, entry->loop, peer->address, peer->instance, &error);
   if (peer->link == NULL)
     bt_log (entry->ctx, BT_LOG_WARNING, BT_PART_LINK, "%s", error.message);
 }
 
-/* Above eight entries each is linked to a part of the agents only, while a caller may send a key
- * again through any entry. Without a link to the key's home the entry could only say "unknown". */
+/* With more than eight entry instances, each is linked to only a part of the agents, while a
+ * caller may resend a key through any of them. Without a link to the key's home agent, the entry
+ * could only report the outcome "unknown". */
 void
-bt_want_peer (bt_entry_t *entry, const char *instance)
+bt_request_peer_link (bt_entry_t *entry, const char *instance)
 {
   bt_peer_t *peer = find_peer (entry, instance);
 
-  if (peer == NULL || peer->near || peer->wanted)
+  if (peer == NULL || peer->is_neighbor || peer->needed)
     return;
-  peer->wanted = true;
+  peer->needed = true;
   if (peer->listed)
     dial_peer (entry, peer, bt_now_ms (entry->ctx));
 }
@@ -88,12 +89,12 @@
 bt_dial_peers (bt_entry_t *entry, int64_t now_ms)
 {
   for (bt_peer_t *peer = entry->peers; peer != NULL; peer = peer->next)
-    if (peer->listed && (peer->near || peer->wanted) && dials_peer (entry, peer))
+    if (peer->listed && (peer->is_neighbor || peer->needed) && dials_peer (entry, peer))
       dial_peer (entry, peer, now_ms);
 }
 
 static void
-take_peer (bt_entry_t *entry, const bt_entry_peer_t *listed)
+update_peer (bt_entry_t *entry, const bt_entry_peer_t *listed)
 {
   bt_peer_t *peer = find_peer (entry, listed->instance);
   const bt_member_t *member;
@@ -113,25 +114,25 @@
   peer->listed = true;
   peer->listed_leaving = listed->leaving;
   member = bt_find_member (entry->membership, listed->instance);
-  peer->near = member != NULL && member->near;
+  peer->is_neighbor = member != NULL && member->near;
 }
 
 static void
-forget_unlisted (bt_entry_t *entry)
+drop_unlisted_peers (bt_entry_t *entry)
 {
-  bt_peer_t **place = &entry->peers;
+  bt_peer_t **slot = &entry->peers;
 
-  while (*place != NULL)
+  while (*slot != NULL)
     {
-      bt_peer_t *peer = *place;
+      bt_peer_t *peer = *slot;
 
-      /* The list lags: an instance that it no longer names but whose link lives is still there. */
+      /* The list lags: an instance that it no longer names is kept while its link is up. */
       if (peer->listed || peer->up)
         {
-          place = &peer->next;
+          slot = &peer->next;
           continue;
         }
-      *place = peer->next;
+      *slot = peer->next;
       if (peer->link != NULL)
         bt_close_link (peer->link);
       bt_drop_link (entry->ctx, peer->link);
@@ -149,8 +150,8 @@
   for (bt_peer_t *peer = entry->peers; peer != NULL; peer = peer->next)
     peer->listed = false;
   for (int32_t i = 0; i < count; i++)
-    take_peer (entry, &peers[i]);
-  forget_unlisted (entry);
+    update_peer (entry, &peers[i]);
+  drop_unlisted_peers (entry);
   bt_update_config_members (entry);
   bt_dial_peers (entry, bt_now_ms (ctx));
   pthread_mutex_unlock (&entry->lock);
@@ -199,7 +200,7 @@
   if (open_member (entry, link) == BT_LINK_REFUSED)
     {
       bt_log (entry->ctx, BT_LOG_WARNING, BT_PART_MEMBERS,
-              "%s dialled as an incarnation that was replaced.", peer->instance);
+              "Refused a link from %s: its incarnation was already replaced.", peer->instance);
       bt_close_link (link);
       return;
     }
@@ -242,11 +243,11 @@
   bt_copy_name (endpoint.app, heartbeat->app);
   bt_copy_name (endpoint.failure_domain, bt_get_link_failure_domain (peer->link));
   bt_put_endpoint (entry->ctx, entry->router, &endpoint, now_ms);
-  /* An agent whose link broke and came back, as after a freeze, is the same start of it: without
-   * this it would never get work again. */
+  /* An agent whose link broke and was restored, for example after a freeze, is the same
+   * incarnation: without this call it would never receive requests again. */
   bt_record_link_up (entry->router, &peer->identity, now_ms);
   bt_set_endpoint_leaving (entry->router, &peer->identity,
-                           peer->link_leaving || peer->listed_leaving);
+                           peer->heartbeat_leaving || peer->listed_leaving);
   if (heartbeat->load == NULL)
     return;
   load.running = (int32_t)heartbeat->load->running;
@@ -264,12 +265,12 @@
   int64_t up = 0;
 
   for (const bt_peer_t *peer = entry->peers; peer != NULL; peer = peer->next)
-    up += peer->agent && peer->up && peer->heard;
+    up += peer->agent && peer->up && peer->heartbeat_seen;
   bt_set_gauge (entry->endpoints_up, up);
 }
 
-/* The list lags: an instance may dial before the list names it. Its link is taken as soon as it is
- * named; otherwise each side would wait for good, one for heartbeats, the other for a link. */
+/* The list lags: an instance may dial before the list names it. Its link is used once the list
+ * names it; otherwise one side would wait for heartbeats and the other for a link, for ever. */
 static bt_peer_t *
 adopt_link (bt_entry_t *entry, bt_link_t *link)
 {
@@ -282,7 +283,7 @@
 }
 
 static void
-take_heartbeat (bt_entry_t *entry, bt_link_t *link, const Bilberry__Heartbeat *heartbeat)
+handle_heartbeat (bt_entry_t *entry, bt_link_t *link, const Bilberry__Heartbeat *heartbeat)
 {
   bt_peer_t *peer = find_peer_link (entry, link);
 
@@ -290,19 +291,19 @@
     peer = adopt_link (entry, link);
   if (peer == NULL)
     return;
-  peer->link_leaving = heartbeat->leaving;
+  peer->heartbeat_leaving = heartbeat->leaving;
   peer->peer_now_ms = heartbeat->now_ms;
   bt_take_member_heartbeat (entry->membership, &peer->identity, heartbeat->leaving,
                             heartbeat->admitting, bt_now_ms (entry->ctx));
   if (!peer->agent)
     {
-      bt_take_config_heartbeat (entry, &peer->identity, heartbeat);
+      bt_handle_config_heartbeat (entry, &peer->identity, heartbeat);
       return;
     }
-  peer->heard = true;
+  peer->heartbeat_seen = true;
   count_endpoints (entry);
   record_endpoint (entry, peer, heartbeat, bt_now_ms (entry->ctx));
-  bt_place_waiting_calls (entry);
+  bt_admit_queued_calls (entry);
 }
 
 static void
@@ -310,17 +311,17 @@
 {
   bt_entry_t *entry = (bt_entry_t *)handler;
 
-  if (bt_take_map_control_frame (entry->maps, link, frame))
+  if (bt_handle_map_control_frame (entry->maps, link, frame))
     return;
   pthread_mutex_lock (&entry->lock);
   if (frame->body_case == BILBERRY__FRAME__BODY_HEARTBEAT)
-    take_heartbeat (entry, link, frame->heartbeat);
+    handle_heartbeat (entry, link, frame->heartbeat);
   else if (frame->body_case == BILBERRY__FRAME__BODY_CONFIG_PUSH
            || frame->body_case == BILBERRY__FRAME__BODY_CONFIG_PULL
            || frame->body_case == BILBERRY__FRAME__BODY_CONFIG_IN_FORCE)
-    bt_take_config_frame (entry, link, frame);
+    bt_handle_config_frame (entry, link, frame);
   else
-    bt_take_answer_frame (entry, link, frame);
+    bt_handle_answer_frame (entry, link, frame);
   pthread_mutex_unlock (&entry->lock);
 }
 
@@ -339,7 +340,7 @@
       bt_close_member_link (entry->ctx, entry->membership, &peer->identity);
       if (!peer->agent)
         bt_close_config_link (entry, &peer->identity);
-      peer->up = peer->heard = false;
+      peer->up = peer->heartbeat_seen = false;
       bt_drop_link (entry->ctx, peer->link);
       peer->link = NULL;
       count_endpoints (entry);
--- a/source/entry/entry_private.h
+++ b/source/entry/entry_private.h
@@ -2,9 +2,10 @@
 #define BILBERRYTRAY_SOURCE_ENTRY_ENTRY_PRIVATE_H
 
 /** @file
- * What the parts of an entry instance share: the blackboard of its tables and their one lock.
+ * State shared by the parts of an entry instance: its tables and the one lock that guards them.
  *
- * Lock order: the entry's lock, then a caller's or a link's.
+ * Lock order: the entry's lock, then a caller's or a link's. "With the lock held" means the
+ * entry's.
  */
 
 #include <pthread.h>
@@ -22,86 +23,86 @@
 #include "http_server.h"
 #include "map_control.h"
 
-/** Buckets of the table of calls. */
+/** Number of buckets of the call table. */
 enum
 {
   BT_CALL_BUCKETS = 4096,
 };
 
-/** An instance that the list names, and the link to it. */
+/** An instance in the instance list, and the link to it. */
 typedef struct bt_peer
 {
   char instance[BT_NAME_BYTES];
   char address[BT_ADDRESS_BYTES];
   char http[BT_ADDRESS_BYTES];
   bool agent;
-  bool listed;         /**< The last reading of the list names it. */
-  bool listed_leaving; /**< The list says that it leaves. */
-  bool near;           /**< A link to it is kept up. */
-  bool wanted;         /**< A call needed it although it is not near: linked from then on. */
-  bool link_leaving;   /**< Its own heartbeat says so; goes before the list. */
-  bt_link_t *link;     /**< NULL: none. */
+  bool listed;            /**< The latest version of the list names it. */
+  bool listed_leaving;    /**< The list marks it as leaving. */
+  bool is_neighbor;       /**< A link to it is kept open permanently. */
+  bool needed;            /**< Not a neighbor, but a call needed a link to it; linked since then. */
+  bool heartbeat_leaving; /**< Its heartbeat marks it as leaving; this may precede the list. */
+  bt_link_t *link;        /**< NULL: none. */
   bool up;
-  bool heard;             /**< A heartbeat came on this link. */
-  bt_identity_t identity; /**< While the link is up. */
-  int64_t dial_ms;        /**< Not dialled again before this. */
+  bool heartbeat_seen;    /**< A heartbeat was received on this link. */
+  bt_identity_t identity; /**< Valid while the link is up. */
+  int64_t next_dial_ms;   /**< Earliest time of the next dial. */
   int64_t dial_wait_ms;
-  int64_t peer_now_ms; /**< Its clock at its last heartbeat. */
+  int64_t peer_now_ms; /**< Its clock as of its last heartbeat. */
   struct bt_peer *next;
 } bt_peer_t;
 
-/** One request under way. */
+/** One request in progress. */
 typedef struct bt_call
 {
   uint64_t id;
   bt_caller_t *caller;
-  bt_declarations_t *declarations; /**< In force when it was matched; judged by them to its end. */
+  bt_declarations_t *declarations; /**< In force at arrival, and used until the end. */
   bt_delivery_t *delivery;
   int32_t rule;
   int32_t app;
-  int32_t priority; /**< A bt_priority_t, from its rule or the request. */
+  int32_t priority; /**< A bt_priority_t, set by the rule or the request. */
   int64_t arrived_ms;
   int64_t deadline_ms;
-  bool submitted;   /**< The delivery has begun: admission let it through. */
-  bool place_again; /**< A further attempt waits for admission. */
-  bool finished;    /**< The caller has its final answer. */
-  bool keyed;
+  bool submitted;       /**< The delivery has started, after admission. */
+  bool needs_admission; /**< A retry must pass admission. */
+  bool finished;        /**< The answer to the caller is complete, refused or aborted. */
+  bool has_ticket;
   bool idempotent;
-  bt_identity_t home; /**< Of its ticket, when keyed. */
+  bt_identity_t home; /**< Home agent of its ticket, if any. */
   int32_t retries;
-  bool routed;             /**< An attempt on route is under way. */
-  bool waiting;            /**< In admission's queue. */
-  bt_route_t route;        /**< The last that was chosen. */
-  int64_t dispatched_ms;   /**< When the attempt on it went out. */
-  bt_attempt_end_t ending; /**< How the attempt under way is judged if it ends now. */
+  bool attempt_active;          /**< An attempt on route is in progress. */
+  bool queued;                  /**< In the admission queue. */
+  bt_route_t route;             /**< The last chosen route. */
+  int64_t dispatched_ms;        /**< Time when the attempt on route was sent. */
+  bt_attempt_end_t attempt_end; /**< Recorded for the current attempt if it ends now. */
   struct bt_call *next;
 } bt_call_t;
 
 struct bt_entry
 {
-  bt_link_handler_t links_base; /**< First, so that a handler is its entry. */
+  bt_link_handler_t links_base; /**< Must be first: the handler is cast to bt_entry_t. */
   bt_context_t *ctx;
   bt_entry_settings_t settings;
   uint64_t incarnation;
   bt_ticket_ring_t *ring;
   bt_link_loop_t *loop;
   bt_http_server_t *http;
-  bt_map_control_t *maps; /**< NULL where no group is set. */
+  bt_map_control_t *maps; /**< NULL if no rank group is configured. */
   bt_counter_t *endpoints_up;
   bt_counter_t *admitting;
   pthread_t ticker;
-  bool ticking;
+  bool ticker_started;
   atomic_bool stopping;
 
-  pthread_mutex_t lock; /**< Guards what stands below. */
+  pthread_mutex_t lock; /**< Guards the members below. */
   bool leaving;
-  bool closed; /**< Nothing new is taken: the calls under way are the last. */
+  bool closed; /**< New calls are refused. */
   bt_declarations_t *declarations;
   bt_router_t *router;
   bt_admission_t *admission;
   bt_retry_budget_t *budget;
   bt_membership_t *membership;
-  bt_config_driver_t *config; /**< NULL until the platform is read. */
+  bt_config_driver_t *config; /**< NULL until the platform reader has started. */
   bt_peer_t *peers;
   bt_call_t *calls[BT_CALL_BUCKETS];
   int32_t call_count;
@@ -109,64 +110,63 @@
   uint64_t seed;
 };
 
-/** The handler of this entry's links. */
+/** Handles events of this entry's links. */
 extern const bt_link_handler_vtable_t bt_entry_link_vtable;
 
-/** Dials the peers that are due. With the lock held. */
+/** Dials the unconnected peers whose next dial is due. With the lock held. */
 void bt_dial_peers (bt_entry_t *entry, int64_t now_ms);
 
-/** Has an instance dialled that a call needs and that no link leads to. With the lock held. */
-void bt_want_peer (bt_entry_t *entry, const char *instance);
+/** Requests a link to an instance that a call needs and that is not linked. With the lock held. */
+void bt_request_peer_link (bt_entry_t *entry, const char *instance);
 
-/** The peer whose link is up as this identity, or NULL. With the lock held. */
+/** Returns the peer whose link is up with this identity, or NULL. With the lock held. */
 bt_peer_t *bt_find_peer_identity (bt_entry_t *entry, const bt_identity_t *identity);
 
-/** Takes an answer of an agent. With the lock held. */
-void bt_take_answer_frame (bt_entry_t *entry, bt_link_t *link, const bt_frame_t *frame);
+/** Handles an answer from an agent. With the lock held. */
+void bt_handle_answer_frame (bt_entry_t *entry, bt_link_t *link, const bt_frame_t *frame);
 
-/** Ends what was in flight on a dead link. With the lock held. */
+/** Notifies all calls that a link is down. With the lock held. */
 void bt_fail_link_calls (bt_entry_t *entry, bt_link_t *link);
 
-/** Decides about a call that is to be placed: sends it, lets it wait, or ends it. With the lock
- * held. */
-void bt_place_call (bt_entry_t *entry, bt_call_t *call, bool again);
+/** Asks admission about a call, and sends, queues or refuses it. With the lock held. */
+void bt_request_admission (bt_entry_t *entry, bt_call_t *call, bool is_retry);
 
-/** Decides about the calls that wait. With the lock held. */
-void bt_place_waiting_calls (bt_entry_t *entry);
+/** Sends or refuses the queued calls that admission has decided on. With the lock held. */
+void bt_admit_queued_calls (bt_entry_t *entry);
 
-/** Sends a call that was admitted to an endpoint. With the lock held. */
+/** Sends an admitted call to an endpoint. With the lock held. */
 void bt_dispatch_call (bt_entry_t *entry, bt_call_t *call);
 
-/** Ends a call with a refusal and frees it. With the lock held. */
+/** Refuses a call and frees it. With the lock held. */
 void bt_refuse_call (bt_entry_t *entry,
                      bt_call_t *call,
                      bt_outcome_t outcome,
                      bt_reason_t reason,
                      int64_t retry_after_ms);
 
-/** The call of an id, or NULL. With the lock held. */
+/** Returns the call with an id, or NULL. With the lock held. */
 bt_call_t *bt_find_call (bt_entry_t *entry, uint64_t id);
 
-/** Takes a frame about the configuration. With the lock held. */
-void bt_take_config_frame (bt_entry_t *entry, bt_link_t *link, const bt_frame_t *frame);
+/** Handles a frame about the configuration. With the lock held. */
+void bt_handle_config_frame (bt_entry_t *entry, bt_link_t *link, const bt_frame_t *frame);
 
-/** Tells every call that time has passed. With the lock held. */
-void bt_expire_calls (bt_entry_t *entry, int64_t now_ms);
+/** Sends a tick event to every call, so that it checks its time limits. With the lock held. */
+void bt_tick_calls (bt_entry_t *entry, int64_t now_ms);
 
-/** Ends every call, for a stop. With the lock held. */
-void bt_cut_calls (bt_entry_t *entry);
+/** Aborts every call at shutdown; the outcome is unknown. With the lock held. */
+void bt_abort_calls (bt_entry_t *entry);
 
-/** Tells the calls that wait for this agent that its link is up. With the lock held. */
+/** Notifies all calls that the link to an agent is up. With the lock held. */
 void bt_resume_calls (bt_entry_t *entry, const bt_identity_t *identity);
 
-/** Gives an event to a call's delivery and does what follows. The call may be gone behind it. With
- * the lock held. */
-void bt_drive_call (bt_entry_t *entry, bt_call_t *call, const bt_delivery_event_t *event);
+/** Passes an event to a call's delivery and performs the resulting actions. The call may be
+ * freed. With the lock held. */
+void bt_handle_call_event (bt_entry_t *entry, bt_call_t *call, const bt_delivery_event_t *event);
 
-/** Takes a call out of the table and frees it. With the lock held. */
+/** Removes a call from the table and frees it. With the lock held. */
 void bt_remove_call (bt_entry_t *entry, bt_call_t *call);
 
-/** Makes the delivery of a new call; @p ticket is NULL for a request without a key. */
+/** Creates the delivery of a new call; @p ticket is NULL for a request without a ticket. */
 void bt_prepare_delivery (bt_entry_t *entry, bt_call_t *call, const bt_ticket_t *ticket);
 
 #endif
--- a/source/entry/files.c
+++ b/source/entry/files.c
@@ -39,7 +39,7 @@
   bt_document_text_t texts[BT_DOCUMENT_COUNT] = { 0 };
   char paths[BT_DOCUMENT_COUNT][PATH_BYTES];
   bt_declarations_t *declarations = NULL;
-  bool whole = true;
+  bool complete = true;
 
   for (int32_t i = 0; i < BT_DOCUMENT_COUNT; i++)
     {
@@ -47,9 +47,9 @@
                 bt_name_document ((bt_document_kind_t)i));
       texts[i].file = paths[i];
       texts[i].data = bt_read_file (ctx, paths[i], MAX_DOCUMENT_BYTES, &texts[i].bytes, findings);
-      whole = whole && texts[i].data != NULL;
+      complete = complete && texts[i].data != NULL;
     }
-  if (whole)
+  if (complete)
     declarations = bt_new_declarations (ctx, texts, findings);
   for (int32_t i = 0; i < BT_DOCUMENT_COUNT; i++)
     bt_free (ctx, (void *)texts[i].data);
--- a/source/entry/http_server.c
+++ b/source/entry/http_server.c
@@ -25,28 +25,29 @@
   bt_context_t *ctx;
   bt_entry_t *entry;
   struct MHD_Daemon *daemon;
-  int listening; /* the socket of a closed port, or -1 */
+  int listen_socket; /* the socket, once accepting has stopped; -1 before */
   size_t max_body_bytes;
   atomic_int open_requests;
-  bt_counter_t *connections; /* that were ever accepted */
+  bt_counter_t *connections; /* accepted so far */
 };
 
-/** Which headers are not passed on: those of one connection, and the caller's secret. */
+/** Returns whether a header is not forwarded: headers of this connection, and the caller's
+ * token. */
 static bool
-is_own_header (const char *name)
+is_unforwarded_header (const char *name)
 {
-  static const char *const own[] = {
+  static const char *const unforwarded[] = {
     "Connection", "Keep-Alive",     "Transfer-Encoding", "TE",   "Upgrade", "Trailer",
     "Expect",     "Content-Length", "Authorization",     "Host", NULL
   };
 
-  for (int32_t i = 0; own[i] != NULL; i++)
-    if (strcasecmp (name, own[i]) == 0)
+  for (int32_t i = 0; unforwarded[i] != NULL; i++)
+    if (strcasecmp (name, unforwarded[i]) == 0)
       return true;
   return false;
 }
 
-/** Who copies headers, and where to. */
+/** Argument of copy_header. */
 typedef struct header_copy
 {
   bt_context_t *ctx;
@@ -60,7 +61,7 @@
   header_copy_t *copy = argument;
   bt_caller_request_t *request = copy->request;
 
-  if (is_own_header (name))
+  if (is_unforwarded_header (name))
     return MHD_YES;
   if (request->header_count == BT_MAX_CALLER_HEADERS)
     {
@@ -96,7 +97,7 @@
   bt_drop_declarations (server->ctx, declarations);
   if (reason == BT_REASON_NONE)
     return true;
-  bt_refuse_unread_caller (server->ctx, caller, reason, 0, NULL);
+  bt_refuse_unprocessed_caller (server->ctx, caller, reason, 0, NULL);
   return false;
 }
 
@@ -107,7 +108,7 @@
 
   if (header == NULL || strtoull (header, NULL, BASE_TEN) <= server->max_body_bytes)
     return true;
-  bt_refuse_unread_caller (server->ctx, caller, BT_REASON_BODY_TOO_LARGE, 0, NULL);
+  bt_refuse_unprocessed_caller (server->ctx, caller, BT_REASON_BODY_TOO_LARGE, 0, NULL);
   return false;
 }
 
@@ -124,32 +125,33 @@
   atomic_fetch_add (&server->open_requests, 1);
   MHD_get_connection_values (connection, MHD_HEADER_KIND, copy_header, &copy);
   if (copy.overflow)
-    bt_refuse_unread_caller (server->ctx, caller, BT_REASON_BAD_REQUEST, 0, "too many headers");
+    bt_refuse_unprocessed_caller (server->ctx, caller, BT_REASON_BAD_REQUEST, 0,
+                                  "too many headers");
   else if (check_token (server, connection, caller))
     check_length (server, connection, caller);
   return caller;
 }
 
 static void
-finish_request (bt_http_server_t *server, bt_caller_t *caller)
+route_request (bt_http_server_t *server, bt_caller_t *caller)
 {
   const bt_caller_request_t *request = bt_get_caller_request (caller);
 
   if (strcmp (request->path, addresses_path) == 0 && strcmp (request->method, "GET") == 0)
     bt_answer_addresses (server->ctx, server->entry, caller);
   else
-    bt_submit_entry (server->ctx, server->entry, caller);
+    bt_submit_request (server->ctx, server->entry, caller);
 }
 
 static enum MHD_Result
-handle (void *argument,
-        struct MHD_Connection *connection,
-        const char *url,
-        const char *method,
-        const char *version,
-        const char *data,
-        size_t *bytes,
-        void **state)
+handle_request (void *argument,
+                struct MHD_Connection *connection,
+                const char *url,
+                const char *method,
+                const char *version,
+                const char *data,
+                size_t *bytes,
+                void **state)
 {
   bt_http_server_t *server = argument;
   bt_caller_t *caller = *state;
@@ -157,23 +159,23 @@
   if (caller == NULL)
     {
       *state = caller = begin_request (server, connection, url, method);
-      /* A refusal that needs no body goes out before the body is read. */
-      return bt_is_caller_answered (caller) ? bt_serve_caller (server->ctx, caller) : MHD_YES;
+      /* A refusal that does not depend on the body is sent before the body is read. */
+      return bt_is_caller_answered (caller) ? bt_respond_or_suspend (server->ctx, caller) : MHD_YES;
     }
   if (*bytes > 0)
     {
       if (!bt_append_caller_body (server->ctx, caller, data, *bytes, server->max_body_bytes)
           && !bt_is_caller_answered (caller))
-        bt_refuse_unread_caller (server->ctx, caller, BT_REASON_BODY_TOO_LARGE, 0, NULL);
+        bt_refuse_unprocessed_caller (server->ctx, caller, BT_REASON_BODY_TOO_LARGE, 0, NULL);
       *bytes = 0;
       return MHD_YES;
     }
   if (!bt_is_caller_submitted (caller) && !bt_is_caller_answered (caller))
     {
       bt_set_caller_submitted (caller);
-      finish_request (server, caller);
+      route_request (server, caller);
     }
-  return bt_serve_caller (server->ctx, caller);
+  return bt_respond_or_suspend (server->ctx, caller);
 }
 
 static void
@@ -218,14 +220,14 @@
 
   server->ctx = ctx;
   server->entry = entry;
-  server->listening = -1;
+  server->listen_socket = -1;
   server->connections = bt_find_counter (ctx, BT_COUNTER, "bilberry_connections_total",
                                          "Callers' connections that were accepted.", NULL, NULL);
   server->max_body_bytes = (size_t)settings->max_body_bytes;
   bt_parse_address (settings->listen, &address);
   server->daemon = MHD_start_daemon (
-      MHD_USE_EPOLL_INTERNAL_THREAD | MHD_ALLOW_SUSPEND_RESUME, 0, NULL, NULL, handle, server,
-      MHD_OPTION_SOCK_ADDR, (struct sockaddr *)&address, MHD_OPTION_THREAD_POOL_SIZE,
+      MHD_USE_EPOLL_INTERNAL_THREAD | MHD_ALLOW_SUSPEND_RESUME, 0, NULL, NULL, handle_request,
+      server, MHD_OPTION_SOCK_ADDR, (struct sockaddr *)&address, MHD_OPTION_THREAD_POOL_SIZE,
       (unsigned int)settings->workers, MHD_OPTION_NOTIFY_COMPLETED, complete_request, server,
       MHD_OPTION_NOTIFY_CONNECTION, count_connection, server, MHD_OPTION_CONNECTION_LIMIT,
       (unsigned int)settings->max_connections, MHD_OPTION_CONNECTION_TIMEOUT,
@@ -234,7 +236,7 @@
       MHD_OPTION_LISTENING_ADDRESS_REUSE, 1U, MHD_OPTION_END);
   if (server->daemon != NULL)
     return server;
-  bt_set_error (error, BT_ERROR_SYSTEM, "Can't serve callers on %s.", settings->listen);
+  bt_set_error (error, BT_ERROR_SYSTEM, "Cannot serve callers on %s.", settings->listen);
   bt_free (ctx, server);
   return NULL;
 }
@@ -254,7 +256,7 @@
 void
 bt_close_http_server (bt_http_server_t *server)
 {
-  server->listening = bt_shut_listener (server->daemon);
+  server->listen_socket = bt_shut_listener (server->daemon);
 }
 
 void
@@ -263,8 +265,8 @@
   if (server == NULL)
     return;
   MHD_stop_daemon (server->daemon);
-  if (server->listening >= 0)
-    close (server->listening);
+  if (server->listen_socket >= 0)
+    close (server->listen_socket);
   bt_log (ctx, BT_LOG_INFO, BT_PART_MAIN,
           "The callers' port is closed; connections accepted: %lld.",
           (long long)bt_read_counter (server->connections));
--- a/source/entry/http_server.h
+++ b/source/entry/http_server.h
@@ -2,7 +2,8 @@
 #define BILBERRYTRAY_SOURCE_ENTRY_HTTP_SERVER_H
 
 /** @file
- * The callers' side of an entry instance: a pool of workers that read requests and write answers.
+ * The HTTP server of an entry instance for callers: a pool of workers that read requests and write
+ * answers.
  */
 
 #include "entry.h"
@@ -16,13 +17,14 @@
 
 int32_t bt_get_http_server_port (const bt_http_server_t *server);
 
-/** Requests that were read, or are being read, and are not answered to the last byte. */
+/** Returns the number of requests that have begun to arrive and whose answer is not fully
+ * written. */
 int32_t bt_count_http_requests (const bt_http_server_t *server);
 
-/** Lets nobody connect any more; connections that were made before are still served. */
+/** Stops accepting connections; existing connections are still served. */
 void bt_close_http_server (bt_http_server_t *server);
 
-/** Closes every connection and ends the workers. NULL is accepted. */
+/** Closes every connection and stops the workers. NULL is accepted. */
 void bt_drop_http_server (bt_context_t *ctx, bt_http_server_t *server);
 
 #endif
--- a/source/entry/map_control.c
+++ b/source/entry/map_control.c
@@ -18,13 +18,13 @@
 enum
 {
   TICK_MS = 10,
-  LEASE_PAUSE_MS = 500,
-  PAUSE_SLICE_MS = 20,
+  LEASE_INTERVAL_MS = 500,
+  STOP_CHECK_MS = 20,
   RESEND_MS = 250,
-  LOOK_MS = 1000,
+  QUERY_AFTER_MS = 1000,
   ARM_LIMIT_MS = 2000,
   MS_PER_S = 1000,
-  MARGIN_PART = 5, /* of the lease: stop so much of it early */
+  LEASE_MARGIN_DIVISOR = 5, /* part of the lease (1/5) by which the controller stops early */
   KEY_BYTES = 256,
   BASE_HEX = 16,
 };
@@ -35,20 +35,20 @@
   bt_map_control_settings_t settings;
   bt_kv_t *kv;
   bt_fenced_lease_t *lease;
-  bt_map_planning_t *planning; /* NULL: none */
+  bt_map_planning_t *planning; /* NULL if no maps are planned */
   pthread_t threads[2];
   int32_t thread_count;
   atomic_bool stopping;
 
-  pthread_mutex_t lock; /* guards what stands below; links are called with it held */
+  pthread_mutex_t lock; /* guards the members below; links are called with it held */
   bt_map_controller_t *controller;
   bt_map_actions_t actions;
   bt_link_t *links[BT_MAX_RANKS];
-  uint64_t wanted;  /* digest; 0: none */
-  uint64_t planned; /* digest; 0: none */
+  uint64_t wanted_digest;  /* 0: none */
+  uint64_t planned_digest; /* 0: none */
   bt_round_phase_t phase;
-  bt_counter_t *controls; /* gauge */
-  bt_counter_t *held;     /* gauge: ranks that wait for a decision */
+  bt_counter_t *controller_gauge; /* 1 if this instance controls the group */
+  bt_counter_t *undecided_gauge;  /* ranks armed without a decision */
 };
 
 static void
@@ -74,22 +74,22 @@
 }
 
 static void
-take_report (bt_map_control_t *control, bt_link_t *link, const Bilberry__MapReport *frame)
+handle_report (bt_map_control_t *control, bt_link_t *link, const Bilberry__MapReport *frame)
 {
   bt_map_report_t report = { 0 };
 
   if (control->planning != NULL && frame->n_expert_load > 0)
-    bt_take_map_loads (control->planning, frame, bt_now_ms (control->ctx));
+    bt_record_map_loads (control->planning, frame, bt_now_ms (control->ctx));
   if (!bt_read_map_report (frame, &report) || report.rank >= control->settings.ranks)
     return;
   set_link (control, report.rank, link);
   bt_take_map_report (control->controller, &report, bt_now_ms (control->ctx));
 }
 
-/* Agents have no links to each other; an entry passes a question to rank 0 and an answer to the
- * rank that asked. Lost ones are asked again, and repeated ones are void. */
+/* Agents have no links to each other, so an entry instance forwards a question to rank 0 and an
+ * answer to the rank that asked. A lost question is asked again, and duplicates have no effect. */
 static void
-pass_on (bt_map_control_t *control, const bt_frame_t *frame)
+forward_frame (bt_map_control_t *control, const bt_frame_t *frame)
 {
   uint32_t rank = 0;
 
@@ -100,7 +100,7 @@
 }
 
 static const char *
-find_group (const bt_frame_t *frame)
+get_frame_group (const bt_frame_t *frame)
 {
   switch (frame->body_case)
     {
@@ -116,9 +116,9 @@
 }
 
 bool
-bt_take_map_control_frame (bt_map_control_t *control, bt_link_t *link, const bt_frame_t *frame)
+bt_handle_map_control_frame (bt_map_control_t *control, bt_link_t *link, const bt_frame_t *frame)
 {
-  const char *group = find_group (frame);
+  const char *group = get_frame_group (frame);
 
   if (group == NULL)
     return false;
@@ -126,29 +126,29 @@
     return true;
   pthread_mutex_lock (&control->lock);
   if (frame->body_case == BILBERRY__FRAME__BODY_MAP_REPORT)
-    take_report (control, link, frame->map_report);
+    handle_report (control, link, frame->map_report);
   else
-    pass_on (control, frame);
+    forward_frame (control, frame);
   pthread_mutex_unlock (&control->lock);
   return true;
 }
 
 static void
-begin_wanted_round (bt_map_control_t *control, int64_t now_ms)
+begin_round (bt_map_control_t *control, int64_t now_ms)
 {
   const bt_engine_state_t *engine = bt_get_reported_engine (control->controller, 0);
 
-  uint64_t digest = control->wanted != 0 ? control->wanted : control->planned;
+  uint64_t digest = control->wanted_digest != 0 ? control->wanted_digest : control->planned_digest;
 
   if (digest == 0 || engine == NULL)
     return;
   if (engine->in_use_digest != digest && !bt_begin_map_round (control->controller, digest, now_ms))
     return;
-  control->planned = 0;
+  control->planned_digest = 0;
 }
 
-/* A rank can't stage or join with a map whose bytes are not at hand yet; the order is sent again.
- */
+/* A rank cannot stage or join with a map whose bytes are not cached yet. Nothing is sent then;
+ * the order is repeated later. */
 static void
 send_order (bt_map_control_t *control, const bt_map_order_t *order)
 {
@@ -164,7 +164,7 @@
 }
 
 static void
-set_gauges (bt_map_control_t *control, int64_t now_ms)
+update_gauges (bt_map_control_t *control, int64_t now_ms)
 {
   int64_t undecided = 0;
 
@@ -174,8 +174,8 @@
 
       undecided += engine != NULL && bt_is_undecided (engine);
     }
-  bt_set_gauge (control->controls, bt_holds_map_lease (control->controller, now_ms));
-  bt_set_gauge (control->held, undecided);
+  bt_set_gauge (control->controller_gauge, bt_holds_map_lease (control->controller, now_ms));
+  bt_set_gauge (control->undecided_gauge, undecided);
 }
 
 static void
@@ -184,14 +184,14 @@
   int64_t now_ms = bt_now_ms (control->ctx);
   bt_round_phase_t phase;
 
-  begin_wanted_round (control, now_ms);
+  begin_round (control, now_ms);
   bt_tick_map_controller (control->ctx, control->controller, now_ms, &control->actions);
   for (int32_t i = 0; i < control->actions.count; i++)
     {
       const bt_map_order_t *order = &control->actions.items[i].order;
 
-      /* A process can be stopped anywhere, here too; what it sends after it wakes is refused by the
-       * agents. Looking once more only makes that rarer. */
+      /* The process can be suspended at any point, also between this check and the send. Agents
+       * refuse orders that it sends after it resumes; the check only makes that rarer. */
       if (control->links[order->rank] != NULL
           && bt_holds_map_lease (control->controller, bt_now_ms (control->ctx)))
         send_order (control, order);
@@ -201,7 +201,7 @@
   if (phase == BT_ROUND_NONE && control->phase != BT_ROUND_NONE)
     count_round (control);
   control->phase = phase;
-  set_gauges (control, now_ms);
+  update_gauges (control, now_ms);
 }
 
 static void *
@@ -231,7 +231,7 @@
   if (!bt_read_kv (control->ctx, control->kv, key, false, &range, &error))
     return;
   pthread_mutex_lock (&control->lock);
-  control->wanted = range.count > 0 ? strtoull (range.pairs[0].value, NULL, BASE_HEX) : 0;
+  control->wanted_digest = range.count > 0 ? strtoull (range.pairs[0].value, NULL, BASE_HEX) : 0;
   pthread_mutex_unlock (&control->lock);
   bt_drop_kv_range (control->ctx, &range);
 }
@@ -253,15 +253,17 @@
   held = bt_holds_map_lease (control->controller, bt_now_ms (control->ctx));
   pthread_mutex_unlock (&control->lock);
   if (result == BT_LEASE_GRANTED)
-    bt_log (control->ctx, BT_LOG_INFO, BT_PART_MAPS, "Controls group %s with fencing number %llu.",
-            control->settings.group, (unsigned long long)fence);
-  /* The service may still have the lease of a controller that stopped early; it is not renewed, so
-   * that it lapses and a new number is drawn. */
+    bt_log (control->ctx, BT_LOG_INFO, BT_PART_MAPS,
+            "Controlling group %s with fencing number %llu.", control->settings.group,
+            (unsigned long long)fence);
+  /* The store may still hold the lease of a controller that has already stopped. It is not
+   * renewed, so that it expires and a new fencing number is issued. */
   if (!held)
     bt_forget_fenced_lease (control->lease);
 }
 
-/* The digests that the ranks stand at, so that a new controller has the bytes to go on with. */
+/* Lists the digests of the wanted map and of the maps that the ranks have in use or staged, so
+ * that a new controller fetches their bytes. */
 static int32_t
 list_reported_maps (bt_map_control_t *control, uint64_t *digests, uint64_t *in_use, uint64_t *fence)
 {
@@ -276,7 +278,7 @@
       && bt_is_map_group_whole (control->controller)
       && bt_get_round_phase (control->controller) == BT_ROUND_NONE)
     *in_use = decider->in_use_digest;
-  digests[count++] = control->wanted;
+  digests[count++] = control->wanted_digest;
   for (int32_t rank = 0; rank < control->settings.ranks; rank++)
     {
       const bt_engine_state_t *engine = bt_get_reported_engine (control->controller, rank);
@@ -302,7 +304,7 @@
   if (control->planning == NULL)
     return;
   count = list_reported_maps (control, digests, &in_use, &fence);
-  /* A group that has lost every rank starts anew with the first map. */
+  /* A group that has lost every rank restarts with the first map. */
   bt_fetch_map (control->planning, control->kv, bt_get_first_map (control->planning));
   for (int32_t i = 0; i < count; i++)
     bt_fetch_map (control->planning, control->kv, digests[i]);
@@ -312,7 +314,7 @@
       bt_plan_next_map (control->planning, control->kv, fence, in_use, bt_now_ms (control->ctx));
   pthread_mutex_lock (&control->lock);
   if (planned != 0)
-    control->planned = planned;
+    control->planned_digest = planned;
   pthread_mutex_unlock (&control->lock);
 }
 
@@ -326,9 +328,9 @@
       hold_lease (control);
       read_wanted (control);
       plan_maps (control);
-      for (int32_t waited = 0; waited < LEASE_PAUSE_MS && !atomic_load (&control->stopping);
-           waited += PAUSE_SLICE_MS)
-        bt_sleep_ms (PAUSE_SLICE_MS);
+      for (int32_t waited = 0; waited < LEASE_INTERVAL_MS && !atomic_load (&control->stopping);
+           waited += STOP_CHECK_MS)
+        bt_sleep_ms (STOP_CHECK_MS);
     }
   return NULL;
 }
@@ -337,7 +339,7 @@
 start_thread (bt_map_control_t *control, void *(*body) (void *), bt_error_t *error)
 {
   if (pthread_create (&control->threads[control->thread_count], NULL, body, control) != 0)
-    return bt_set_error (error, BT_ERROR_SYSTEM, "Can't start a thread: %s.", strerror (errno));
+    return bt_set_error (error, BT_ERROR_SYSTEM, "Cannot start a thread: %s.", strerror (errno));
   control->thread_count++;
   return true;
 }
@@ -350,9 +352,9 @@
   bt_map_controller_settings_t controller = { 0 };
 
   controller.ranks = (int32_t)settings->ranks;
-  controller.lease_margin_ms = settings->lease_s * MS_PER_S / MARGIN_PART;
+  controller.lease_margin_ms = settings->lease_s * MS_PER_S / LEASE_MARGIN_DIVISOR;
   controller.resend_ms = RESEND_MS;
-  controller.look_ms = LOOK_MS;
+  controller.look_ms = QUERY_AFTER_MS;
   controller.arm_limit_ms = ARM_LIMIT_MS;
   controller.stage_limit_ms = settings->stage_limit_ms;
   controller.arm_steps = (uint64_t)settings->arm_steps;
@@ -369,7 +371,7 @@
   control->ctx = ctx;
   control->settings = *settings;
   bt_fill_secure_random (&kv.seed, sizeof kv.seed);
-  kv.total_ms = settings->lease_s * MS_PER_S / MARGIN_PART;
+  kv.total_ms = settings->lease_s * MS_PER_S / LEASE_MARGIN_DIVISOR;
   pthread_mutex_init (&control->lock, NULL);
   control->kv = bt_new_etcd_kv (ctx, &kv);
   control->lease = bt_new_fenced_lease (ctx, control->kv, settings->store_prefix, settings->group,
@@ -377,10 +379,12 @@
   if (settings->planning != NULL)
     control->planning = bt_new_map_planning (ctx, settings->planning);
   control->controller = make_controller (ctx, settings, control->planning);
-  control->controls = bt_find_counter (ctx, BT_GAUGE, "bilberry_map_controller",
-                                       "1 on the entry that controls the group.", NULL, NULL);
-  control->held = bt_find_counter (ctx, BT_GAUGE, "bilberry_map_undecided_ranks",
-                                   "Ranks armed for a round and without its decision.", NULL, NULL);
+  control->controller_gauge =
+      bt_find_counter (ctx, BT_GAUGE, "bilberry_map_controller",
+                       "1 on the entry that controls the group.", NULL, NULL);
+  control->undecided_gauge =
+      bt_find_counter (ctx, BT_GAUGE, "bilberry_map_undecided_ranks",
+                       "Ranks armed for a round and without its decision.", NULL, NULL);
   if (start_thread (control, run_ticks, error) && start_thread (control, run_lease, error))
     return control;
   bt_drop_map_control (ctx, control);
--- a/source/entry/map_control.h
+++ b/source/entry/map_control.h
@@ -2,12 +2,12 @@
 #define BILBERRYTRAY_SOURCE_ENTRY_MAP_CONTROL_H
 
 /** @file
- * The part of an entry that may control one rank group: the decisions of bt_map_controller_t with
- * their threads, the lease, and the ranks' links. Every entry passes the ranks' questions on; the
- * one that holds the lease gives orders.
+ * The part of an entry instance that may control one rank group: it runs bt_map_controller_t with
+ * its threads, the lease, and the links to the ranks' agents. Every entry instance forwards the
+ * ranks' questions; only the one that holds the lease sends orders.
  *
- * The map to bring into use is the digest in the key PREFIX GROUP /wanted; without it, one that the
- * planner finds to pay.
+ * The map to bring into use is the one whose digest is in the key PREFIX GROUP /wanted. Without
+ * that key, it is a map for which the planner predicts a sufficient gain.
  */
 
 #include "bilberrytray/base/error.h"
@@ -16,7 +16,7 @@
 
 typedef struct bt_map_control bt_map_control_t;
 
-/** Settings; strings must outlive the control. */
+/** Settings. The strings must outlive the map control. */
 typedef struct bt_map_control_settings
 {
   const char *instance;
@@ -27,18 +27,18 @@
   int64_t lease_s;
   int64_t arm_steps;
   int64_t stage_limit_ms;
-  const bt_map_planning_settings_t *planning; /**< Copied; NULL: only wanted maps are used. */
+  const bt_map_planning_settings_t *planning; /**< Copied. NULL: maps are not planned. */
 } bt_map_control_settings_t;
 
 bt_map_control_t *bt_new_map_control (bt_context_t *ctx,
                                       const bt_map_control_settings_t *settings,
                                       bt_error_t *error);
 
-/** Ends the threads; no link may call any more. NULL is accepted. */
+/** Stops the threads. No link may call the map control any more. NULL is accepted. */
 void bt_drop_map_control (bt_context_t *ctx, bt_map_control_t *control);
 
-/** Takes a frame about maps; false for any other. @p control may be NULL. */
+/** Handles a frame about maps. Returns false for any other frame. @p control may be NULL. */
 bool
-bt_take_map_control_frame (bt_map_control_t *control, bt_link_t *link, const bt_frame_t *frame);
+bt_handle_map_control_frame (bt_map_control_t *control, bt_link_t *link, const bt_frame_t *frame);
 
 #endif
--- a/source/entry/map_planning.h
+++ b/source/entry/map_planning.h
@@ -2,8 +2,8 @@
 #define BILBERRYTRAY_SOURCE_ENTRY_MAP_PLANNING_H
 
 /** @file
- * Plans the maps of the group that an entry controls: loads from the ranks' reports in, the next
- * map out. Maps are kept in the key-value service under PREFIX GROUP /map/DIGEST, so that a new
+ * Plans the maps of the group that an entry instance controls, from the loads in the ranks'
+ * reports. Maps are stored in the key-value store under PREFIX GROUP /map/DIGEST, so that a new
  * controller finds the one in use.
  */
 
@@ -13,7 +13,7 @@
 
 typedef struct bt_map_planning bt_map_planning_t;
 
-/** Settings; strings must outlive the planning. */
+/** Settings. The strings must outlive the planning. */
 typedef struct bt_map_planning_settings
 {
   const char *group;
@@ -31,24 +31,25 @@
 /** NULL is accepted. */
 void bt_drop_map_planning (bt_context_t *ctx, bt_map_planning_t *planning);
 
-/** The digest of the map that a group without any starts with. */
+/** Returns the digest of the map that a group without a map starts with. */
 uint64_t bt_get_first_map (const bt_map_planning_t *planning);
 
-/** Takes the loads of a report; from any thread. */
+/** Adds the expert loads of a report. Can be called from any thread. */
 void
-bt_take_map_loads (bt_map_planning_t *planning, const Bilberry__MapReport *frame, int64_t now_ms);
+bt_record_map_loads (bt_map_planning_t *planning, const Bilberry__MapReport *frame, int64_t now_ms);
 
-/** Plans once an interval when @p in_use is known; returns the digest of a map that pays, or 0. The
- * map is in the service then, and those that no rank can need any more are gone from it. Nothing is
- * written unless @p fence is still the newest. Blocks on the service; from one thread. */
+/** Plans once per interval if the map @p in_use is cached. Returns the digest of a map whose
+ * gain is sufficient, or 0. That map is then stored, and the maps that no rank can need any more
+ * are deleted from the store. Nothing is written unless @p fence is still the newest fencing
+ * number. Blocks on the store; call it from one thread only. */
 uint64_t bt_plan_next_map (
     bt_map_planning_t *planning, bt_kv_t *kv, uint64_t fence, uint64_t in_use, int64_t now_ms);
 
-/** Makes sure that a map's bytes are at hand, reading them from the service. Blocks; from one
- * thread. */
+/** Reads a map from the store unless it is cached. Blocks; call it from one thread only. */
 void bt_fetch_map (bt_map_planning_t *planning, bt_kv_t *kv, uint64_t digest);
 
-/** Copies a map's bytes, to be freed; false when they are not at hand. From any thread. */
+/** Copies a map's bytes, which the caller frees. Returns false if the map is not cached. Can be
+ * called from any thread. */
 bool bt_copy_map_bytes (bt_map_planning_t *planning, uint64_t digest, bt_map_bytes_t *bytes);
 
 #endif
--- a/source/entry/messages.c
+++ b/source/entry/messages.c
@@ -25,7 +25,7 @@
 }
 
 static bool
-read_verdict (uint32_t reason, uint32_t outcome, bt_reply_t *reply)
+read_reason_and_outcome (uint32_t reason, uint32_t outcome, bt_reply_t *reply)
 {
   if (reason >= BT_REASON_COUNT || outcome > BT_OUTCOME_UNKNOWN)
     return false;
@@ -42,7 +42,8 @@
   reply->path.attempt = frame->attempt;
   reply->retry_after_ms = frame->retry_after_ms;
   reply->has_grant = read_grant (frame->grant, &reply->grant);
-  return read_verdict (frame->reason, frame->outcome, reply) && reply->reason != BT_REASON_NONE;
+  return read_reason_and_outcome (frame->reason, frame->outcome, reply)
+         && reply->reason != BT_REASON_NONE;
 }
 
 static bool
@@ -56,7 +57,7 @@
   reply->retry_after_ms = frame->retry_after_ms;
   if (read_grant (frame->grant, &reply->grant) != reply->granted)
     return false;
-  return read_verdict (frame->reason, frame->outcome, reply);
+  return read_reason_and_outcome (frame->reason, frame->outcome, reply);
 }
 
 static bool
--- a/source/entry/messages.h
+++ b/source/entry/messages.h
@@ -2,21 +2,23 @@
 #define BILBERRYTRAY_SOURCE_ENTRY_MESSAGES_H
 
 /** @file
- * Between the messages of a delivery and the frames of a link.
+ * Conversion between the messages of a delivery and the frames of a link.
  */
 
 #include "bilberrytray/requests/delivery.h"
 #include "bilberrytray/wire/link.h"
 
-/** Reads a frame of an agent. False when it is no reply, or is malformed. Its data belongs to the
- * frame; that of a head is the content type, with its zero. */
+/** Reads a frame from an agent. Returns false if it is not a reply or is malformed. The reply
+ * points to data of the frame; for an answer head, the data is the content type with its
+ * terminating zero. */
 bool bt_read_reply (const bt_link_t *link, const bt_frame_t *frame, bt_reply_t *reply);
 
-/** Fills what the protocol needs of a dispatch; @p grant must live as long. */
+/** Fills the protocol fields of a dispatch. @p grant is filled and must outlive @p frame. */
 void
 bt_fill_dispatch (Bilberry__Dispatch *frame, const bt_dispatch_t *dispatch, Bilberry__Grant *grant);
 
-/** Each sends one message; false when the link is dead. @p ticket is the signed text. */
+/** Each function sends one message and returns false if the link is closed. @p ticket is the
+ * signed text. */
 bool bt_send_grant_request (bt_context_t *ctx,
                             bt_link_t *link,
                             const bt_grant_request_t *request,
--- a/source/entry/operator_links.c
+++ b/source/entry/operator_links.c
@@ -21,19 +21,19 @@
 {
   char address[BT_ADDRESS_BYTES];
   bt_link_t *link;
-  bt_told_t told;
+  bt_entry_status_t status;
   bool listed;
 } operator_peer_t;
 
 struct bt_operator_links
 {
-  bt_link_handler_t base; /**< First, so that a handler is its links. */
+  bt_link_handler_t base; /**< Must be first: the handler is cast to bt_operator_links_t. */
   bt_context_t *ctx;
   bt_link_loop_t *loop;
   char instance[BT_NAME_BYTES];
   uint64_t incarnation;
   uint64_t requests;
-  pthread_mutex_t lock; /**< Guards what stands below; may be held while calling links. */
+  pthread_mutex_t lock; /**< Guards the members below. May be held while calling links. */
   operator_peer_t **peers;
   int32_t count;
 };
@@ -42,13 +42,13 @@
 find_peer (bt_operator_links_t *links, const char *instance)
 {
   for (int32_t i = 0; i < links->count; i++)
-    if (strcmp (links->peers[i]->told.instance, instance) == 0)
+    if (strcmp (links->peers[i]->status.instance, instance) == 0)
       return links->peers[i];
   return NULL;
 }
 
 static void
-set_up (bt_operator_links_t *links, bt_link_t *link, bool up)
+set_link_state (bt_operator_links_t *links, bt_link_t *link, bool up)
 {
   operator_peer_t *peer;
 
@@ -56,9 +56,9 @@
   peer = find_peer (links, bt_get_link_instance (link));
   if (peer != NULL && peer->link == link)
     {
-      peer->told.up = up;
-      peer->told.incarnation = up ? bt_get_link_incarnation (link) : 0;
-      peer->told.news = false;
+      peer->status.up = up;
+      peer->status.incarnation = up ? bt_get_link_incarnation (link) : 0;
+      peer->status.updated = false;
     }
   pthread_mutex_unlock (&links->lock);
 }
@@ -66,25 +66,26 @@
 static void
 on_up (bt_link_handler_t *handler, bt_link_t *link)
 {
-  set_up ((bt_operator_links_t *)handler, link, true);
+  set_link_state ((bt_operator_links_t *)handler, link, true);
 }
 
 static void
 on_down (bt_link_handler_t *handler, bt_link_t *link)
 {
-  set_up ((bt_operator_links_t *)handler, link, false);
+  set_link_state ((bt_operator_links_t *)handler, link, false);
 }
 
 static void
-take_in_force (bt_told_t *told, const Bilberry__ConfigInForce *in_force)
+record_in_force (bt_entry_status_t *status, const Bilberry__ConfigInForce *in_force)
 {
-  told->answered = told->news = true;
-  told->spread_state = in_force->state;
-  told->fresh_age_ms = in_force->fresh_age_ms;
-  told->state_count = 0;
-  for (size_t i = 0; i < in_force->n_documents && told->state_count < BT_MAX_STATES; i++)
+  status->answered = status->updated = true;
+  status->sync_state = in_force->state;
+  status->fresh_age_ms = in_force->fresh_age_ms;
+  status->state_count = 0;
+  for (size_t i = 0; i < in_force->n_documents && status->state_count < BT_MAX_DOCUMENT_STATUSES;
+       i++)
     {
-      bt_told_state_t *state = &told->states[told->state_count++];
+      bt_document_status_t *state = &status->states[status->state_count++];
 
       bt_copy_name (state->name, in_force->documents[i]->name);
       state->revision = in_force->documents[i]->revision;
@@ -103,7 +104,7 @@
   pthread_mutex_lock (&links->lock);
   peer = find_peer (links, bt_get_link_instance (link));
   if (peer != NULL && peer->link == link)
-    take_in_force (&peer->told, frame->config_in_force);
+    record_in_force (&peer->status, frame->config_in_force);
   pthread_mutex_unlock (&links->lock);
 }
 
@@ -183,13 +184,13 @@
   if (peer->link != NULL && !bt_is_link_closed (peer->link))
     return;
   bt_drop_link (links->ctx, peer->link);
-  peer->told.up = false;
-  peer->told.incarnation = 0;
-  peer->link = bt_dial_link (links->ctx, links->loop, peer->address, peer->told.instance, &error);
+  peer->status.up = false;
+  peer->status.incarnation = 0;
+  peer->link = bt_dial_link (links->ctx, links->loop, peer->address, peer->status.instance, &error);
 }
 
 static void
-take_listed (bt_operator_links_t *links, const bt_listed_instance_t *listed)
+update_peer (bt_operator_links_t *links, const bt_listed_instance_t *listed)
 {
   operator_peer_t *peer = find_peer (links, listed->instance);
 
@@ -198,10 +199,10 @@
       links->peers = bt_realloc (links->ctx, links->peers, (size_t)links->count + 1,
                                  sizeof (operator_peer_t *));
       peer = bt_calloc (links->ctx, 1, sizeof *peer);
-      bt_copy_name (peer->told.instance, listed->instance);
+      bt_copy_name (peer->status.instance, listed->instance);
       links->peers[links->count++] = peer;
     }
-  bt_copy_name (peer->told.failure_domain, listed->failure_domain);
+  bt_copy_name (peer->status.failure_domain, listed->failure_domain);
   snprintf (peer->address, sizeof peer->address, "%s", listed->address);
   peer->listed = true;
   dial_peer (links, peer);
@@ -219,7 +220,7 @@
     links->peers[i]->listed = false;
   for (int32_t i = 0; i < list->count; i++)
     if (list->instances[i].role == BT_LISTED_ENTRY && !list->instances[i].leaving)
-      take_listed (links, &list->instances[i]);
+      update_peer (links, &list->instances[i]);
   for (int32_t i = 0; i < links->count; i++)
     {
       if (links->peers[i]->listed)
@@ -232,10 +233,10 @@
 }
 
 bool
-bt_hand_over (bt_context_t *ctx,
-              bt_operator_links_t *links,
-              const char *instance,
-              const bt_document_list_t *documents)
+bt_push_documents (bt_context_t *ctx,
+                   bt_operator_links_t *links,
+                   const char *instance,
+                   const bt_document_list_t *documents)
 {
   bt_push_frame_t push = { 0 };
   operator_peer_t *peer;
@@ -246,7 +247,7 @@
   push.push.store_read_age_ms = -1;
   pthread_mutex_lock (&links->lock);
   peer = find_peer (links, instance);
-  if (peer != NULL && peer->told.up)
+  if (peer != NULL && peer->status.up)
     sent = bt_send_frame (ctx, peer->link, &push.frame);
   pthread_mutex_unlock (&links->lock);
   bt_clear_push_frame (ctx, &push);
@@ -254,7 +255,7 @@
 }
 
 int32_t
-bt_count_told (bt_operator_links_t *links)
+bt_count_entry_statuses (bt_operator_links_t *links)
 {
   int32_t count;
 
@@ -265,10 +266,10 @@
 }
 
 void
-bt_get_told (bt_operator_links_t *links, int32_t index, bt_told_t *told)
+bt_get_entry_status (bt_operator_links_t *links, int32_t index, bt_entry_status_t *status)
 {
   pthread_mutex_lock (&links->lock);
-  *told = links->peers[index]->told;
-  links->peers[index]->told.news = false;
+  *status = links->peers[index]->status;
+  links->peers[index]->status.updated = false;
   pthread_mutex_unlock (&links->lock);
 }
--- a/source/entry/operator_links.h
+++ b/source/entry/operator_links.h
@@ -2,8 +2,8 @@
 #define BILBERRYTRAY_SOURCE_ENTRY_OPERATOR_LINKS_H
 
 /** @file
- * Links from an operator's command to all live entry instances of the list, to hand documents over
- * and to ask what is in force.
+ * Links from an operator's command to all entry instances of the list that are not leaving, used to
+ * push documents and to query which are in force.
  */
 
 #include "bilberrytray/base/context.h"
@@ -13,31 +13,31 @@
 
 enum
 {
-  BT_MAX_STATES = 16, /**< Documents that one answer tells of. */
+  BT_MAX_DOCUMENT_STATUSES = 16, /**< Maximum number of documents in one reply. */
 };
 
 /** One document in force on an entry instance. */
-typedef struct bt_told_state
+typedef struct bt_document_status
 {
   char name[BT_NAME_BYTES];
   int64_t revision;
   char change[BT_CHANGE_BYTES];
-} bt_told_state_t;
+} bt_document_status_t;
 
-/** What an entry instance told last. */
-typedef struct bt_told
+/** The latest reported state of an entry instance. */
+typedef struct bt_entry_status
 {
   char instance[BT_NAME_BYTES];
   char failure_domain[BT_NAME_BYTES];
   bool up;              /**< The link is up. */
-  uint64_t incarnation; /**< Of the start that is linked; 0: none. */
-  bool answered;        /**< It told what is in force. */
-  bool news;            /**< It did so since this was last looked at. */
-  uint32_t spread_state;
+  uint64_t incarnation; /**< Of the linked process; 0 while the link is down. */
+  bool answered;        /**< It has reported its documents in force. */
+  bool updated;         /**< It has reported since the last bt_get_entry_status on this link. */
+  uint32_t sync_state;
   int64_t fresh_age_ms;
-  bt_told_state_t states[BT_MAX_STATES];
+  bt_document_status_t states[BT_MAX_DOCUMENT_STATUSES];
   int32_t state_count;
-} bt_told_t;
+} bt_entry_status_t;
 
 typedef struct bt_operator_links bt_operator_links_t;
 
@@ -47,20 +47,23 @@
 /** NULL is accepted. */
 void bt_drop_operator_links (bt_context_t *ctx, bt_operator_links_t *links);
 
-/** Takes the list: dials the live entries that are not linked, and forgets those that are gone. */
+/** Applies the instance list: dials entry instances without a link, and drops those that are
+ * leaving or no longer listed. */
 void bt_dial_listed_entries (bt_context_t *ctx,
                              bt_operator_links_t *links,
                              const bt_instance_list_t *list);
 
-/** Sends documents to an entry and asks what is in force; without documents it only asks. False
- * when its link is not up. */
-bool bt_hand_over (bt_context_t *ctx,
-                   bt_operator_links_t *links,
-                   const char *instance,
-                   const bt_document_list_t *documents);
+/** Pushes documents to an entry instance, which replies with its documents in force. An empty
+ * list is a pure query. Returns false if the link is not up. */
+bool bt_push_documents (bt_context_t *ctx,
+                        bt_operator_links_t *links,
+                        const char *instance,
+                        const bt_document_list_t *documents);
 
-/** How many entries the list names, and a copy of what one of them told; takes its news. */
-int32_t bt_count_told (bt_operator_links_t *links);
-void bt_get_told (bt_operator_links_t *links, int32_t index, bt_told_t *told);
+/** Returns the number of listed entry instances. */
+int32_t bt_count_entry_statuses (bt_operator_links_t *links);
+
+/** Copies the status of the entry instance at @p index and clears its updated flag. */
+void bt_get_entry_status (bt_operator_links_t *links, int32_t index, bt_entry_status_t *status);
 
 #endif
--- a/source/entry/placement.c
+++ b/source/entry/placement.c
@@ -2,7 +2,7 @@
 
 #include <string.h>
 
-/* Where admission is asked: whether a call goes out now, waits, or is refused at once. */
+/* Asks admission whether a call is sent now, queued or refused. */
 
 uint64_t
 bt_get_call_prefix (const bt_call_t *call)
@@ -36,7 +36,7 @@
 static void
 fill_request (bt_entry_t *entry,
               const bt_call_t *call,
-              bool again,
+              bool is_retry,
               int64_t now_ms,
               bt_admission_request_t *request)
 {
@@ -51,14 +51,14 @@
   request->rule = rule->name;
   request->rule_per_second = (int32_t)rule->then.limit_per_s;
   request->rule_burst = (int32_t)rule->then.limit_burst;
-  request->again = again;
+  request->again = is_retry;
   request->seed = entry->seed++;
 }
 
 static void
 apply_decision (bt_entry_t *entry, bt_call_t *call, const bt_admission_decision_t *decision)
 {
-  call->waiting = decision->action == BT_ADMISSION_QUEUE;
+  call->queued = decision->action == BT_ADMISSION_QUEUE;
   if (decision->action == BT_ADMISSION_ADMIT)
     bt_dispatch_call (entry, call);
   else if (decision->action == BT_ADMISSION_REFUSE)
@@ -66,18 +66,18 @@
 }
 
 void
-bt_place_call (bt_entry_t *entry, bt_call_t *call, bool again)
+bt_request_admission (bt_entry_t *entry, bt_call_t *call, bool is_retry)
 {
   int64_t now_ms = bt_now_ms (entry->ctx);
   bt_admission_request_t request = { 0 };
   bt_admission_decision_t decision = { 0 };
 
-  fill_request (entry, call, again, now_ms, &request);
+  fill_request (entry, call, is_retry, now_ms, &request);
   bt_decide_admission (entry->ctx, entry->admission, &request, now_ms, &decision);
   apply_decision (entry, call, &decision);
 }
 
-/* Tells the router how many entries send to the same endpoints. */
+/* Updates the number of entry instances that send to the same endpoints in the router. */
 static void
 count_entries (bt_entry_t *entry)
 {
@@ -89,7 +89,7 @@
 }
 
 void
-bt_place_waiting_calls (bt_entry_t *entry)
+bt_admit_queued_calls (bt_entry_t *entry)
 {
   int64_t now_ms = bt_now_ms (entry->ctx);
   bt_admission_decision_t decision = { 0 };
--- a/source/entry/placement.h
+++ b/source/entry/placement.h
@@ -2,16 +2,17 @@
 #define BILBERRYTRAY_SOURCE_ENTRY_PLACEMENT_H
 
 /** @file
- * What the rule of a call says about its place.
+ * Admission of calls, and the parameters for it that come from the rule and the account of a call.
  */
 
 #include "entry_private.h"
 
-/** The hash by which calls that share a cached prefix go together: of the header or the first bytes
- * of the body that the call's rule names. 0 when it names none, or the header is absent. */
+/** Returns the hash that routes calls with a common prompt prefix to the same endpoint: of the
+ * header, or of the first bytes of the body, that the call's rule names. 0 if the rule names
+ * none or the request does not have it. */
 uint64_t bt_get_call_prefix (const bt_call_t *call);
 
-/** The weight of the call's account in fair sharing, from 1 up. */
+/** Returns the weight of the call's account in fair sharing, at least 1. */
 int32_t bt_get_call_share (const bt_call_t *call);
 
 #endif
--- a/source/entry/platform_reader.c
+++ b/source/entry/platform_reader.c
@@ -15,7 +15,7 @@
 
 enum
 {
-  PAUSE_MS = 10,
+  STOP_CHECK_MS = 10,
   LIST_TOTAL_MS = 2000,
 };
 
@@ -27,7 +27,7 @@
   bt_kv_t *kv;
   bt_instances_t *instances;
   pthread_t thread;
-  bool reading;
+  bool thread_started;
   bt_config_driver_t *config;
   atomic_bool stopping;
 };
@@ -38,25 +38,25 @@
   int64_t until_ms = bt_now_ms (reader->ctx) + wait_ms;
 
   while (!atomic_load (&reader->stopping) && bt_now_ms (reader->ctx) < until_ms)
-    bt_sleep_ms (PAUSE_MS);
+    bt_sleep_ms (STOP_CHECK_MS);
 }
 
-/* Gives the list to membership first; false when it is older than one seen before. */
+/* Passes the list to membership. Returns false if it is older than one seen before. */
 static bool
 update_membership (bt_platform_reader_t *reader, const bt_instance_list_t *list)
 {
   bt_entry_t *entry = reader->entry;
-  bool taken;
+  bool applied;
 
   pthread_mutex_lock (&entry->lock);
-  taken = bt_take_member_list (reader->ctx, entry->membership, list->revision, list->instances,
-                               list->count, bt_now_ms (reader->ctx));
+  applied = bt_take_member_list (reader->ctx, entry->membership, list->revision, list->instances,
+                                 list->count, bt_now_ms (reader->ctx));
   pthread_mutex_unlock (&entry->lock);
-  return taken;
+  return applied;
 }
 
 static void
-give_list (bt_platform_reader_t *reader, const bt_instance_list_t *list)
+apply_instance_list (bt_platform_reader_t *reader, const bt_instance_list_t *list)
 {
   bt_entry_peer_t *peers = bt_calloc (reader->ctx, (size_t)list->count, sizeof (bt_entry_peer_t));
 
@@ -87,13 +87,13 @@
       bt_error_t error = { 0 };
 
       if (!bt_read_instances (reader->ctx, reader->instances, &list, &error))
-        bt_log (reader->ctx, BT_LOG_WARNING, BT_PART_MEMBERS, "Can't read the instance list: %s",
+        bt_log (reader->ctx, BT_LOG_WARNING, BT_PART_MEMBERS, "Cannot read the instance list: %s",
                 error.message);
       else if (update_membership (reader, &list))
-        give_list (reader, &list);
+        apply_instance_list (reader, &list);
       else
         bt_log (reader->ctx, BT_LOG_WARNING, BT_PART_MEMBERS,
-                "An instance list of revision %lld is older than one seen before.",
+                "Ignoring instance list revision %lld: a newer one was already applied.",
                 (long long)list.revision);
       pause_reader (reader, reader->settings.instances_ms);
     }
@@ -105,8 +105,8 @@
 start_thread (bt_platform_reader_t *reader, void *(*body) (void *), bt_error_t *error)
 {
   if (pthread_create (&reader->thread, NULL, body, reader) != 0)
-    return bt_set_error (error, BT_ERROR_SYSTEM, "Can't start a thread: %s.", strerror (errno));
-  reader->reading = true;
+    return bt_set_error (error, BT_ERROR_SYSTEM, "Cannot start a thread: %s.", strerror (errno));
+  reader->thread_started = true;
   return true;
 }
 
@@ -140,7 +140,7 @@
   atomic_store (&reader->stopping, true);
   bt_cancel_kv (ctx, reader->kv);
   bt_drop_config_driver (ctx, reader->config);
-  if (reader->reading)
+  if (reader->thread_started)
     pthread_join (reader->thread, NULL);
   bt_drop_kv (ctx, reader->kv);
   bt_drop_instances (ctx, reader->instances);
--- a/source/entry/platform_reader.h
+++ b/source/entry/platform_reader.h
@@ -2,7 +2,7 @@
 #define BILBERRYTRAY_SOURCE_ENTRY_PLATFORM_READER_H
 
 /** @file
- * Reads the platform on threads of its own: the instance list and the configuration.
+ * Reads the instance list and the configuration on separate threads.
  */
 
 #include "entry.h"
@@ -14,7 +14,7 @@
                                               const bt_entry_settings_t *settings,
                                               bt_error_t *error);
 
-/** Ends the threads. NULL is accepted. */
+/** Stops the threads. NULL is accepted. */
 void bt_drop_platform_reader (bt_context_t *ctx, bt_platform_reader_t *reader);
 
 #endif
--- a/source/entry/request_story.c
+++ b/source/entry/request_story.c
@@ -11,30 +11,31 @@
   MS_PER_S = 1000,
   FIRST_YEAR = 1900,
   TIME_FIELDS = 7,
-  /* What an instance came to believe so long before the request may have decided it: longer than a
-   * link or a lease takes to be noticed as lost. */
-  BEFORE_MS = 3000,
-  AFTER_MS = 100,
+  /* State events are printed from this long before the request, since they may have determined
+   * its outcome: longer than it takes to notice the loss of a link or a lease. */
+  CONTEXT_BEFORE_MS = 3000,
+  CONTEXT_AFTER_MS = 100,
 };
 
-/** A line of a log. */
-typedef struct story_line
+/** A log line. */
+typedef struct trace_line
 {
   json_t *object;
   int64_t at_ms;
-  int32_t order; /* in which it came */
-} story_line_t;
+  int32_t order; /* in which it was added */
+} trace_line_t;
 
-struct bt_request_story
+struct bt_request_trace
 {
   const char *request_id;
-  story_line_t *lines;
+  trace_line_t *lines;
   int32_t count;
   int32_t unreadable;
 };
 
-/* Events that change what an instance believes of the platform, of endpoints or of a group. */
-static const char *const beliefs[] = {
+/* Events that change the state that an instance assumes of the platform, of endpoints or of a
+ * group. */
+static const char *const state_events[] = {
   "store-lost",
   "store-regained",
   "store-source",
@@ -56,24 +57,24 @@
   "configuration-rejected",
 };
 
-bt_request_story_t *
-bt_new_request_story (bt_context_t *ctx, const char *request_id)
+bt_request_trace_t *
+bt_new_request_trace (bt_context_t *ctx, const char *request_id)
 {
-  bt_request_story_t *story = bt_calloc (ctx, 1, sizeof *story);
+  bt_request_trace_t *trace = bt_calloc (ctx, 1, sizeof *trace);
 
-  story->request_id = request_id;
-  return story;
+  trace->request_id = request_id;
+  return trace;
 }
 
 void
-bt_drop_request_story (bt_context_t *ctx, bt_request_story_t *story)
+bt_drop_request_trace (bt_context_t *ctx, bt_request_trace_t *trace)
 {
-  if (story == NULL)
+  if (trace == NULL)
     return;
-  for (int32_t i = 0; i < story->count; i++)
-    json_decref (story->lines[i].object);
-  bt_free (ctx, story->lines);
-  bt_free (ctx, story);
+  for (int32_t i = 0; i < trace->count; i++)
+    json_decref (trace->lines[i].object);
+  bt_free (ctx, trace->lines);
+  bt_free (ctx, trace);
 }
 
 static const char *
@@ -90,7 +91,8 @@
   return json_integer_value (json_object_get (object, field));
 }
 
-/* "2026-03-08T21:39:43.037Z" in milliseconds; -1 for anything else. */
+/* Converts a time like "2026-03-08T21:39:43.037Z" to milliseconds since 1970; -1 for any other
+ * format. */
 static int64_t
 read_time (const char *text)
 {
@@ -107,31 +109,31 @@
 }
 
 void
-bt_add_story_line (bt_context_t *ctx, bt_request_story_t *story, const char *line)
+bt_add_trace_line (bt_context_t *ctx, bt_request_trace_t *trace, const char *line)
 {
   const char *start = strchr (line, '{');
   json_t *object = start == NULL ? NULL : json_loads (start, JSON_DISABLE_EOF_CHECK, NULL);
   int64_t at_ms = read_time (get_text (object, "at"));
-  story_line_t *added;
+  trace_line_t *added;
 
   if (object == NULL || at_ms < 0)
     {
-      story->unreadable++;
+      trace->unreadable++;
       json_decref (object);
       return;
     }
-  story->lines = bt_realloc (ctx, story->lines, (size_t)story->count + 1, sizeof *story->lines);
-  added = &story->lines[story->count];
+  trace->lines = bt_realloc (ctx, trace->lines, (size_t)trace->count + 1, sizeof *trace->lines);
+  added = &trace->lines[trace->count];
   added->object = object;
   added->at_ms = at_ms;
-  added->order = story->count++;
+  added->order = trace->count++;
 }
 
 static int
 compare_lines (const void *left, const void *right)
 {
-  const story_line_t *a = left;
-  const story_line_t *b = right;
+  const trace_line_t *a = left;
+  const trace_line_t *b = right;
 
   if (a->at_ms != b->at_ms)
     return a->at_ms < b->at_ms ? -1 : 1;
@@ -139,23 +141,23 @@
 }
 
 static bool
-is_own (const bt_request_story_t *story, const story_line_t *line)
+is_request_line (const bt_request_trace_t *trace, const trace_line_t *line)
 {
-  return strcmp (get_text (line->object, "request"), story->request_id) == 0;
+  return strcmp (get_text (line->object, "request"), trace->request_id) == 0;
 }
 
-/* The time from the request's arrival to its end. */
+/* Finds the time from the request's arrival to its end. */
 static bool
-find_span (const bt_request_story_t *story, int64_t *from_ms, int64_t *to_ms)
+find_request_interval (const bt_request_trace_t *trace, int64_t *from_ms, int64_t *to_ms)
 {
   bool found = false;
 
-  for (int32_t i = 0; i < story->count; i++)
+  for (int32_t i = 0; i < trace->count; i++)
     {
-      const story_line_t *line = &story->lines[i];
+      const trace_line_t *line = &trace->lines[i];
       int64_t began_ms = line->at_ms - get_number (line->object, "total_ms");
 
-      if (!is_own (story, line))
+      if (!is_request_line (trace, line))
         continue;
       if (!found || began_ms < *from_ms)
         *from_ms = began_ms;
@@ -166,10 +168,10 @@
 }
 
 static bool
-is_belief (const story_line_t *line)
+is_state_event (const trace_line_t *line)
 {
-  for (size_t i = 0; i < sizeof beliefs / sizeof beliefs[0]; i++)
-    if (strcmp (get_text (line->object, "event"), beliefs[i]) == 0)
+  for (size_t i = 0; i < sizeof state_events / sizeof state_events[0]; i++)
+    if (strcmp (get_text (line->object, "event"), state_events[i]) == 0)
       return true;
   return false;
 }
@@ -182,47 +184,50 @@
   return text[0] != '\0' && strcmp (text, get_text (right, field)) == 0;
 }
 
-/* A belief matters where it is one of an instance that handled the request. One about an endpoint
- * matters if the request was sent there; one about a group concerns all. */
+/* A state event is relevant if it comes from an instance that handled the request. One about an
+ * endpoint is relevant only if the request was sent to that endpoint; one about a group always
+ * is. */
 static bool
-is_about_request (const bt_request_story_t *story, const story_line_t *belief)
+is_relevant (const bt_request_trace_t *trace, const trace_line_t *event)
 {
-  bool of_endpoint = get_text (belief->object, "endpoint")[0] != '\0';
+  bool of_endpoint = get_text (event->object, "endpoint")[0] != '\0';
 
-  if (get_text (belief->object, "group")[0] != '\0')
+  if (get_text (event->object, "group")[0] != '\0')
     return true;
-  for (int32_t i = 0; i < story->count; i++)
+  for (int32_t i = 0; i < trace->count; i++)
     {
-      const json_t *own = story->lines[i].object;
+      const json_t *object = trace->lines[i].object;
 
-      if (is_own (story, &story->lines[i]) && has_same_text (own, belief->object, "instance")
-          && (!of_endpoint || has_same_text (own, belief->object, "endpoint")))
+      if (is_request_line (trace, &trace->lines[i])
+          && has_same_text (object, event->object, "instance")
+          && (!of_endpoint || has_same_text (object, event->object, "endpoint")))
         return true;
     }
   return false;
 }
 
-/* Since when the configuration that judged the request was in force at its instance. */
-static const story_line_t *
-find_configuration (const bt_request_story_t *story, const story_line_t *end)
+/* Finds the event that put the configuration that applied to the request in force on its
+ * instance. */
+static const trace_line_t *
+find_configuration (const bt_request_trace_t *trace, const trace_line_t *end)
 {
-  const story_line_t *found = NULL;
+  const trace_line_t *found = NULL;
 
-  for (int32_t i = 0; i < story->count && &story->lines[i] != end; i++)
+  for (int32_t i = 0; i < trace->count && &trace->lines[i] != end; i++)
     {
-      const json_t *object = story->lines[i].object;
+      const json_t *object = trace->lines[i].object;
 
       if (strcmp (get_text (object, "event"), "configuration") == 0
           && has_same_text (object, end->object, "instance")
           && get_number (object, "revision") == get_number (end->object, "revision"))
-        found = &story->lines[i];
+        found = &trace->lines[i];
     }
   return found;
 }
 
-/* The fields that say more than where, when and about which request. */
+/* Prints a line without the fields that are the same in all lines or already printed. */
 static void
-print_line (const story_line_t *line, FILE *out)
+print_line (const trace_line_t *line, FILE *out)
 {
   const char *key;
   json_t *value;
@@ -270,17 +275,18 @@
 }
 
 static void
-print_ends (const bt_request_story_t *story, FILE *out)
+print_ends (const bt_request_trace_t *trace, FILE *out)
 {
-  for (int32_t i = 0; i < story->count; i++)
+  for (int32_t i = 0; i < trace->count; i++)
     {
-      const story_line_t *line = &story->lines[i];
-      const story_line_t *configuration;
+      const trace_line_t *line = &trace->lines[i];
+      const trace_line_t *configuration;
 
-      if (!is_own (story, line) || strcmp (get_text (line->object, "event"), "request") != 0)
+      if (!is_request_line (trace, line)
+          || strcmp (get_text (line->object, "event"), "request") != 0)
         continue;
       print_end (line->object, out);
-      configuration = find_configuration (story, line);
+      configuration = find_configuration (trace, line);
       if (configuration != NULL)
         fprintf (out, "Revision %lld was in force at %s since %s.\n",
                  get_number (line->object, "revision"), get_text (line->object, "instance"),
@@ -289,26 +295,28 @@
 }
 
 bool
-bt_print_request_story (bt_context_t *ctx, bt_request_story_t *story, FILE *out)
+bt_print_request_trace (bt_context_t *ctx, bt_request_trace_t *trace, FILE *out)
 {
   int64_t from_ms = 0;
   int64_t to_ms = 0;
 
   (void)ctx;
-  if (story->count > 0)
-    qsort (story->lines, (size_t)story->count, sizeof *story->lines, compare_lines);
-  if (!find_span (story, &from_ms, &to_ms))
+  if (trace->count > 0)
+    qsort (trace->lines, (size_t)trace->count, sizeof *trace->lines, compare_lines);
+  if (!find_request_interval (trace, &from_ms, &to_ms))
     return false;
-  for (int32_t i = 0; i < story->count; i++)
+  for (int32_t i = 0; i < trace->count; i++)
     {
-      const story_line_t *line = &story->lines[i];
-      bool near = line->at_ms >= from_ms - BEFORE_MS && line->at_ms <= to_ms + AFTER_MS;
+      const trace_line_t *line = &trace->lines[i];
+      bool in_window =
+          line->at_ms >= from_ms - CONTEXT_BEFORE_MS && line->at_ms <= to_ms + CONTEXT_AFTER_MS;
 
-      if (is_own (story, line) || (near && is_belief (line) && is_about_request (story, line)))
+      if (is_request_line (trace, line)
+          || (in_window && is_state_event (line) && is_relevant (trace, line)))
         print_line (line, out);
     }
-  print_ends (story, out);
-  if (story->unreadable > 0)
-    fprintf (out, "%d lines of the logs were left out: they hold no event.\n", story->unreadable);
+  print_ends (trace, out);
+  if (trace->unreadable > 0)
+    fprintf (out, "%d log lines were skipped because they contain no event.\n", trace->unreadable);
   return true;
 }
--- a/source/entry/request_story.h
+++ b/source/entry/request_story.h
@@ -2,7 +2,7 @@
 #define BILBERRYTRAY_SOURCE_ENTRY_REQUEST_STORY_H
 
 /** @file
- * One request's way through the logs of several processes, from its id to its cause.
+ * Reconstructs how a request was handled, from its id and the logs of several processes.
  */
 
 #include <stdbool.h>
@@ -10,19 +10,20 @@
 
 #include "bilberrytray/base/context.h"
 
-typedef struct bt_request_story bt_request_story_t;
+typedef struct bt_request_trace bt_request_trace_t;
 
-bt_request_story_t *bt_new_request_story (bt_context_t *ctx, const char *request_id);
+bt_request_trace_t *bt_new_request_trace (bt_context_t *ctx, const char *request_id);
 
 /** NULL is accepted. */
-void bt_drop_request_story (bt_context_t *ctx, bt_request_story_t *story);
+void bt_drop_request_trace (bt_context_t *ctx, bt_request_trace_t *trace);
 
-/** Takes a line of a log: a JSON object, behind whatever a collector has put before it. Lines that
- * hold none are counted. */
-void bt_add_story_line (bt_context_t *ctx, bt_request_story_t *story, const char *line);
+/** Adds a log line: a JSON object, after any prefix that a log collector has added. Lines
+ * without an object are counted. */
+void bt_add_trace_line (bt_context_t *ctx, bt_request_trace_t *trace, const char *line);
 
-/** Prints, by time, what was decided about the request, with what its instances believed then, and
- * at last what became of it. False when no line names the request. */
-bool bt_print_request_story (bt_context_t *ctx, bt_request_story_t *story, FILE *out);
+/** Prints, in time order, the events of the request and the events that changed the state of its
+ * instances around that time, and finally how the request ended. Returns false if no line names
+ * the request. */
+bool bt_print_request_trace (bt_context_t *ctx, bt_request_trace_t *trace, FILE *out);
 
 #endif
--- a/source/entry/tickets.c
+++ b/source/entry/tickets.c
@@ -12,7 +12,8 @@
   BASE_TEN = 10,
 };
 
-/* One ticket at an agent that serves the app; none for an agent that leaves. */
+/* Issues one ticket for an agent that serves the app. Returns false if there is none that is not
+ * leaving. */
 static bool
 mint_ticket (bt_entry_t *entry, const char *app, const char *account, char *text)
 {
@@ -22,9 +23,10 @@
   if (bt_choose_home (entry->router, app, bt_now_ms (entry->ctx), &ticket.home) != BT_REASON_NONE)
     return false;
   peer = bt_find_peer_identity (entry, &ticket.home);
-  if (peer == NULL || !peer->heard)
+  if (peer == NULL || !peer->heartbeat_seen)
     return false;
-  /* By the home's own clock, as it last told it: lag only makes the life shorter. */
+  /* Based on the home agent's clock as of its last heartbeat: a delay only shortens the
+   * lifetime. */
   ticket.expires_ms = peer->peer_now_ms + entry->settings.ticket_life_ms;
   ticket.account = bt_hash_account (account);
   bt_fill_secure_random (ticket.key.bytes, sizeof ticket.key.bytes);
@@ -34,9 +36,9 @@
 void
 bt_add_tickets (bt_context_t *ctx, bt_entry_t *entry, bt_caller_t *caller, json_t *answer)
 {
-  const char *wanted = bt_find_caller_header (caller, "Bilberry-Tickets");
+  const char *requested = bt_find_caller_header (caller, "Bilberry-Tickets");
   const char *app = bt_find_caller_header (caller, "Bilberry-App");
-  int64_t count = wanted == NULL ? 0 : strtoll (wanted, NULL, BASE_TEN);
+  int64_t count = requested == NULL ? 0 : strtoll (requested, NULL, BASE_TEN);
   json_t *tickets = json_array ();
   char text[BT_TICKET_TEXT_BYTES];
 
