--- a/source/entry/calls.c
+++ b/source/entry/calls.c
@@ -293,7 +293,7 @@
 }
 
 void
-bt_abandon_entry_call (bt_context_t *ctx, bt_entry_t *entry, uint64_t id)
+bt_handle_caller_disconnect (bt_context_t *ctx, bt_entry_t *entry, uint64_t id)
 {
   bt_delivery_event_t event = { .kind = BT_DELIVERY_CALLER_GONE };
   bt_call_t *call;
--- a/source/entry/command_explain.c
+++ b/source/entry/command_explain.c
@@ -167,7 +167,7 @@
 
 const bt_command_t bt_explain_command = {
   "explain",
-  "Explain which rule of a folder matches a request, or what happened to a request by its id.",
+  "Explain which rule of a folder decides a request, or what happened to a request, and why.",
   "FOLDER [HEADER:VALUE]... | LOG...",
   explain_settings,
   sizeof explain_settings / sizeof explain_settings[0],
--- a/source/entry/command_gateway.c
+++ b/source/entry/command_gateway.c
@@ -57,7 +57,7 @@
   { "agent-port", BT_SETTING_INTEGER, FIELD (agent_port), "0", 0, 65535,
     "Port on which agents next to engines accept links; 0: there are no agents." },
   { "lead-lease-s", BT_SETTING_INTEGER, FIELD (lead_lease_s), "2", 1, 600,
-    "Duration of the lease of the instance that leads the rank groups, s." },
+    "TTL of the lease of the instance that leads the rank groups, s." },
   { "lead-renew-ms", BT_SETTING_INTEGER, FIELD (lead_renew_ms), "600", 50, 600000,
     "Interval between renewals of that lease, ms." },
   { "plan-ms", BT_SETTING_INTEGER, FIELD (plan_ms), "200", 20, 3600000,
@@ -133,7 +133,7 @@
   if (operand_count > 0 || !bt_parse_log_level (settings->log_level, &level))
     {
       fprintf (stderr, "%s\n",
-               operand_count > 0 ? "gateway: Expected no operands after the flags."
+               operand_count > 0 ? "gateway: No arguments are expected after the flags."
                                  : "log-level: Unknown log level.");
       return BT_EXIT_USAGE;
     }
--- a/source/entry/command_serve.c
+++ b/source/entry/command_serve.c
@@ -72,7 +72,7 @@
   { "map-prefix", BT_SETTING_TEXT, FIELD (map_prefix), "bilberrytray-maps/", 0, 0,
     "Prefix of the rank groups' keys." },
   { "map-lease-s", BT_SETTING_INTEGER, FIELD (map_lease_s), "5", 1, 600,
-    "Duration of the controller's lease, s." },
+    "TTL of the controller's lease, s." },
   { "arm-steps", BT_SETTING_INTEGER, FIELD (arm_steps), "100", 2, 100000,
     "Number of steps ahead at which a round is armed." },
   { "stage-limit-ms", BT_SETTING_INTEGER, FIELD (stage_limit_ms), "120000", 100, 3600000,
@@ -127,7 +127,7 @@
   wait_idle (ctx, entry, limit_ms);
   bt_close_entry (entry);
   wait_idle (ctx, entry, limit_ms);
-  bt_end_entry_callers (ctx, entry);
+  bt_abort_entry_callers (ctx, entry);
 }
 
 static int
@@ -151,7 +151,7 @@
       bt_log (ctx, BT_LOG_INFO, BT_PART_MAIN, "Version %s is serving callers on port %d.",
               BT_VERSION, bt_get_entry_http_port (entry));
       sigwait (signals, &received);
-      bt_leave_entry (ctx, entry);
+      bt_set_entry_leaving (ctx, entry);
       drain (ctx, entry, settings);
       bt_log (ctx, BT_LOG_INFO, BT_PART_MAIN, "Stopped.");
       status = BT_EXIT_DONE;
@@ -173,7 +173,7 @@
   if (operand_count > 0 || !bt_parse_log_level (settings.log_level, &level))
     {
       fprintf (stderr, "%s\n",
-               operand_count > 0 ? "serve: Expected no operands after the flags."
+               operand_count > 0 ? "serve: No arguments are expected after the flags."
                                  : "log-level: Unknown log level.");
       return BT_EXIT_USAGE;
     }
--- a/source/entry/entry.c
+++ b/source/entry/entry.c
@@ -11,7 +11,7 @@
 enum
 {
   TICK_MS = 10,
-  OPENING_MS = 2000,
+  HANDSHAKE_TIMEOUT_MS = 2000,
   MAX_UNSENT_BYTES = 16 << 20,
   /* Time for the workers to write the last answers, and to refuse requests that arrive up to a
    * round trip after listening stopped. */
@@ -54,7 +54,7 @@
   options.secret = settings->secret;
   options.beat_ms = settings->beat_ms;
   options.idle_ms = settings->link_idle_ms;
-  options.opening_ms = OPENING_MS;
+  options.opening_ms = HANDSHAKE_TIMEOUT_MS;
   options.max_frame_bytes = (size_t)settings->max_frame_bytes;
   options.max_unsent_bytes = MAX_UNSENT_BYTES;
   options.max_links = (int32_t)settings->max_links;
@@ -212,7 +212,7 @@
 }
 
 void
-bt_leave_entry (bt_context_t *ctx, bt_entry_t *entry)
+bt_set_entry_leaving (bt_context_t *ctx, bt_entry_t *entry)
 {
   pthread_mutex_lock (&entry->lock);
   entry->leaving = true;
@@ -243,7 +243,7 @@
 }
 
 void
-bt_end_entry_callers (bt_context_t *ctx, bt_entry_t *entry)
+bt_abort_entry_callers (bt_context_t *ctx, bt_entry_t *entry)
 {
   pthread_mutex_lock (&entry->lock);
   entry->closed = true;
@@ -276,7 +276,7 @@
   if (entry->ticker_started)
     pthread_join (entry->ticker, NULL);
   if (entry->http != NULL)
-    bt_end_entry_callers (ctx, entry);
+    bt_abort_entry_callers (ctx, entry);
   bt_drop_link_loop (ctx, entry->loop);
   bt_drop_map_control (ctx, entry->maps);
   drop_peers (entry);
--- a/source/entry/entry.h
+++ b/source/entry/entry.h
@@ -106,10 +106,11 @@
 
 /** Reports to a call that its caller's connection is closed. Does nothing if there is no such
  * call. */
-void bt_abandon_entry_call (bt_context_t *ctx, bt_entry_t *entry, uint64_t id);
+void bt_handle_caller_disconnect (bt_context_t *ctx, bt_entry_t *entry, uint64_t id);
 
-/** Stops advertising this instance to callers; it still serves requests. */
-void bt_leave_entry (bt_context_t *ctx, bt_entry_t *entry);
+/** Marks this instance as leaving: it is no longer advertised to callers, but still serves
+ * requests. */
+void bt_set_entry_leaving (bt_context_t *ctx, bt_entry_t *entry);
 
 /** Returns true when no call is in progress and every answer is fully written. */
 bool bt_is_entry_idle (bt_entry_t *entry);
@@ -119,7 +120,7 @@
 
 /** Aborts the calls still in progress, and closes all callers' connections after a short time
  * for the last answers. Call this on a closed entry, before anything that may block. */
-void bt_end_entry_callers (bt_context_t *ctx, bt_entry_t *entry);
+void bt_abort_entry_callers (bt_context_t *ctx, bt_entry_t *entry);
 
 /** Stops all threads and frees the entry. NULL is accepted. */
 void bt_drop_entry (bt_context_t *ctx, bt_entry_t *entry);
--- a/source/entry/entry_links.c
+++ b/source/entry/entry_links.c
@@ -200,7 +200,7 @@
   if (open_member (entry, link) == BT_LINK_REFUSED)
     {
       bt_log (entry->ctx, BT_LOG_WARNING, BT_PART_MEMBERS,
-              "Refused a link from %s: its incarnation was already replaced.", peer->instance);
+              "Refused the link to %s: that incarnation was already replaced.", peer->instance);
       bt_close_link (link);
       return;
     }
@@ -352,9 +352,10 @@
 }
 
 static void
-on_beat (bt_link_handler_t *handler, bt_link_t *link)
+on_heartbeat_due (bt_link_handler_t *handler, bt_link_t *link)
 {
   send_heartbeat ((bt_entry_t *)handler, link);
 }
 
-const bt_link_handler_vtable_t bt_entry_link_vtable = { on_up, on_frame, on_down, on_beat };
+const bt_link_handler_vtable_t bt_entry_link_vtable = { on_up, on_frame, on_down,
+                                                        on_heartbeat_due };
--- a/source/entry/http_server.c
+++ b/source/entry/http_server.c
@@ -25,7 +25,7 @@
   bt_context_t *ctx;
   bt_entry_t *entry;
   struct MHD_Daemon *daemon;
-  int listen_socket; /* the socket, once accepting has stopped; -1 before */
+  int listen_socket; /* once accepting has stopped: to be closed after the daemon ends; -1 before */
   size_t max_body_bytes;
   atomic_int open_requests;
   bt_counter_t *connections; /* accepted so far */
@@ -193,7 +193,7 @@
   atomic_fetch_sub (&server->open_requests, 1);
   bt_detach_caller (caller);
   if (code != MHD_REQUEST_TERMINATED_COMPLETED_OK)
-    bt_abandon_entry_call (server->ctx, server->entry, bt_get_caller_call (caller));
+    bt_handle_caller_disconnect (server->ctx, server->entry, bt_get_caller_call (caller));
   bt_drop_caller (server->ctx, caller);
 }
 
--- a/source/entry/map_control.c
+++ b/source/entry/map_control.c
@@ -24,7 +24,7 @@
   QUERY_AFTER_MS = 1000,
   ARM_LIMIT_MS = 2000,
   MS_PER_S = 1000,
-  LEASE_MARGIN_DIVISOR = 5, /* part of the lease (1/5) by which the controller stops early */
+  LEASE_MARGIN_DIVISOR = 5, /* the controller stops 1/5 of the lease before its end */
   KEY_BYTES = 256,
   BASE_HEX = 16,
 };
--- a/source/entry/map_planning.c
+++ b/source/entry/map_planning.c
@@ -225,17 +225,17 @@
 static bt_expert_map_t *
 copy_map_in_use (bt_map_planning_t *planning, uint64_t in_use, int64_t now_ms)
 {
-  const cached_map_t *cached;
-  const cached_map_t *before;
+  const cached_map_t *current;
+  const cached_map_t *previous;
   bt_expert_map_t *map = NULL;
 
   pthread_mutex_lock (&planning->lock);
-  cached = find_cached_map (planning, in_use);
-  before = find_cached_map (planning, planning->in_use);
-  if (cached != NULL && before != NULL && cached != before)
-    bt_record_map_change (planning->history, before->map, cached->map, now_ms);
-  if (cached != NULL && planning->has_load)
-    map = bt_copy_expert_map (planning->ctx, cached->map);
+  current = find_cached_map (planning, in_use);
+  previous = find_cached_map (planning, planning->in_use);
+  if (current != NULL && previous != NULL && current != previous)
+    bt_record_map_change (planning->history, previous->map, current->map, now_ms);
+  if (current != NULL && planning->has_load)
+    map = bt_copy_expert_map (planning->ctx, current->map);
   planning->in_use = in_use;
   pthread_mutex_unlock (&planning->lock);
   return map;
--- a/source/entry/operator_links.c
+++ b/source/entry/operator_links.c
@@ -11,9 +11,9 @@
 enum
 {
   MAX_ENTRIES = 1024,
-  BEAT_MS = 500,
+  HEARTBEAT_INTERVAL_MS = 500,
   IDLE_MS = 3000,
-  OPENING_MS = 2000,
+  HANDSHAKE_TIMEOUT_MS = 2000,
   MAX_FRAME_BYTES = 16 << 20,
 };
 
@@ -109,7 +109,7 @@
 }
 
 static void
-on_beat (bt_link_handler_t *handler, bt_link_t *link)
+on_heartbeat_due (bt_link_handler_t *handler, bt_link_t *link)
 {
   bt_operator_links_t *links = (bt_operator_links_t *)handler;
   Bilberry__Heartbeat heartbeat = BILBERRY__HEARTBEAT__INIT;
@@ -121,7 +121,8 @@
   bt_send_frame (links->ctx, link, &frame);
 }
 
-static const bt_link_handler_vtable_t operator_vtable = { on_up, on_frame, on_down, on_beat };
+static const bt_link_handler_vtable_t operator_vtable = { on_up, on_frame, on_down,
+                                                          on_heartbeat_due };
 
 bt_operator_links_t *
 bt_new_operator_links (bt_context_t *ctx, const char *secret, bt_error_t *error)
@@ -131,9 +132,9 @@
                                 .failure_domain = "",
                                 .address = "",
                                 .secret = secret,
-                                .beat_ms = BEAT_MS,
+                                .beat_ms = HEARTBEAT_INTERVAL_MS,
                                 .idle_ms = IDLE_MS,
-                                .opening_ms = OPENING_MS,
+                                .opening_ms = HANDSHAKE_TIMEOUT_MS,
                                 .max_frame_bytes = MAX_FRAME_BYTES,
                                 .max_unsent_bytes = MAX_FRAME_BYTES,
                                 .max_links = MAX_ENTRIES };
--- a/source/entry/operator_links.h
+++ b/source/entry/operator_links.h
@@ -30,7 +30,7 @@
   char instance[BT_NAME_BYTES];
   char failure_domain[BT_NAME_BYTES];
   bool up;              /**< The link is up. */
-  uint64_t incarnation; /**< Of the linked process; 0 while the link is down. */
+  uint64_t incarnation; /**< Of the linked instance; 0 while the link is down. */
   bool answered;        /**< It has reported its documents in force. */
   bool updated;         /**< It has reported since the last bt_get_entry_status on this link. */
   uint32_t sync_state;
