--- a/source/entry/command_serve.c
+++ b/source/entry/command_serve.c
@@ -107,9 +107,9 @@
 };
 
 static void
-wait_idle (bt_context_t *ctx, bt_entry_t *entry, int64_t limit_ms)
+wait_idle (bt_context_t *ctx, bt_entry_t *entry, int64_t deadline_ms)
 {
-  while (!bt_is_entry_idle (entry) && bt_now_ms (ctx) < limit_ms)
+  while (!bt_is_entry_idle (entry) && bt_now_ms (ctx) < deadline_ms)
     bt_sleep_ms (IDLE_CHECK_MS);
 }
 
@@ -121,12 +121,12 @@
 static void
 drain (bt_context_t *ctx, bt_entry_t *entry, const bt_entry_settings_t *settings)
 {
-  int64_t limit_ms = bt_now_ms (ctx) + settings->address_life_ms + settings->drain_ms;
+  int64_t deadline_ms = bt_now_ms (ctx) + settings->address_life_ms + settings->drain_ms;
 
   bt_sleep_ms (settings->address_life_ms);
-  wait_idle (ctx, entry, limit_ms);
+  wait_idle (ctx, entry, deadline_ms);
   bt_close_entry (entry);
-  wait_idle (ctx, entry, limit_ms);
+  wait_idle (ctx, entry, deadline_ms);
   bt_abort_entry_callers (ctx, entry);
 }
 
--- a/source/entry/deliveries.c
+++ b/source/entry/deliveries.c
@@ -18,7 +18,7 @@
   RECONNECT_LIMIT_MS = 3000,
   RETRY_AFTER_MS = 1000,
   MAX_RESENDS = 3,
-  MAX_HOPS = 4,
+  MAX_FOLLOWED_GRANTS = 4,
   MAX_QUEUED_EVENTS = 8, /* Events that the actions of one event can cause. */
 };
 
@@ -64,7 +64,7 @@
     .reconnect_limit_ms = RECONNECT_LIMIT_MS,
     .retry_after_ms = RETRY_AFTER_MS,
     .max_resends = MAX_RESENDS,
-    .max_hops = MAX_HOPS,
+    .max_hops = MAX_FOLLOWED_GRANTS,
   };
 
   if (options.give_up_margin_ms > MAX_GIVE_UP_MS)
--- a/source/entry/http_server.c
+++ b/source/entry/http_server.c
@@ -25,7 +25,7 @@
   bt_context_t *ctx;
   bt_entry_t *entry;
   struct MHD_Daemon *daemon;
-  int listen_socket; /* once accepting has stopped: to be closed after the daemon ends; -1 before */
+  int listen_socket; /* set once accepting has stopped, closed after the daemon ends; -1 before */
   size_t max_body_bytes;
   atomic_int open_requests;
   bt_counter_t *connections; /* accepted so far */
--- a/source/entry/map_control.c
+++ b/source/entry/map_control.c
@@ -263,7 +263,9 @@
 }
 
 /* Lists the digests of the wanted map and of the maps that the ranks have in use or staged, so
- * that a new controller fetches their bytes. */
+ * that a new controller fetches their bytes. @p in_use is the map to plan from, or 0 if none can
+ * be planned now: this instance lacks the lease, the group has not converged, or a round is in
+ * progress. */
 static int32_t
 list_reported_maps (bt_map_control_t *control, uint64_t *digests, uint64_t *in_use, uint64_t *fence)
 {
