--- a/bench/bench_leader.c
+++ b/bench/bench_leader.c
@@ -248,7 +248,7 @@
       led->ordered[rank] = 0;
     }
   write_report (led, rank, now_ms, &buffer);
-  led->costs.report_bytes += (int64_t)bt_count_buffer (&buffer);
+  led->costs.report_bytes += (int64_t)bt_get_buffer_bytes (&buffer);
   start_ns = bt_read_cpu_ns ();
   take_report (led, &buffer, now_ms);
   led->costs.reports += bt_read_cpu_ns () - start_ns;
@@ -318,7 +318,7 @@
       bt_buffer_t buffer = { 0 };
 
       write_order (led, &order, &buffer);
-      led->costs.order_bytes += (int64_t)bt_count_buffer (&buffer);
+      led->costs.order_bytes += (int64_t)bt_get_buffer_bytes (&buffer);
       bt_clear_buffer (led->ctx, &buffer);
       given[count++] = order;
     }
--- a/include/bilberrytray/base/limit.h
+++ b/include/bilberrytray/base/limit.h
@@ -12,7 +12,7 @@
  * the count is a power of two (1, 2, 4, ...), so that the log is not flooded. @p limit is a
  * constant name, @p max the limit's value, @p subject what exceeded it, and @p message the
  * consequence. */
-void bt_note_limit (
+void bt_report_limit (
     bt_context_t *ctx, const char *limit, int64_t max, const char *subject, const char *message);
 
 #endif
--- a/include/bilberrytray/page/listener.h
+++ b/include/bilberrytray/page/listener.h
@@ -15,6 +15,6 @@
  * sets when they wake up, and libmicrohttpd aborts the process if the socket is closed before that.
  * So the socket is only shut down and returned; the caller closes it after the daemon has stopped.
  * Returns -1 when there is no listening socket. */
-int bt_shut_listener (struct MHD_Daemon *daemon);
+int bt_shutdown_listener (struct MHD_Daemon *daemon);
 
 #endif
--- a/include/bilberrytray/store/fenced_lease.h
+++ b/include/bilberrytray/store/fenced_lease.h
@@ -33,14 +33,14 @@
 /** Renews the lease if it is held, else tries to acquire it; sets @p fence only when it is
  * acquired. The holder must count the TTL from before this call. Blocks on the store. */
 bt_lease_result_t
-bt_hold_fenced_lease (bt_context_t *ctx, bt_fenced_lease_t *lease, uint64_t *fence);
+bt_acquire_fenced_lease (bt_context_t *ctx, bt_fenced_lease_t *lease, uint64_t *fence);
 
 /** True from the grant of the lease until it is known to have ended. */
 bool bt_holds_fenced_lease (const bt_fenced_lease_t *lease);
 
 /** Releases the lease, so that the next holder does not have to wait for its expiry. For a holder
  * that has stopped permanently. Does nothing when no lease is held. Blocks on the store. */
-void bt_give_back_fenced_lease (bt_context_t *ctx, bt_fenced_lease_t *lease);
+void bt_release_fenced_lease (bt_context_t *ctx, bt_fenced_lease_t *lease);
 
 /** Discards the lease locally, so that only a new one can be acquired. For a holder that stopped
  * because it was not sure whether it still held the lease. */
--- a/include/bilberrytray/store/kv.h
+++ b/include/bilberrytray/store/kv.h
@@ -80,18 +80,18 @@
  * watch whose connection went silent looks like one without changes. */
 typedef enum bt_kv_watch_result
 {
-  BT_KV_WATCH_QUIET = 0, /**< The time limit passed without an event. */
-  BT_KV_WATCH_EVENTS,    /**< Something changed. */
-  BT_KV_WATCH_COMPACTED, /**< The store no longer has the history from the start revision on. */
+  BT_KV_WATCH_NO_EVENTS = 0, /**< The time limit passed without an event. */
+  BT_KV_WATCH_EVENTS,        /**< Something changed. */
+  BT_KV_WATCH_COMPACTED,     /**< The store no longer has the history from the start revision on. */
 } bt_kv_watch_result_t;
 
 /** The changes that a watch received. Zero-initialise it; free it with bt_drop_kv_changes. */
 typedef struct bt_kv_changes
 {
-  bt_kv_range_t written; /**< Written keys, oldest first. The next watch starts after its
-                              revision. */
-  char **removed;        /**< Removed keys. */
-  int64_t *removed_at;   /**< Revision of each removal. */
+  bt_kv_range_t written;      /**< Written keys, oldest first. The next watch starts after its
+                                   revision. */
+  char **removed;             /**< Removed keys. */
+  int64_t *removed_revisions; /**< Revision of each removal. */
   int32_t removed_count;
   bool incomplete; /**< Changes were missed; a full read is needed. */
 } bt_kv_changes_t;
--- a/include/bilberrytray/wire/frame.h
+++ b/include/bilberrytray/wire/frame.h
@@ -32,10 +32,10 @@
 void bt_append_buffer (bt_context_t *ctx, bt_buffer_t *buffer, const void *data, size_t bytes);
 
 /** Consumes @p bytes from the front. */
-void bt_take_buffer (bt_buffer_t *buffer, size_t bytes);
+void bt_consume_buffer (bt_buffer_t *buffer, size_t bytes);
 
 /** Returns the number of bytes that are not consumed. */
-size_t bt_count_buffer (const bt_buffer_t *buffer);
+size_t bt_get_buffer_bytes (const bt_buffer_t *buffer);
 
 /** Frees the data but not the struct. */
 void bt_clear_buffer (bt_context_t *ctx, bt_buffer_t *buffer);
--- a/include/bilberrytray/wire/link.h
+++ b/include/bilberrytray/wire/link.h
@@ -35,7 +35,7 @@
   /** A link that was up is down. No further callback for it follows. */
   void (*on_down) (bt_link_handler_t *handler, bt_link_t *link);
   /** A heartbeat is due on a link that is up. */
-  void (*on_beat) (bt_link_handler_t *handler, bt_link_t *link);
+  void (*on_heartbeat_due) (bt_link_handler_t *handler, bt_link_t *link);
 } bt_link_handler_vtable_t;
 
 struct bt_link_handler
--- a/source/agent/orphaned_runs.c
+++ b/source/agent/orphaned_runs.c
@@ -24,7 +24,7 @@
 {
   answer_t *answer = argument;
 
-  if (bt_count_buffer (&answer->body) + size * count > MAX_LIST_BYTES)
+  if (bt_get_buffer_bytes (&answer->body) + size * count > MAX_LIST_BYTES)
     return 0;
   bt_append_buffer (answer->ctx, &answer->body, data, size * count);
   return size * count;
@@ -53,7 +53,7 @@
   code = curl_easy_perform (easy);
   curl_easy_cleanup (easy);
   body = json_loadb ((const char *)answer.body.data + answer.body.start,
-                     bt_count_buffer (&answer.body), 0, NULL);
+                     bt_get_buffer_bytes (&answer.body), 0, NULL);
   bt_clear_buffer (ctx, &answer.body);
   if (code != CURLE_OK || !json_is_object (body))
     {
--- a/source/agent/sidecar.c
+++ b/source/agent/sidecar.c
@@ -134,7 +134,7 @@
 }
 
 static void
-on_beat (bt_link_handler_t *handler, bt_link_t *link)
+on_heartbeat_due (bt_link_handler_t *handler, bt_link_t *link)
 {
   bt_sidecar_t *sidecar = (bt_sidecar_t *)handler;
   Bilberry__Heartbeat beat = BILBERRY__HEARTBEAT__INIT;
@@ -147,7 +147,7 @@
 }
 
 static const bt_link_handler_vtable_t handler_vtable = { on_link_up, on_frame, on_link_down,
-                                                         on_beat };
+                                                         on_heartbeat_due };
 
 /* Returns true when an order is based on the report of another start of the engine beside this
  * agent. The order count does not detect this, because it repeats after a restart. If the engine
--- a/source/agent/upstream.c
+++ b/source/agent/upstream.c
@@ -131,7 +131,7 @@
   for (;;)
     {
       const char *start = (const char *)transfer->received.data + transfer->received.start;
-      size_t buffered = bt_count_buffer (&transfer->received);
+      size_t buffered = bt_get_buffer_bytes (&transfer->received);
       const char *end = buffered == 0
                             ? NULL
                             : memmem (start, buffered, event_terminator, strlen (event_terminator));
@@ -145,7 +145,7 @@
       else
         transfer->event_count++;
       report_piece (transfer, start, bytes);
-      bt_take_buffer (&transfer->received, bytes);
+      bt_consume_buffer (&transfer->received, bytes);
     }
 }
 
@@ -159,7 +159,7 @@
   transfer->last_received_ms = bt_now_ms (ctx);
   if (transfer->kind != TRANSFER_RUN)
     {
-      if (bt_count_buffer (&transfer->received) + bytes > MAX_LOAD_BYTES)
+      if (bt_get_buffer_bytes (&transfer->received) + bytes > MAX_LOAD_BYTES)
         return 0;
       bt_append_buffer (ctx, &transfer->received, data, bytes);
       return bytes;
@@ -170,7 +170,7 @@
       report_piece (transfer, data, bytes);
       return bytes;
     }
-  if (bt_count_buffer (&transfer->received) + bytes > MAX_EVENT_BYTES)
+  if (bt_get_buffer_bytes (&transfer->received) + bytes > MAX_EVENT_BYTES)
     return 0;
   bt_append_buffer (ctx, &transfer->received, data, bytes);
   report_events (transfer);
@@ -296,7 +296,7 @@
   bt_upstream_handler_t *handler = upstream->options.handler;
   bt_upstream_load_t load = { 0 };
   json_t *body = json_loadb ((const char *)transfer->received.data + transfer->received.start,
-                             bt_count_buffer (&transfer->received), 0, NULL);
+                             bt_get_buffer_bytes (&transfer->received), 0, NULL);
 
   upstream->load_pending = false;
   if (code == CURLE_OK && json_is_object (body))
--- a/source/base/limit.c
+++ b/source/base/limit.c
@@ -4,7 +4,7 @@
 #include "bilberrytray/base/event_log.h"
 
 void
-bt_note_limit (
+bt_report_limit (
     bt_context_t *ctx, const char *limit, int64_t max, const char *subject, const char *message)
 {
   bt_counter_t *counter =
--- a/source/entry/placement.c
+++ b/source/entry/call_admission.c
@@ -1,4 +1,4 @@
-#include "placement.h"
+#include "call_admission.h"
 
 #include <string.h>
 
--- a/source/entry/placement.h
+++ b/source/entry/call_admission.h
@@ -1,5 +1,5 @@
-#ifndef BILBERRYTRAY_SOURCE_ENTRY_PLACEMENT_H
-#define BILBERRYTRAY_SOURCE_ENTRY_PLACEMENT_H
+#ifndef BILBERRYTRAY_SOURCE_ENTRY_CALL_ADMISSION_H
+#define BILBERRYTRAY_SOURCE_ENTRY_CALL_ADMISSION_H
 
 /** @file
  * Admission of calls, and the parameters for it that come from the rule and the account of a call.
--- a/source/entry/caller.c
+++ b/source/entry/caller.c
@@ -155,7 +155,7 @@
   pthread_mutex_lock (&caller->lock);
   if (caller->state == ANSWER_BEGUN)
     {
-      if (bt_count_buffer (&caller->pending) + bytes <= MAX_PENDING_BYTES)
+      if (bt_get_buffer_bytes (&caller->pending) + bytes <= MAX_PENDING_BYTES)
         {
           bt_append_buffer (ctx, &caller->pending, data, bytes);
           added = true;
@@ -265,12 +265,12 @@
   ssize_t result;
 
   pthread_mutex_lock (&caller->lock);
-  bytes = bt_count_buffer (&caller->pending);
+  bytes = bt_get_buffer_bytes (&caller->pending);
   if (bytes > 0)
     {
       bytes = bytes < max ? bytes : max;
       memcpy (buffer, caller->pending.data + caller->pending.start, bytes);
-      bt_take_buffer (&caller->pending, bytes);
+      bt_consume_buffer (&caller->pending, bytes);
       result = (ssize_t)bytes;
     }
   else if (caller->state == ANSWER_COMPLETE)
@@ -316,7 +316,7 @@
   /* An answer that is already complete is sent with its length. Any other is sent in chunks, and
    * the final chunk tells the caller that nothing is missing. */
   head.length =
-      caller->state == ANSWER_COMPLETE ? bt_count_buffer (&caller->pending) : MHD_SIZE_UNKNOWN;
+      caller->state == ANSWER_COMPLETE ? bt_get_buffer_bytes (&caller->pending) : MHD_SIZE_UNKNOWN;
   head.status = caller->status;
   head.outcome = caller->outcome;
   head.reason = caller->reason;
--- a/source/entry/command_explain.c
+++ b/source/entry/command_explain.c
@@ -6,7 +6,7 @@
 
 #include "bilberrytray/config/rule.h"
 #include "commands.h"
-#include "request_story.h"
+#include "request_trace.h"
 
 enum
 {
--- a/source/entry/config_driver.c
+++ b/source/entry/config_driver.c
@@ -183,7 +183,7 @@
 static void
 watch_store (bt_config_driver_t *driver, int64_t since, int64_t wait_ms, bt_error_t *error)
 {
-  bt_kv_watch_result_t result = BT_KV_WATCH_QUIET;
+  bt_kv_watch_result_t result = BT_KV_WATCH_NO_EVENTS;
   bt_sync_actions_t actions = { 0 };
   int64_t now_ms;
 
@@ -192,7 +192,7 @@
   now_ms = bt_now_ms (driver->ctx);
   pthread_mutex_lock (&driver->entry->lock);
   if (error->code == BT_ERROR_NONE)
-    bt_handle_store_watch (driver->ctx, driver->sync, result != BT_KV_WATCH_QUIET, now_ms,
+    bt_handle_store_watch (driver->ctx, driver->sync, result != BT_KV_WATCH_NO_EVENTS, now_ms,
                            &actions);
   else
     bt_handle_store_failure (driver->ctx, driver->sync, now_ms);
--- a/source/entry/deliveries.c
+++ b/source/entry/deliveries.c
@@ -1,9 +1,9 @@
 #include <string.h>
 
 #include "bilberrytray/base/log.h"
+#include "call_admission.h"
 #include "entry_private.h"
 #include "messages.h"
-#include "placement.h"
 
 /* Runs the delivery of each call: performs its actions by sending frames to agents, asking the
  * router and the retry budget, and answering the caller. */
--- a/source/entry/entry_links.c
+++ b/source/entry/entry_links.c
@@ -352,9 +352,10 @@
 }
 
 static void
-on_beat (bt_link_handler_t *handler, bt_link_t *link)
+on_heartbeat_due (bt_link_handler_t *handler, bt_link_t *link)
 {
   send_heartbeat ((bt_entry_t *)handler, link);
 }
 
-const bt_link_handler_vtable_t bt_entry_link_vtable = { on_up, on_frame, on_down, on_beat };
+const bt_link_handler_vtable_t bt_entry_link_vtable = { on_up, on_frame, on_down,
+                                                        on_heartbeat_due };
--- a/source/entry/http_server.c
+++ b/source/entry/http_server.c
@@ -256,7 +256,7 @@
 void
 bt_close_http_server (bt_http_server_t *server)
 {
-  server->listen_socket = bt_shut_listener (server->daemon);
+  server->listen_socket = bt_shutdown_listener (server->daemon);
 }
 
 void
--- a/source/entry/map_control.c
+++ b/source/entry/map_control.c
@@ -242,7 +242,7 @@
   int64_t sent_ms = bt_now_ms (control->ctx);
   int64_t lease_ms = control->settings.lease_s * MS_PER_S;
   uint64_t fence = 0;
-  bt_lease_result_t result = bt_hold_fenced_lease (control->ctx, control->lease, &fence);
+  bt_lease_result_t result = bt_acquire_fenced_lease (control->ctx, control->lease, &fence);
   bool held;
 
   pthread_mutex_lock (&control->lock);
--- a/source/entry/map_planning.c
+++ b/source/entry/map_planning.c
@@ -250,8 +250,8 @@
   if (planning->stored_map_count < MAX_STORED_MAPS)
     planning->stored_maps[planning->stored_map_count++] = digest;
   else
-    bt_note_limit (planning->ctx, "stored-maps", MAX_STORED_MAPS, planning->settings.group,
-                   "A map that may be in the store will not be deleted.");
+    bt_report_limit (planning->ctx, "stored-maps", MAX_STORED_MAPS, planning->settings.group,
+                     "A map that may be in the store will not be deleted.");
 }
 
 /* Stores a map and deletes the older ones, except the map in use. A controller that was
--- a/source/entry/operator_links.c
+++ b/source/entry/operator_links.c
@@ -109,7 +109,7 @@
 }
 
 static void
-on_beat (bt_link_handler_t *handler, bt_link_t *link)
+on_heartbeat_due (bt_link_handler_t *handler, bt_link_t *link)
 {
   bt_operator_links_t *links = (bt_operator_links_t *)handler;
   Bilberry__Heartbeat heartbeat = BILBERRY__HEARTBEAT__INIT;
@@ -121,7 +121,8 @@
   bt_send_frame (links->ctx, link, &frame);
 }
 
-static const bt_link_handler_vtable_t operator_vtable = { on_up, on_frame, on_down, on_beat };
+static const bt_link_handler_vtable_t operator_vtable = { on_up, on_frame, on_down,
+                                                          on_heartbeat_due };
 
 bt_operator_links_t *
 bt_new_operator_links (bt_context_t *ctx, const char *secret, bt_error_t *error)
--- a/source/entry/request_story.c
+++ b/source/entry/request_trace.c
@@ -1,4 +1,4 @@
-#include "request_story.h"
+#include "request_trace.h"
 
 #include <jansson.h>
 #include <stdint.h>
--- a/source/entry/request_story.h
+++ b/source/entry/request_trace.h
@@ -1,5 +1,5 @@
-#ifndef BILBERRYTRAY_SOURCE_ENTRY_REQUEST_STORY_H
-#define BILBERRYTRAY_SOURCE_ENTRY_REQUEST_STORY_H
+#ifndef BILBERRYTRAY_SOURCE_ENTRY_REQUEST_TRACE_H
+#define BILBERRYTRAY_SOURCE_ENTRY_REQUEST_TRACE_H
 
 /** @file
  * Reconstructs how a request was handled, from its id and the logs of several processes.
--- a/source/gateway/crash_reporter.c
+++ b/source/gateway/crash_reporter.c
@@ -194,8 +194,8 @@
   pthread_cond_signal (&reporter->changed);
   pthread_mutex_unlock (&reporter->lock);
   if (full)
-    bt_note_limit (reporter->ctx, "crash-reports", MAX_QUEUED, report.key,
-                   "The other instances are not notified of it.");
+    bt_report_limit (reporter->ctx, "crash-reports", MAX_QUEUED, report.key,
+                     "The other instances are not notified of it.");
 }
 
 void
--- a/source/gateway/feed_messages.c
+++ b/source/gateway/feed_messages.c
@@ -42,7 +42,7 @@
   for (int32_t i = 0; i < written->count; i++)
     add_item (ctx, message, &written->pairs[i]);
   for (int32_t i = 0; i < changes->removed_count; i++)
-    add_removal (ctx, message, changes->removed[i], changes->removed_at[i]);
+    add_removal (ctx, message, changes->removed[i], changes->removed_revisions[i]);
 }
 
 void
@@ -100,13 +100,14 @@
   changes->written.revision = message->revision;
   changes->written.pairs = bt_calloc (ctx, message->n_written, sizeof *changes->written.pairs);
   changes->removed = bt_calloc (ctx, message->n_removed, sizeof *changes->removed);
-  changes->removed_at = bt_calloc (ctx, message->n_removed, sizeof *changes->removed_at);
+  changes->removed_revisions =
+      bt_calloc (ctx, message->n_removed, sizeof *changes->removed_revisions);
   update->keys = bt_calloc (ctx, message->n_keys, sizeof (char *));
   for (size_t i = 0; i < message->n_written; i++)
     read_item (ctx, message->written[i], &changes->written.pairs[changes->written.count++]);
   for (size_t i = 0; i < message->n_removed; i++)
     {
-      changes->removed_at[changes->removed_count] = message->removed[i]->revision;
+      changes->removed_revisions[changes->removed_count] = message->removed[i]->revision;
       changes->removed[changes->removed_count++] = bt_strdup (ctx, message->removed[i]->key);
     }
   for (size_t i = 0; i < message->n_keys; i++)
--- a/source/gateway/group_control.c
+++ b/source/gateway/group_control.c
@@ -233,8 +233,8 @@
   if (group != NULL)
     bt_handle_managed_group_update (group, update, pass_limit, bt_get_loop_ms (control->loop));
   else
-    bt_note_limit (control->ctx, "group", BT_MAX_RANKS, report->group,
-                   "Its ranks or experts exceed the limits of a map; its map is not changed.");
+    bt_report_limit (control->ctx, "group", BT_MAX_RANKS, report->group,
+                     "Its ranks or experts exceed the limits of a map; its map is not changed.");
 }
 
 static bool
--- a/source/gateway/lease_keeper.c
+++ b/source/gateway/lease_keeper.c
@@ -61,7 +61,7 @@
 release_lease (bt_lease_keeper_t *keeper)
 {
   pthread_mutex_unlock (&keeper->lock);
-  bt_give_back_fenced_lease (keeper->ctx, keeper->lease);
+  bt_release_fenced_lease (keeper->ctx, keeper->lease);
   pthread_mutex_lock (&keeper->lock);
 }
 
@@ -72,7 +72,7 @@
   int64_t sent_ms = bt_now_ms (keeper->ctx);
   uint64_t fence = 0;
 
-  switch (bt_hold_fenced_lease (keeper->ctx, keeper->lease, &fence))
+  switch (bt_acquire_fenced_lease (keeper->ctx, keeper->lease, &fence))
     {
     case BT_LEASE_GRANTED:
       bt_log_event (keeper->ctx, BT_LOG_INFO, "lease-granted", "{s:s, s:I}", "lease",
--- a/source/gateway/store_copy.c
+++ b/source/gateway/store_copy.c
@@ -83,12 +83,12 @@
   size_t max_count = (size_t)changes->removed_count + (size_t)items->count;
 
   changes->removed = bt_realloc (ctx, changes->removed, max_count, sizeof *changes->removed);
-  changes->removed_at =
-      bt_realloc (ctx, changes->removed_at, max_count, sizeof *changes->removed_at);
+  changes->removed_revisions =
+      bt_realloc (ctx, changes->removed_revisions, max_count, sizeof *changes->removed_revisions);
   for (int32_t i = 0; i < items->count; i++)
     if (!has_key (update, items->pairs[i].key))
       {
-        changes->removed_at[changes->removed_count] = changes->written.revision;
+        changes->removed_revisions[changes->removed_count] = changes->written.revision;
         changes->removed[changes->removed_count++] = bt_strdup (ctx, items->pairs[i].key);
       }
 }
--- a/source/page/listener.c
+++ b/source/page/listener.c
@@ -49,7 +49,7 @@
 }
 
 int
-bt_shut_listener (struct MHD_Daemon *daemon)
+bt_shutdown_listener (struct MHD_Daemon *daemon)
 {
   int listen_fd = MHD_quiesce_daemon (daemon);
 
--- a/source/requests/crash_table.c
+++ b/source/requests/crash_table.c
@@ -194,8 +194,8 @@
 {
   if (table->count < table->options.max_crashes)
     return true;
-  bt_note_limit (ctx, "crashes", table->options.max_crashes, crash->endpoint.instance,
-                 "A crash of this endpoint is not recorded: the crash table is full.");
+  bt_report_limit (ctx, "crashes", table->options.max_crashes, crash->endpoint.instance,
+                   "A crash of this endpoint is not recorded: the crash table is full.");
   return false;
 }
 
--- a/source/store/fenced_lease.c
+++ b/source/store/fenced_lease.c
@@ -106,7 +106,7 @@
 }
 
 bt_lease_result_t
-bt_hold_fenced_lease (bt_context_t *ctx, bt_fenced_lease_t *lease, uint64_t *fence)
+bt_acquire_fenced_lease (bt_context_t *ctx, bt_fenced_lease_t *lease, uint64_t *fence)
 {
   bt_error_t error = { 0 };
   int64_t ttl_s = 0;
@@ -127,7 +127,7 @@
 }
 
 void
-bt_give_back_fenced_lease (bt_context_t *ctx, bt_fenced_lease_t *lease)
+bt_release_fenced_lease (bt_context_t *ctx, bt_fenced_lease_t *lease)
 {
   bt_error_t error = { 0 };
 
--- a/source/store/kv.c
+++ b/source/store/kv.c
@@ -110,14 +110,14 @@
               bt_kv_changes_t *changes,
               bt_error_t *error)
 {
-  bt_kv_watch_result_t result = BT_KV_WATCH_QUIET;
+  bt_kv_watch_result_t result = BT_KV_WATCH_NO_EVENTS;
 
   memset (changes, 0, sizeof *changes);
   if (kv->vtable->follow != NULL)
     return kv->vtable->follow (ctx, kv, prefix, start_revision, wait_ms, changes, error);
   if (!bt_watch_kv (ctx, kv, prefix, start_revision, wait_ms, &result, error))
     return false;
-  changes->incomplete = result != BT_KV_WATCH_QUIET;
+  changes->incomplete = result != BT_KV_WATCH_NO_EVENTS;
   changes->written.revision = start_revision - 1;
   return true;
 }
@@ -129,7 +129,7 @@
   for (int32_t i = 0; i < changes->removed_count; i++)
     bt_free (ctx, changes->removed[i]);
   bt_free (ctx, changes->removed);
-  bt_free (ctx, changes->removed_at);
+  bt_free (ctx, changes->removed_revisions);
   memset (changes, 0, sizeof *changes);
 }
 
@@ -181,7 +181,7 @@
     }
   written->count = 0;
   for (int32_t i = 0; i < changes->removed_count; i++)
-    remove_key (ctx, range, changes->removed[i], changes->removed_at[i]);
+    remove_key (ctx, range, changes->removed[i], changes->removed_revisions[i]);
   range->revision = written->revision;
 }
 
--- a/source/store/kv_etcd.c
+++ b/source/store/kv_etcd.c
@@ -222,7 +222,7 @@
   else if (json_array_size (json_object_get (result, "events")) > 0)
     state->result = BT_KV_WATCH_EVENTS;
   json_decref (document);
-  return state->result != BT_KV_WATCH_QUIET;
+  return state->result != BT_KV_WATCH_NO_EVENTS;
 }
 
 static bool
@@ -233,7 +233,7 @@
   (void)ctx;
   if (answer->status != HTTP_OK)
     return set_status_error (answer, BT_KV_CALL_WATCH, error);
-  if (!state->created && state->result == BT_KV_WATCH_QUIET)
+  if (!state->created && state->result == BT_KV_WATCH_NO_EVENTS)
     return bt_set_error (error, BT_ERROR_TIMEOUT, "The watch was not confirmed.");
   return true;
 }
--- a/source/wire/frame.c
+++ b/source/wire/frame.c
@@ -40,7 +40,7 @@
 }
 
 void
-bt_take_buffer (bt_buffer_t *buffer, size_t bytes)
+bt_consume_buffer (bt_buffer_t *buffer, size_t bytes)
 {
   buffer->start += bytes;
   if (buffer->start == buffer->end)
@@ -48,7 +48,7 @@
 }
 
 size_t
-bt_count_buffer (const bt_buffer_t *buffer)
+bt_get_buffer_bytes (const bt_buffer_t *buffer)
 {
   return buffer->end - buffer->start;
 }
@@ -87,7 +87,7 @@
   size_t bytes;
   bt_frame_t *frame;
 
-  if (bt_count_buffer (buffer) < BT_FRAME_PREFIX_BYTES)
+  if (bt_get_buffer_bytes (buffer) < BT_FRAME_PREFIX_BYTES)
     return NULL;
   bytes = read_length (at);
   if (bytes > max_bytes)
@@ -96,7 +96,7 @@
                     bytes, max_bytes);
       return NULL;
     }
-  if (bt_count_buffer (buffer) < BT_FRAME_PREFIX_BYTES + bytes)
+  if (bt_get_buffer_bytes (buffer) < BT_FRAME_PREFIX_BYTES + bytes)
     return NULL;
   frame = bilberry__frame__unpack (NULL, bytes, at + BT_FRAME_PREFIX_BYTES);
   if (frame == NULL || frame->body_case == BILBERRY__FRAME__BODY__NOT_SET)
@@ -106,7 +106,7 @@
                     bytes);
       return NULL;
     }
-  bt_take_buffer (buffer, BT_FRAME_PREFIX_BYTES + bytes);
+  bt_consume_buffer (buffer, BT_FRAME_PREFIX_BYTES + bytes);
   return frame;
 }
 
--- a/source/wire/link.c
+++ b/source/wire/link.c
@@ -65,10 +65,10 @@
 static bool
 flush_locked (bt_link_t *link)
 {
-  while (bt_count_buffer (&link->unsent) > 0)
+  while (bt_get_buffer_bytes (&link->unsent) > 0)
     {
       ssize_t sent = send (link->fd, link->unsent.data + link->unsent.start,
-                           bt_count_buffer (&link->unsent), MSG_NOSIGNAL | MSG_DONTWAIT);
+                           bt_get_buffer_bytes (&link->unsent), MSG_NOSIGNAL | MSG_DONTWAIT);
 
       if (sent < 0 && errno == EINTR)
         continue;
@@ -79,7 +79,7 @@
         }
       if (sent < 0)
         return false;
-      bt_take_buffer (&link->unsent, (size_t)sent);
+      bt_consume_buffer (&link->unsent, (size_t)sent);
     }
   set_write_interest (link, false);
   return true;
@@ -109,7 +109,7 @@
       bt_encode_frame (ctx, &link->unsent, frame);
       /* Unsent data for a peer that has stopped reading would fill this process's memory, so the
        * link is closed. Requests in flight are resent by key, as after any dead link. */
-      sent = bt_count_buffer (&link->unsent) <= link->loop->options.max_unsent_bytes
+      sent = bt_get_buffer_bytes (&link->unsent) <= link->loop->options.max_unsent_bytes
              && flush_locked (link);
     }
   pthread_mutex_unlock (&link->lock);
--- a/source/wire/link_loop.c
+++ b/source/wire/link_loop.c
@@ -82,8 +82,8 @@
     }
   if (atomic_load (&loop->link_count) >= loop->options.max_links)
     {
-      bt_note_limit (loop->ctx, "links", loop->options.max_links, address,
-                     "The peer is not dialled; another attempt follows.");
+      bt_report_limit (loop->ctx, "links", loop->options.max_links, address,
+                       "The peer is not dialled; another attempt follows.");
       bt_set_error (error, BT_ERROR_TOO_LARGE, "The limit of %d links is reached.",
                     loop->options.max_links);
       return NULL;
@@ -151,8 +151,8 @@
 
       if (atomic_load (&loop->link_count) >= loop->options.max_links)
         {
-          bt_note_limit (loop->ctx, "links", loop->options.max_links, "a peer that dialled",
-                         "The connection is closed; the peer will retry.");
+          bt_report_limit (loop->ctx, "links", loop->options.max_links, "a peer that dialled",
+                           "The connection is closed; the peer will retry.");
           close (fd);
           continue;
         }
@@ -323,7 +323,7 @@
   if (now_ms - link->last_heartbeat_ms >= options->beat_ms)
     {
       link->last_heartbeat_ms = now_ms;
-      options->handler->vtable->on_beat (options->handler, link);
+      options->handler->vtable->on_heartbeat_due (options->handler, link);
     }
 }
 
--- a/test/agent/test_side.c
+++ b/test/agent/test_side.c
@@ -113,7 +113,7 @@
 }
 
 static void
-on_beat (bt_link_handler_t *handler, bt_link_t *link)
+on_heartbeat_due (bt_link_handler_t *handler, bt_link_t *link)
 {
   Bilberry__Heartbeat beat = BILBERRY__HEARTBEAT__INIT;
   bt_frame_t frame = BILBERRY__FRAME__INIT;
@@ -124,7 +124,7 @@
   bt_send_frame (ctx, link, &frame);
 }
 
-static const bt_link_handler_vtable_t vtable = { on_up, on_frame, on_down, on_beat };
+static const bt_link_handler_vtable_t vtable = { on_up, on_frame, on_down, on_heartbeat_due };
 
 static void *
 run_sidecar (void *data)
--- a/test/base/test_limit.c
+++ b/test/base/test_limit.c
@@ -13,8 +13,8 @@
 
   bt_set_log_level (ctx, -1);
   for (int32_t i = 0; i < 1000; i++)
-    bt_note_limit (ctx, "links", 64, "a peer", "It is turned away.");
-  bt_note_limit (ctx, "group", 2048, "g0", "Its map stays as it is.");
+    bt_report_limit (ctx, "links", 64, "a peer", "It is turned away.");
+  bt_report_limit (ctx, "group", 2048, "g0", "Its map stays as it is.");
   CU_ASSERT_EQUAL (bt_read_counter (bt_find_counter (
                        ctx, BT_COUNTER, "bilberry_limits_reached_total", "", "limit", "links")),
                    1000);
--- a/test/gateway/test_store_copy.c
+++ b/test/gateway/test_store_copy.c
@@ -26,9 +26,10 @@
 {
   changes->removed = bt_realloc (ctx, changes->removed, (size_t)changes->removed_count + 1,
                                  sizeof *changes->removed);
-  changes->removed_at = bt_realloc (ctx, changes->removed_at, (size_t)changes->removed_count + 1,
-                                    sizeof *changes->removed_at);
-  changes->removed_at[changes->removed_count] = revision;
+  changes->removed_revisions =
+      bt_realloc (ctx, changes->removed_revisions, (size_t)changes->removed_count + 1,
+                  sizeof *changes->removed_revisions);
+  changes->removed_revisions[changes->removed_count] = revision;
   changes->removed[changes->removed_count++] = bt_strdup (ctx, key);
 }
 
--- a/test/store/test_kv.c
+++ b/test/store/test_kv.c
@@ -197,7 +197,7 @@
   CU_ASSERT_TRUE (put_text (&fixture, "config/rules", "one", &revision));
   CU_ASSERT_TRUE (
       bt_watch_kv (fixture.ctx, fixture.kv, "config/", revision + 1, 300, &result, &error));
-  CU_ASSERT_EQUAL (result, BT_KV_WATCH_QUIET);
+  CU_ASSERT_EQUAL (result, BT_KV_WATCH_NO_EVENTS);
   CU_ASSERT_TRUE (put_text (&fixture, "config/rules", "two", NULL));
   CU_ASSERT_TRUE (
       bt_watch_kv (fixture.ctx, fixture.kv, "config/", revision + 1, 60000, &result, &error));
@@ -205,7 +205,7 @@
   set_fault (fixture.ctx, &fixture.service, "{\"kind\":\"silent-watch\",\"match\":\"watch\"}");
   CU_ASSERT_TRUE (
       bt_watch_kv (fixture.ctx, fixture.kv, "config/", revision + 1, 500, &result, &error));
-  CU_ASSERT_EQUAL (result, BT_KV_WATCH_QUIET);
+  CU_ASSERT_EQUAL (result, BT_KV_WATCH_NO_EVENTS);
   CU_ASSERT_EQUAL (read_text (&fixture, "config/rules", text), revision + 1);
   close_fixture (&fixture);
 }
--- a/test/wire/test_frame.c
+++ b/test/wire/test_frame.c
@@ -60,7 +60,7 @@
 
   ctx = bt_new_context ();
   encode_piece (&complete, "text");
-  for (size_t bytes = 0; bytes < bt_count_buffer (&complete); bytes++)
+  for (size_t bytes = 0; bytes < bt_get_buffer_bytes (&complete); bytes++)
     {
       partial.start = partial.end = 0;
       bt_append_buffer (ctx, &partial, complete.data, bytes);
--- a/test/wire/test_link.c
+++ b/test/wire/test_link.c
@@ -51,7 +51,7 @@
 }
 
 static void
-on_beat (bt_link_handler_t *handler, bt_link_t *link)
+on_heartbeat_due (bt_link_handler_t *handler, bt_link_t *link)
 {
   end_t *end = (end_t *)handler;
   Bilberry__Heartbeat heartbeat = BILBERRY__HEARTBEAT__INIT;
@@ -64,7 +64,7 @@
   bt_send_frame (end->ctx, link, &frame);
 }
 
-static const bt_link_handler_vtable_t vtable = { on_up, on_frame, on_down, on_beat };
+static const bt_link_handler_vtable_t vtable = { on_up, on_frame, on_down, on_heartbeat_due };
 
 static void
 start_end (end_t *end, const char *instance, const char *secret, bool silent)
