--- a/bench/bench_capacity.c
+++ b/bench/bench_capacity.c
@@ -1,5 +1,5 @@
-/* Measures the slopes that docs/CAPACITY.md reckons with, each over at least four sizes, and prints
- * its tables. Usage: bench_capacity BUILD_DIR */
+/* Measures the slopes that docs/CAPACITY.md calculates with, each over at least four sizes, and
+ * prints its tables. Usage: bench_capacity BUILD_DIR */
 #include <dirent.h>
 #include <malloc.h>
 #include <stdio.h>
@@ -21,14 +21,14 @@
   TCP_IP_BYTES = 40,
   SMALL_DOCUMENT_BYTES = 300,
   CHANGES = 40,
-  CHANGE_GAP_MS = 2107, /* 41,000 changes a day. */
-  SITE_LATENCY_MS = 2,  /* One and a half, in whole milliseconds. */
-  BEAT_MS = 250,
+  CHANGE_INTERVAL_MS = 2107, /* 41,000 changes a day. */
+  SITE_LATENCY_MS = 2,       /* 1.5 ms, rounded up to whole milliseconds. */
+  HEARTBEAT_INTERVAL_MS = 250,
   POLLS = 20000,
   PERCENT = 100,
   IDLE_S = 8,
   PROCESS_CHANGES = 50,
-  PROCESS_GAP_US = 100000,
+  PROCESS_CHANGE_INTERVAL_US = 100000,
   PUBLISHES = 10,
   US_PER_S = 1000000,
   MS_PER_S = 1000,
@@ -42,7 +42,7 @@
   double base;
 } line_t;
 
-/* The straight line nearest to the points, by least squares. */
+/* Fits a straight line to the points by least squares. */
 static line_t
 fit_line (const double *x, const double *y, int32_t count)
 {
@@ -71,17 +71,17 @@
 }
 
 static int64_t
-count_heartbeat (const bt_spread_heartbeat_t *said)
+count_heartbeat (const bt_spread_heartbeat_t *source)
 {
   Bilberry__Heartbeat heartbeat = BILBERRY__HEARTBEAT__INIT;
   bt_frame_t frame = BILBERRY__FRAME__INIT;
 
-  heartbeat.now_ms = said->now_ms;
-  heartbeat.echo_ms = said->echo_ms < 0 ? 0 : said->echo_ms;
-  heartbeat.config_floor = said->floor;
-  heartbeat.config_fresh_age_ms = said->fresh_age_ms;
-  heartbeat.config_digest = said->digest;
-  heartbeat.max_revision = said->revision;
+  heartbeat.now_ms = source->now_ms;
+  heartbeat.echo_ms = source->echo_ms < 0 ? 0 : source->echo_ms;
+  heartbeat.config_floor = source->floor;
+  heartbeat.config_fresh_age_ms = source->fresh_age_ms;
+  heartbeat.config_digest = source->digest;
+  heartbeat.max_revision = source->revision;
   frame.body_case = BILBERRY__FRAME__BODY_HEARTBEAT;
   frame.heartbeat = &heartbeat;
   return count_frame (&frame);
@@ -109,49 +109,50 @@
   return bytes;
 }
 
-static bt_spread_trial_t
+static bt_sync_trial_t
 make_trial (bt_context_t *ctx, int32_t entries, int32_t document_bytes, bt_trial_fault_t fault)
 {
-  bt_spread_trial_t trial = { .entries = entries,
-                              .documents = 40,
-                              .document_bytes = document_bytes,
-                              .changes = CHANGES,
-                              .gap_ms = CHANGE_GAP_MS,
-                              .latency_ms = SITE_LATENCY_MS,
-                              .beat_ms = BEAT_MS,
-                              .fault = fault,
-                              .count_bytes = count_bytes,
-                              .count_data = ctx };
+  bt_sync_trial_t trial = { .entries = entries,
+                            .documents = 40,
+                            .document_bytes = document_bytes,
+                            .changes = CHANGES,
+                            .change_interval_ms = CHANGE_INTERVAL_MS,
+                            .latency_ms = SITE_LATENCY_MS,
+                            .heartbeat_interval_ms = HEARTBEAT_INTERVAL_MS,
+                            .fault = fault,
+                            .count_bytes = count_bytes,
+                            .count_data = ctx };
 
   return trial;
 }
 
 static void
-bench_spread (bt_context_t *ctx)
+bench_sync (bt_context_t *ctx)
 {
   static const int32_t sizes[] = { 8, 16, 32, 64, 128 };
   double peers[5];
   double idle_bytes[5];
   double idle_cpu[5];
 
-  printf ("\n## Configuration between entries (core, frames as packed, beat %d ms)\n\n", BEAT_MS);
+  printf ("\n## Configuration between entries (core, frames as packed, beat %d ms)\n\n",
+          HEARTBEAT_INTERVAL_MS);
   printf (
       "| entries | peers | idle sent B/s | idle us/s | calls/s of all | a change: B sent | us | "
       "calls of all | calls/s in an outage | calls in the busiest second after "
       "|\n|--:|--:|--:|--:|--:|--:|--:|--:|--:|--:|\n");
   for (int32_t i = 0; i < 5; i++)
     {
-      bt_spread_trial_t trial = make_trial (ctx, sizes[i], SMALL_DOCUMENT_BYTES, BT_TRIAL_NO_FAULT);
-      bt_spread_figures_t figures;
+      bt_sync_trial_t trial = make_trial (ctx, sizes[i], SMALL_DOCUMENT_BYTES, BT_TRIAL_NO_FAULT);
+      bt_sync_metrics_t metrics;
 
-      bt_run_spread_trial (ctx, &trial, &figures);
+      bt_run_sync_trial (ctx, &trial, &metrics);
       printf ("| %d | %.1f | %.0f | %.0f | %.2f | %.0f | %.0f | %.1f | %.1f | %.0f |\n",
-              (int)sizes[i], figures.peers, figures.idle_bytes_s, figures.idle_cpu_us_s,
-              figures.idle_calls_s, figures.change_bytes, figures.change_cpu_us,
-              figures.change_calls, figures.outage_calls_s, figures.after_calls);
-      peers[i] = figures.peers;
-      idle_bytes[i] = figures.idle_bytes_s;
-      idle_cpu[i] = figures.idle_cpu_us_s;
+              (int)sizes[i], metrics.peers, metrics.idle_bytes_s, metrics.idle_cpu_us_s,
+              metrics.idle_calls_s, metrics.change_bytes, metrics.change_cpu_us,
+              metrics.change_calls, metrics.outage_calls_s, metrics.recovery_calls);
+      peers[i] = metrics.peers;
+      idle_bytes[i] = metrics.idle_bytes_s;
+      idle_cpu[i] = metrics.idle_cpu_us_s;
     }
   printf ("\nslope: %.1f B/s and %.2f us/s a peer\n", fit_line (peers, idle_bytes, 5).slope,
           fit_line (peers, idle_cpu, 5).slope);
@@ -168,13 +169,13 @@
           "| bytes | sent by an entry, B | us |\n|--:|--:|--:|\n");
   for (int32_t i = 0; i < SIZES; i++)
     {
-      bt_spread_trial_t trial = make_trial (ctx, 8, sizes[i], BT_TRIAL_NO_FAULT);
-      bt_spread_figures_t figures;
+      bt_sync_trial_t trial = make_trial (ctx, 8, sizes[i], BT_TRIAL_NO_FAULT);
+      bt_sync_metrics_t metrics;
 
-      bt_run_spread_trial (ctx, &trial, &figures);
-      printf ("| %d | %.0f | %.0f |\n", (int)sizes[i], figures.change_bytes, figures.change_cpu_us);
+      bt_run_sync_trial (ctx, &trial, &metrics);
+      printf ("| %d | %.0f | %.0f |\n", (int)sizes[i], metrics.change_bytes, metrics.change_cpu_us);
       x[i] = sizes[i];
-      y[i] = figures.change_bytes;
+      y[i] = metrics.change_bytes;
     }
   printf ("\nslope: %.2f B sent a byte of the document\n", fit_line (x, y, SIZES).slope);
 }
@@ -188,11 +189,12 @@
   return (a > b) - (a < b);
 }
 
-/* The simplest way: each entry reads the service every so often, with a phase of its own. */
+/* Prints a row for the simplest alternative: each entry polls the store once per period, at a
+ * random phase. */
 static void
 print_polling (bt_context_t *ctx, int32_t entries, double period_ms)
 {
-  double *times = bt_calloc (ctx, POLLS, sizeof *times);
+  double *times_ms = bt_calloc (ctx, POLLS, sizeof *times_ms);
   bt_random_t random;
 
   bt_seed_random (&random, (uint64_t)entries);
@@ -201,14 +203,14 @@
       {
         double wait_ms = bt_random_unit (&random) * period_ms + 2.0 * SITE_LATENCY_MS;
 
-        if (wait_ms > times[i])
-          times[i] = wait_ms;
+        if (wait_ms > times_ms[i])
+          times_ms[i] = wait_ms;
       }
-  qsort (times, POLLS, sizeof *times, compare_times);
+  qsort (times_ms, POLLS, sizeof *times_ms, compare_times);
   printf ("| polling each %.0f ms | %d | %.0f | %.0f | %.0f | %.1f |\n", period_ms, (int)entries,
-          times[POLLS / 2], times[POLLS * 99 / PERCENT], times[POLLS - 1],
+          times_ms[POLLS / 2], times_ms[POLLS * 99 / PERCENT], times_ms[POLLS - 1],
           entries * MS_PER_S / period_ms);
-  bt_free (ctx, times);
+  bt_free (ctx, times_ms);
 }
 
 static void
@@ -223,15 +225,15 @@
     {
       for (int32_t fault = 0; fault < BT_TRIAL_FAULT_COUNT; fault++)
         {
-          bt_spread_trial_t trial =
+          bt_sync_trial_t trial =
               make_trial (ctx, size, SMALL_DOCUMENT_BYTES, (bt_trial_fault_t)fault);
-          bt_spread_figures_t figures;
+          bt_sync_metrics_t metrics;
 
           trial.changes = 5 * CHANGES;
-          bt_run_spread_trial (ctx, &trial, &figures);
+          bt_run_sync_trial (ctx, &trial, &metrics);
           printf ("| %s | %d | %lld | %lld | %lld | %.1f |\n", names[fault], (int)size,
-                  (long long)figures.p50_ms, (long long)figures.p99_ms, (long long)figures.worst_ms,
-                  figures.idle_calls_s + figures.change_calls * MS_PER_S / CHANGE_GAP_MS);
+                  (long long)metrics.p50_ms, (long long)metrics.p99_ms, (long long)metrics.worst_ms,
+                  metrics.idle_calls_s + metrics.change_calls * MS_PER_S / CHANGE_INTERVAL_MS);
         }
       print_polling (ctx, size, MS_PER_S);
       print_polling (ctx, size, 4.0 * MS_PER_S);
@@ -247,7 +249,7 @@
       "\n## Memory and time of kept things\n\n"
       "| thing | bytes each at 1000 / 2000 / 4000 / 8000 | slope, B | us each to make at 1000 / "
       "8000 |\n|---|---|--:|---|\n");
-  for (int32_t i = 0; i < BT_KEPT_COUNT; i++)
+  for (int32_t i = 0; i < BT_MEMORY_CASE_COUNT; i++)
     {
       double x[SIZES];
       double bytes[SIZES];
@@ -256,17 +258,17 @@
       for (int32_t j = 0; j < SIZES; j++)
         {
           struct mallinfo2 before = mallinfo2 ();
-          double begun_us = bt_read_cpu_us ();
-          void *made = bt_kept_cases[i].make (ctx, sizes[j]);
+          double start_us = bt_read_cpu_us ();
+          void *object = bt_memory_cases[i].make (ctx, sizes[j]);
           struct mallinfo2 after = mallinfo2 ();
 
-          cpu_us[j] = (bt_read_cpu_us () - begun_us) / sizes[j];
+          cpu_us[j] = (bt_read_cpu_us () - start_us) / sizes[j];
           x[j] = sizes[j];
           bytes[j] =
               (double)(after.uordblks + after.hblkhd) - (double)(before.uordblks + before.hblkhd);
-          bt_kept_cases[i].drop (ctx, made);
+          bt_memory_cases[i].drop (ctx, object);
         }
-      printf ("| %s | %.0f / %.0f / %.0f / %.0f | %.0f | %.1f / %.1f |\n", bt_kept_cases[i].what,
+      printf ("| %s | %.0f / %.0f / %.0f / %.0f | %.0f | %.1f / %.1f |\n", bt_memory_cases[i].name,
               bytes[0] / x[0], bytes[1] / x[1], bytes[2] / x[2], bytes[3] / x[3],
               fit_line (x, bytes, SIZES).slope, cpu_us[0], cpu_us[3]);
     }
@@ -275,30 +277,32 @@
 static void
 bench_frames (void)
 {
-  Bilberry__Heartbeat beat = BILBERRY__HEARTBEAT__INIT;
+  Bilberry__Heartbeat heartbeat = BILBERRY__HEARTBEAT__INIT;
   Bilberry__Load load = BILBERRY__LOAD__INIT;
   bt_frame_t frame = BILBERRY__FRAME__INIT;
-  bt_spread_heartbeat_t said = { 86400000, 86400000, 1 << 20, 3000, 1 << 20, UINT64_MAX };
+  bt_spread_heartbeat_t entry_heartbeat = {
+    86400000, 86400000, 1 << 20, 3000, 1 << 20, UINT64_MAX
+  };
   int64_t to_agent;
 
   frame.body_case = BILBERRY__FRAME__BODY_HEARTBEAT;
-  frame.heartbeat = &beat;
-  beat.now_ms = 86400000;
-  beat.max_revision = 1 << 20;
+  frame.heartbeat = &heartbeat;
+  heartbeat.now_ms = 86400000;
+  heartbeat.max_revision = 1 << 20;
   to_agent = count_frame (&frame);
-  beat.max_revision = 0;
-  beat.endpoint = "tw-north-draft-1234";
-  beat.app = "order-drafting";
+  heartbeat.max_revision = 0;
+  heartbeat.endpoint = "tw-north-draft-1234";
+  heartbeat.app = "order-drafting";
   load.running = load.queued = 20;
   load.capacity = load.queue_limit = 32;
   load.service_ms = 900;
   load.step_us = 6000;
-  beat.load = &load;
+  heartbeat.load = &load;
   printf (
       "\n## Heartbeats, with %d B of TCP and IP\n\nentry to agent %lld B, agent to entry %lld B, "
       "entry to entry %lld B\n",
       TCP_IP_BYTES, (long long)to_agent, (long long)count_frame (&frame),
-      (long long)count_heartbeat (&said));
+      (long long)count_heartbeat (&entry_heartbeat));
 }
 
 static pid_t
@@ -310,7 +314,7 @@
   return 0;
 }
 
-/* Processor time of all threads of a process, in microseconds, as the scheduler counts it. */
+/* Returns the CPU time of all threads of a process, in microseconds, as the scheduler counts it. */
 static double
 read_process_cpu_us (pid_t pid)
 {
@@ -358,14 +362,14 @@
   return (double)pages * (double)sysconf (_SC_PAGESIZE) / KB;
 }
 
-typedef struct process_figures
+typedef struct process_metrics
 {
   double idle_cpu_us_s;
   double memory_kb;
   double calls_s;
   double change_cpu_us;
   double change_calls;
-} process_figures_t;
+} process_metrics_t;
 
 static double
 count_calls (const bt_stage_t *stage)
@@ -374,26 +378,26 @@
 }
 
 static void
-measure_idle (const bt_stage_t *stage, const char *name, process_figures_t *figures)
+measure_idle (const bt_stage_t *stage, const char *name, process_metrics_t *metrics)
 {
   pid_t pid = find_pid (stage, name);
-  double calls = count_calls (stage);
-  double begun_us = read_process_cpu_us (pid);
+  double start_calls = count_calls (stage);
+  double start_us = read_process_cpu_us (pid);
 
   sleep (IDLE_S);
-  figures->idle_cpu_us_s = (read_process_cpu_us (pid) - begun_us) / IDLE_S;
-  figures->calls_s = (count_calls (stage) - calls) / IDLE_S;
-  figures->memory_kb = read_process_kb (pid);
+  metrics->idle_cpu_us_s = (read_process_cpu_us (pid) - start_us) / IDLE_S;
+  metrics->calls_s = (count_calls (stage) - start_calls) / IDLE_S;
+  metrics->memory_kb = read_process_kb (pid);
 }
 
-/* Rules are written straight into the service, in ten changes a second: a day's in 70 minutes. */
+/* Writes rules directly into the store, ten changes a second: a day's changes in 70 minutes. */
 static void
-measure_changes (const bt_stage_t *stage, const char *name, process_figures_t *figures)
+measure_changes (const bt_stage_t *stage, const char *name, process_metrics_t *metrics)
 {
   pid_t pid = find_pid (stage, name);
-  double calls = count_calls (stage);
-  double begun_us = read_process_cpu_us (pid);
-  int64_t started_us = bt_read_monotonic_us ();
+  double start_calls = count_calls (stage);
+  double start_cpu_us = read_process_cpu_us (pid);
+  int64_t start_time_us = bt_read_monotonic_us ();
   double seconds;
 
   for (int32_t i = 0; i < PROCESS_CHANGES; i++)
@@ -402,19 +406,21 @@
 
       snprintf (version, sizeof version, "v%d", (int)i);
       bt_put_version (stage, version);
-      usleep (PROCESS_GAP_US);
+      usleep (PROCESS_CHANGE_INTERVAL_US);
     }
-  seconds = (double)(bt_read_monotonic_us () - started_us) / US_PER_S;
-  figures->change_cpu_us =
-      (read_process_cpu_us (pid) - begun_us - figures->idle_cpu_us_s * seconds) / PROCESS_CHANGES;
-  figures->change_calls =
-      (count_calls (stage) - calls - figures->calls_s * seconds) / PROCESS_CHANGES;
+  seconds = (double)(bt_read_monotonic_us () - start_time_us) / US_PER_S;
+  metrics->change_cpu_us =
+      (read_process_cpu_us (pid) - start_cpu_us - metrics->idle_cpu_us_s * seconds)
+      / PROCESS_CHANGES;
+  metrics->change_calls =
+      (count_calls (stage) - start_calls - metrics->calls_s * seconds) / PROCESS_CHANGES;
 }
 
 static void
 bench_entry_processes (void)
 {
-  /* Above eight entries, not every entry is linked to every agent, as a stage waits for. */
+  /* bt_new_stage waits until every entry is linked to every agent. That does not happen with more
+   * than eight entries. */
   static const int32_t sizes[] = { 2, 4, 6, 8 };
   char *rules = bt_make_version_rules ("start");
   double x[SIZES];
@@ -425,23 +431,23 @@
       "\n## Entries as processes (1 agent, beat %d ms; /proc)\n\n"
       "| entries | idle us/s of one | kB | calls/s of all | a change: us of one | calls of all |"
       "\n|--:|--:|--:|--:|--:|--:|\n",
-      BEAT_MS);
+      HEARTBEAT_INTERVAL_MS);
   for (int32_t i = 0; i < SIZES; i++)
     {
       bt_stage_t *stage = bt_new_stage (sizes[i], 0, 1, 1000, rules);
-      process_figures_t figures = { 0 };
+      process_metrics_t metrics = { 0 };
 
       if (stage == NULL)
         continue;
-      measure_idle (stage, "entry-1", &figures);
-      measure_changes (stage, "entry-1", &figures);
+      measure_idle (stage, "entry-1", &metrics);
+      measure_changes (stage, "entry-1", &metrics);
       bt_drop_stage (stage, false);
-      printf ("| %d | %.0f | %.0f | %.2f | %.0f | %.1f |\n", (int)sizes[i], figures.idle_cpu_us_s,
-              figures.memory_kb, figures.calls_s, figures.change_cpu_us, figures.change_calls);
+      printf ("| %d | %.0f | %.0f | %.2f | %.0f | %.1f |\n", (int)sizes[i], metrics.idle_cpu_us_s,
+              metrics.memory_kb, metrics.calls_s, metrics.change_cpu_us, metrics.change_calls);
       fflush (stdout);
       x[i] = sizes[i] - 1;
-      cpu[i] = figures.idle_cpu_us_s;
-      memory[i] = figures.memory_kb;
+      cpu[i] = metrics.idle_cpu_us_s;
+      memory[i] = metrics.memory_kb;
     }
   free (rules);
   printf ("\nslope: %.0f us/s and %.0f kB a peer, above %.0f us/s and %.0f kB\n",
@@ -461,12 +467,12 @@
   printf ("\n## Agents as processes (1 entry, beat %d ms)\n\n"
           "| agents | entry idle us/s | entry kB | an agent us/s | agent kB |\n"
           "|--:|--:|--:|--:|--:|\n",
-          BEAT_MS);
+          HEARTBEAT_INTERVAL_MS);
   for (int32_t i = 0; i < SIZES; i++)
     {
       bt_stage_t *stage = bt_new_stage (1, 0, sizes[i], 1000, rules);
-      process_figures_t entry = { 0 };
-      process_figures_t agent = { 0 };
+      process_metrics_t entry = { 0 };
+      process_metrics_t agent = { 0 };
 
       if (stage == NULL)
         continue;
@@ -487,25 +493,25 @@
 }
 
 static void
-publish_often (const bt_stage_t *stage, int32_t entries)
+measure_publishes (const bt_stage_t *stage, int32_t entries)
 {
-  double times[PUBLISHES];
+  double times_ms[PUBLISHES];
   int32_t accepted = 0;
 
   for (int32_t i = 0; i < PUBLISHES; i++)
     {
       char output[BT_OUTPUT_BYTES];
       char version[16];
-      int64_t begun_us;
+      int64_t start_us;
 
       snprintf (version, sizeof version, "p%d", (int)i);
-      begun_us = bt_read_monotonic_us ();
+      start_us = bt_read_monotonic_us ();
       accepted += bt_publish_version (stage, version, NULL, output) == 0 ? 1 : 0;
-      times[i] = (double)(bt_read_monotonic_us () - begun_us) / MS_PER_S;
+      times_ms[i] = (double)(bt_read_monotonic_us () - start_us) / MS_PER_S;
     }
-  qsort (times, PUBLISHES, sizeof times[0], compare_times);
+  qsort (times_ms, PUBLISHES, sizeof times_ms[0], compare_times);
   printf ("| %d | %d of %d | %.0f | %.0f |\n", (int)entries, (int)accepted, PUBLISHES,
-          times[PUBLISHES / 2], times[PUBLISHES - 1]);
+          times_ms[PUBLISHES / 2], times_ms[PUBLISHES - 1]);
 }
 
 static void
@@ -522,7 +528,7 @@
 
       if (stage == NULL)
         continue;
-      publish_often (stage, sizes[i]);
+      measure_publishes (stage, sizes[i]);
       bt_drop_stage (stage, false);
     }
   free (rules);
@@ -537,7 +543,7 @@
   setvbuf (stdout, NULL, _IOLBF, 0);
   bench_frames ();
   bench_memory (ctx);
-  bench_spread (ctx);
+  bench_sync (ctx);
   bench_document_size (ctx);
   bench_in_force (ctx);
   bench_entry_processes ();
--- a/bench/bench_crashes.c
+++ b/bench/bench_crashes.c
@@ -1,6 +1,7 @@
 /** @file
- * What requests that crash endpoints cost an instance: a fingerprint by the size of a body, and a
- * look-up and a list taken in by the number of crashes that are known. `make bench-crashes`.
+ * Measures what the crash protection costs an instance: the time of a fingerprint by the size of
+ * the body, and the times of a lookup and of applying the shared list by the number of known
+ * crashes. Run with `make bench-crashes`.
  */
 
 #include <stdio.h>
@@ -13,29 +14,29 @@
 enum
 {
   REPEATS = 20000,
-  LISTS = 200,
-  MOST_CRASHES = 4096,
-  MOST_BODY_BYTES = 65536,
+  UPDATES = 200,
+  MAX_CRASHES = 4096,
+  MAX_BODY_BYTES = 65536,
 };
 
 static void
 measure_fingerprint (size_t body_bytes)
 {
-  static char body[MOST_BODY_BYTES];
+  static char body[MAX_BODY_BYTES];
   bt_request_content_t content = { "account", "POST", "/orders/draft", body, body_bytes };
   bt_fingerprint_key_t key;
   bt_fingerprint_t fingerprint;
-  double begun_us;
+  double start_us;
 
   bt_derive_fingerprint_key ("secret", &key);
-  begun_us = bt_read_cpu_us ();
+  start_us = bt_read_cpu_us ();
   for (int32_t i = 0; i < REPEATS; i++)
     {
       body[0] = (char)i;
       bt_make_fingerprint (&key, &content, &fingerprint);
     }
   printf ("fingerprint of %6zu B: %8.2f us\n", body_bytes,
-          (bt_read_cpu_us () - begun_us) / REPEATS);
+          (bt_read_cpu_us () - start_us) / REPEATS);
 }
 
 static bt_listed_crash_t
@@ -53,26 +54,26 @@
 static void
 measure_table (bt_context_t *ctx, int32_t crashes)
 {
-  static bt_listed_crash_t listed[MOST_CRASHES];
+  static bt_listed_crash_t listed[MAX_CRASHES];
   bt_crash_options_t options;
   bt_crash_table_t *table;
-  double begun_us;
-  double list_us;
+  double start_us;
+  double update_us;
   int32_t refused = 0;
 
   bt_default_crash_options (&options);
   table = bt_new_crash_table (ctx, &options);
   for (int32_t i = 0; i < crashes; i++)
     listed[i] = make_crash (i);
-  begun_us = bt_read_cpu_us ();
-  for (int32_t i = 0; i < LISTS; i++)
+  start_us = bt_read_cpu_us ();
+  for (int32_t i = 0; i < UPDATES; i++)
     bt_take_listed_crashes (ctx, table, listed, crashes, i);
-  list_us = (bt_read_cpu_us () - begun_us) / LISTS;
-  begun_us = bt_read_cpu_us ();
+  update_us = (bt_read_cpu_us () - start_us) / UPDATES;
+  start_us = bt_read_cpu_us ();
   for (int32_t i = 0; i < REPEATS; i++)
     refused += bt_is_crashing (table, &listed[i % crashes].crash.request) ? 1 : 0;
   printf ("%5d crashes known: look-up %6.3f us, list %9.1f us, %d refused\n", crashes,
-          (bt_read_cpu_us () - begun_us) / REPEATS, list_us, refused);
+          (bt_read_cpu_us () - start_us) / REPEATS, update_us, refused);
   bt_drop_crash_table (ctx, table);
 }
 
@@ -81,9 +82,9 @@
 {
   bt_context_t *ctx = bt_new_context ();
 
-  for (size_t bytes = 256; bytes <= MOST_BODY_BYTES; bytes *= 4)
+  for (size_t bytes = 256; bytes <= MAX_BODY_BYTES; bytes *= 4)
     measure_fingerprint (bytes);
-  for (int32_t crashes = 16; crashes <= MOST_CRASHES; crashes *= 4)
+  for (int32_t crashes = 16; crashes <= MAX_CRASHES; crashes *= 4)
     measure_table (ctx, crashes);
   bt_drop_context (ctx);
   return 0;
--- a/bench/bench_experiment.c
+++ b/bench/bench_experiment.c
@@ -1,6 +1,7 @@
 /** @file
- * Plays loads on the emulator of a rank group, several ways of running it side by side, and prints
- * what the callers got. Loads, ways and seeds come from a JSON file; see examples/experiments.
+ * Simulates the loads of an experiment on the emulator of a rank group, with several variants of
+ * running the group, and prints the service that callers got. Loads, variants ("ways") and seeds
+ * come from a JSON file; see examples/experiments.
  */
 
 #include <getopt.h>
@@ -17,14 +18,14 @@
 enum
 {
   MS_PER_S = 1000,
-  MOST_SEEDS = 64,
+  MAX_SEEDS = 64,
 };
 
-/** The sums of one load and way over all seeds. */
+/** Sums of the results of one load and variant over all seeds. */
 typedef struct row
 {
   bt_group_result_t sum;
-  int32_t plays;
+  int32_t runs;
 } row_t;
 
 static void
@@ -78,16 +79,16 @@
                       "spare_places", &engine->spare_places, "expert_mb", &engine->expert_mb,
                       "link_mbps", &engine->link_mbps, "expert_share", &engine->expert_share)
       != 0)
-    die (file, "a load is not as expected", &error);
+    die (file, "invalid load", &error);
   snprintf (error.text, sizeof error.text, "%s", name);
   error.line = -1;
   if (!read_shift (shift, &load->shift))
-    die (file, "shift is not none, jump, drift or return", &error);
+    die (file, "\"shift\" must be none, jump, drift or return in load", &error);
   if (load->ranks < 1 || load->ranks > BT_MAX_RANKS || engine->expert_sets < 1
       || engine->experts < load->ranks || engine->places * load->ranks < engine->experts
       || load->requests_a_s <= 0 || seconds <= 0 || engine->link_mbps <= 0
       || engine->read_tokens_per_ms <= 0 || (load->shift != BT_SHIFT_NONE && shift_ms <= 0))
-    die (file, "a load's figures do not fit together", &error);
+    die (file, "values are out of range or contradict each other in load", &error);
   bt_copy_name (load->name, name);
   load->aim_ms = aim_ms;
   load->pause_ms = pause_ms;
@@ -95,9 +96,9 @@
   load->run_ms = (int64_t)(seconds * MS_PER_S);
 }
 
-/* What a way does not name is as shipped. */
+/* Reads a variant. Values that it does not set stay as shipped. */
 static void
-read_way (const char *file, json_t *value, bt_group_way_t *way)
+read_variant (const char *file, json_t *value, bt_group_way_t *variant)
 {
   const char *name;
   const char *planner = "round";
@@ -106,22 +107,23 @@
   int known = 0;
   json_error_t error;
 
-  *way = bt_get_shipped_group_way ();
-  half_life_ms = way->maps.load_half_life_ms;
+  *variant = bt_get_shipped_group_way ();
+  half_life_ms = variant->maps.load_half_life_ms;
   if (json_unpack_ex (value, &error, JSON_STRICT, "{s:s, s?s, s?b, s?b, s?I, s?F, s?F, s?F}",
                       "name", &name, "planner", &planner, "keep_past", &keep_past, "known", &known,
-                      "half_life_ms", &half_life_ms, "copy_weight", &way->maps.copy_weight,
-                      "least_gain", &way->maps.least_gain, "pass_part", &way->pass_part)
+                      "half_life_ms", &half_life_ms, "copy_weight", &variant->maps.copy_weight,
+                      "least_gain", &variant->maps.least_gain, "pass_part",
+                      &variant->pass_time_share)
       != 0)
-    die (file, "a way is not as expected", &error);
-  bt_copy_name (way->name, name);
-  way->maps.load_half_life_ms = half_life_ms;
-  way->maps.keep_past = keep_past != 0;
-  way->known = known != 0;
+    die (file, "invalid entry of \"ways\"", &error);
+  bt_copy_name (variant->name, name);
+  variant->maps.load_half_life_ms = half_life_ms;
+  variant->maps.keep_past = keep_past != 0;
+  variant->demand_known = known != 0;
   if (strcmp (planner, "paying") == 0)
-    way->maps.planner = bt_paying_map_planner ();
+    variant->maps.planner = bt_paying_map_planner ();
   else if (strcmp (planner, "static") == 0)
-    way->maps.planner = bt_static_map_planner ();
+    variant->maps.planner = bt_static_map_planner ();
 }
 
 static void
@@ -135,7 +137,7 @@
   row->sum.skew += result->skew;
   row->sum.rounds += result->rounds;
   row->sum.copies += result->copies;
-  row->plays++;
+  row->runs++;
 }
 
 static void
@@ -146,89 +148,90 @@
 
   printf ("| %s | %.3f | %.2f | %.3f | %.3f | %.1f | %.2f | %.0f | %.0f |\n", name,
           sum->in_time / asked, ceiling > 0 ? sum->in_time / asked / ceiling : 0, sum->late / asked,
-          sum->left / asked, sum->pass_ms / row->plays, sum->skew / row->plays,
-          (double)sum->rounds / row->plays, (double)sum->copies / row->plays);
+          sum->left / asked, sum->pass_ms / row->runs, sum->skew / row->runs,
+          (double)sum->rounds / row->runs, (double)sum->copies / row->runs);
 }
 
-/* One load, all ways; the last way that knows demand beforehand is the ceiling. */
+/* Runs one load with all variants. The last variant that knows the demand in advance is the
+ * ceiling. */
 static void
-play_load (bt_context_t *ctx,
-           const bt_group_load_t *load,
-           const bt_group_way_t *ways,
-           size_t way_count,
-           const uint64_t *seeds,
-           size_t seed_count)
+run_load (bt_context_t *ctx,
+          const bt_group_load_t *load,
+          const bt_group_way_t *variants,
+          size_t variant_count,
+          const uint64_t *seeds,
+          size_t seed_count)
 {
-  row_t *rows = bt_calloc (ctx, way_count, sizeof *rows);
+  row_t *rows = bt_calloc (ctx, variant_count, sizeof *rows);
   double ceiling = 0;
 
-  for (size_t i = 0; i < way_count; i++)
+  for (size_t i = 0; i < variant_count; i++)
     {
       for (size_t seed = 0; seed < seed_count; seed++)
         {
           bt_group_result_t result;
 
-          bt_play_group (ctx, load, &ways[i], seeds[seed], &result);
+          bt_play_group (ctx, load, &variants[i], seeds[seed], &result);
           add_result (&rows[i], &result);
         }
-      if (ways[i].known)
+      if (variants[i].demand_known)
         ceiling = (double)rows[i].sum.in_time / rows[i].sum.asked;
     }
   printf ("\n%s: %d requests, %zu seeds\n\n", load->name, rows[0].sum.asked, seed_count);
   printf ("| way | in time | of ceiling | late | left | pass ms | skew | rounds | copies |\n");
   printf ("|---|---|---|---|---|---|---|---|---|\n");
-  for (size_t i = 0; i < way_count; i++)
-    print_row (ways[i].name, &rows[i], ceiling);
+  for (size_t i = 0; i < variant_count; i++)
+    print_row (variants[i].name, &rows[i], ceiling);
   bt_free (ctx, rows);
 }
 
 static size_t
 read_seeds (const char *file, json_t *list, uint64_t *seeds)
 {
-  json_error_t error = { .line = -1, .text = "from 1 to 64 whole numbers are" };
+  json_error_t error = { .line = -1, .text = "expected 1 to 64 integers" };
   size_t count = json_array_size (list);
 
-  if (count < 1 || count > MOST_SEEDS)
-    die (file, "seeds are not as expected", &error);
+  if (count < 1 || count > MAX_SEEDS)
+    die (file, "invalid \"seeds\"", &error);
   for (size_t i = 0; i < count; i++)
     {
       if (!json_is_integer (json_array_get (list, i)))
-        die (file, "seeds are not as expected", &error);
+        die (file, "invalid \"seeds\"", &error);
       seeds[i] = (uint64_t)json_integer_value (json_array_get (list, i));
     }
   return count;
 }
 
 static void
-play_file (bt_context_t *ctx, const char *file)
+run_file (bt_context_t *ctx, const char *file)
 {
   json_error_t error;
   json_t *root = json_load_file (file, 0, &error);
   json_t *seed_list;
   json_t *loads;
-  json_t *way_list;
-  uint64_t seeds[MOST_SEEDS];
+  json_t *variant_list;
+  uint64_t seeds[MAX_SEEDS];
   size_t seed_count;
-  bt_group_way_t *ways;
+  bt_group_way_t *variants;
 
   if (root == NULL)
-    die (file, "not readable", &error);
+    die (file, "cannot read the experiment", &error);
   if (json_unpack_ex (root, &error, JSON_STRICT, "{s:o, s:o, s:o}", "seeds", &seed_list, "loads",
-                      &loads, "ways", &way_list)
+                      &loads, "ways", &variant_list)
       != 0)
-    die (file, "not an experiment", &error);
+    die (file, "invalid experiment", &error);
   seed_count = read_seeds (file, seed_list, seeds);
-  ways = bt_calloc (ctx, json_array_size (way_list) + 1, sizeof *ways);
-  for (size_t i = 0; i < json_array_size (way_list); i++)
-    read_way (file, json_array_get (way_list, i), &ways[i]);
+  variants = bt_calloc (ctx, json_array_size (variant_list) + 1, sizeof *variants);
+  for (size_t i = 0; i < json_array_size (variant_list); i++)
+    read_variant (file, json_array_get (variant_list, i), &variants[i]);
   for (size_t i = 0; i < json_array_size (loads); i++)
     {
       bt_group_load_t load;
 
       read_load (file, json_array_get (loads, i), &load);
-      play_load (ctx, &load, ways, json_array_size (way_list), seeds, seed_count);
+      run_load (ctx, &load, variants, json_array_size (variant_list), seeds, seed_count);
     }
-  bt_free (ctx, ways);
+  bt_free (ctx, variants);
   json_decref (root);
 }
 
@@ -245,7 +248,7 @@
     }
   ctx = bt_new_context ();
   for (int i = optind; i < argc; i++)
-    play_file (ctx, argv[i]);
+    run_file (ctx, argv[i]);
   bt_drop_context (ctx);
   return 0;
 }
--- a/bench/bench_leader.c
+++ b/bench/bench_leader.c
@@ -1,8 +1,9 @@
 /** @file
- * Processor time that the leader of one rank group spends on it in a second: taking in the reports
- * of all ranks, planning, and giving the orders of rounds. Frames are read and written as on a
- * link; sockets are left out. Demand jumps every three seconds. Seeded; times differ by machine, so
- * the last column gives them as a ratio to the smallest group.
+ * Measures the CPU time per second that the leader of one rank group spends on handling the
+ * reports of all ranks, on planning, and on sending the orders of rounds. Frames are encoded and
+ * decoded as on a link; sockets are left out. Demand jumps every three seconds. The run is
+ * seeded. Times differ between machines, so the last column gives the total as a ratio to the
+ * smallest group.
  */
 
 #include <math.h>
@@ -35,11 +36,12 @@
   EPOCH = 1,
 };
 
-/* Choices of a rank in one set and pass: requests by the experts that each takes. */
-static const double picks_a_pass = 480;
-static const double popularity_power = 1.2;
+/* Expert selections of a rank in one set and pass: its requests times the experts that each
+ * selects. */
+static const double picks_per_pass = 480;
+static const double popularity_exponent = 1.2;
 
-/** A group to be led. */
+/** Dimensions of a rank group. */
 typedef struct shape
 {
   int32_t ranks;
@@ -55,12 +57,12 @@
   { 384, 10, 384, 3 },
 };
 
-/** Where the time goes, ns. */
+/** CPU time by kind of work, ns, and counters of the run. */
 typedef struct costs
 {
-  int64_t reports;
-  int64_t plans;
-  int64_t orders;
+  int64_t reports_ns;
+  int64_t plans_ns;
+  int64_t orders_ns;
   int32_t plan_count;
   int32_t rounds;
   int64_t order_bytes;
@@ -68,8 +70,8 @@
   double skew;
 } costs_t;
 
-/** A group, its engines and its leader. */
-typedef struct led
+/** A rank group: its emulated engines and its leader. */
+typedef struct managed_group
 {
   bt_context_t *ctx;
   shape_t shape;
@@ -77,79 +79,79 @@
   double *popularity; /* by set and expert */
   uint32_t *counts;   /* of one report */
   bt_rank_report_t *engines;
-  int64_t *copied_ms; /* by rank: when the order to prepare is done */
-  int64_t *ordered;   /* by rank: the version to be prepared */
+  int64_t *copy_done_ms;      /* by rank: when the copying for a PREPARE order is done */
+  int64_t *preparing_version; /* by rank: the version that the engine prepares; 0: none */
   bt_group_maps_t *maps;
   bt_group_rounds_t *rounds;
-  int64_t target;
+  int64_t target_version;
   int64_t next_plan_ms;
-  bt_map_bytes_t map; /* encoded */
+  bt_map_bytes_t map; /* the planned map, encoded */
   int64_t map_version;
   costs_t costs;
-} led_t;
+} managed_group_t;
 
 static int32_t
-count_cells (const led_t *led)
+count_cells (const managed_group_t *group)
 {
-  return led->shape.sets * led->shape.experts;
+  return group->shape.sets * group->shape.experts;
 }
 
 static void
-draw_popularity (led_t *led)
+draw_popularity (managed_group_t *group)
 {
-  int32_t experts = led->shape.experts;
+  int32_t experts = group->shape.experts;
 
-  for (int32_t set = 0; set < led->shape.sets; set++)
+  for (int32_t set = 0; set < group->shape.sets; set++)
     {
-      double *popularity = &led->popularity[(ptrdiff_t)set * experts];
+      double *popularity = &group->popularity[(ptrdiff_t)set * experts];
       double sum = 0;
 
       for (int32_t i = 0; i < experts; i++)
-        sum += pow (i + 1, -popularity_power);
+        sum += pow (i + 1, -popularity_exponent);
       for (int32_t i = 0; i < experts; i++)
-        popularity[i] = pow (i + 1, -popularity_power) / sum;
+        popularity[i] = pow (i + 1, -popularity_exponent) / sum;
       for (int32_t i = experts - 1; i > 0; i--)
         {
-          int32_t other = (int32_t)bt_random_below (&led->random, (uint64_t)i + 1);
-          double kept = popularity[i];
+          int32_t other = (int32_t)bt_random_below (&group->random, (uint64_t)i + 1);
+          double saved = popularity[i];
 
           popularity[i] = popularity[other];
-          popularity[other] = kept;
+          popularity[other] = saved;
         }
     }
 }
 
 static void
-tell_first_places (led_t *led)
+record_initial_places (managed_group_t *group)
 {
-  for (int32_t rank = 0; rank < led->shape.ranks; rank++)
+  for (int32_t rank = 0; rank < group->shape.ranks; rank++)
     {
-      uint32_t *places = bt_calloc (led->ctx, (size_t)count_cells (led), sizeof *places);
+      uint32_t *places = bt_calloc (group->ctx, (size_t)count_cells (group), sizeof *places);
       int32_t count = 0;
 
-      for (int32_t set = 0; set < led->shape.sets; set++)
-        for (int32_t expert = rank; expert < led->shape.experts; expert += led->shape.ranks)
+      for (int32_t set = 0; set < group->shape.sets; set++)
+        for (int32_t expert = rank; expert < group->shape.experts; expert += group->shape.ranks)
           places[count++] = (uint32_t)set << SET_SHIFT | (uint32_t)expert;
-      if (led->shape.ranks > led->shape.experts)
-        for (int32_t set = 0; set < led->shape.sets; set++)
-          places[count++] = (uint32_t)set << SET_SHIFT | (uint32_t)(rank % led->shape.experts);
-      bt_take_rank_places (led->ctx, led->maps, rank, EPOCH, 0, places, count);
-      bt_free (led->ctx, places);
+      if (group->shape.ranks > group->shape.experts)
+        for (int32_t set = 0; set < group->shape.sets; set++)
+          places[count++] = (uint32_t)set << SET_SHIFT | (uint32_t)(rank % group->shape.experts);
+      bt_take_rank_places (group->ctx, group->maps, rank, EPOCH, 0, places, count);
+      bt_free (group->ctx, places);
     }
 }
 
 static bool
-start_led (led_t *led)
+start_group (managed_group_t *group)
 {
-  size_t ranks = (size_t)led->shape.ranks;
-  bt_engine_t engine = { .expert_sets = led->shape.sets,
-                         .experts = led->shape.experts,
-                         .places = led->shape.places,
+  size_t ranks = (size_t)group->shape.ranks;
+  bt_engine_t engine = { .expert_sets = group->shape.sets,
+                         .experts = group->shape.experts,
+                         .places = group->shape.places,
                          .spare_places = 2,
                          .expert_mb = 440,
                          .link_mbps = 92000,
                          .expert_share = 0.85 };
-  bt_group_rounds_settings_t rounds = { .ranks = led->shape.ranks,
+  bt_group_rounds_settings_t rounds = { .ranks = group->shape.ranks,
                                         .hold_steps = 4,
                                         .resend_ms = 120,
                                         .stale_ms = 1200,
@@ -158,70 +160,70 @@
                                         .silence_ms = 250 };
   bt_group_maps_settings_t maps = bt_get_default_group_maps_settings ();
 
-  led->ctx = bt_new_context ();
-  bt_set_log_level (led->ctx, -1);
-  bt_seed_random (&led->random, SEED);
-  led->popularity = bt_calloc (led->ctx, (size_t)count_cells (led), sizeof (double));
-  led->counts = bt_calloc (led->ctx, (size_t)count_cells (led), sizeof (uint32_t));
-  led->engines = bt_calloc (led->ctx, ranks, sizeof *led->engines);
-  led->copied_ms = bt_calloc (led->ctx, ranks, sizeof (int64_t));
-  led->ordered = bt_calloc (led->ctx, ranks, sizeof (int64_t));
-  led->maps = bt_new_group_maps (led->ctx, &engine, led->shape.ranks, &maps);
-  if (led->maps == NULL)
+  group->ctx = bt_new_context ();
+  bt_set_log_level (group->ctx, -1);
+  bt_seed_random (&group->random, SEED);
+  group->popularity = bt_calloc (group->ctx, (size_t)count_cells (group), sizeof (double));
+  group->counts = bt_calloc (group->ctx, (size_t)count_cells (group), sizeof (uint32_t));
+  group->engines = bt_calloc (group->ctx, ranks, sizeof *group->engines);
+  group->copy_done_ms = bt_calloc (group->ctx, ranks, sizeof (int64_t));
+  group->preparing_version = bt_calloc (group->ctx, ranks, sizeof (int64_t));
+  group->maps = bt_new_group_maps (group->ctx, &engine, group->shape.ranks, &maps);
+  if (group->maps == NULL)
     return false;
-  led->rounds = bt_new_group_rounds (led->ctx, &rounds);
-  bt_lead_group (led->rounds, 1);
-  for (int32_t rank = 0; rank < led->shape.ranks; rank++)
+  group->rounds = bt_new_group_rounds (group->ctx, &rounds);
+  bt_lead_group (group->rounds, 1);
+  for (int32_t rank = 0; rank < group->shape.ranks; rank++)
     {
-      led->engines[rank].epoch = EPOCH;
-      led->engines[rank].open = true;
-      led->engines[rank].held_step = BT_NO_STEP;
+      group->engines[rank].epoch = EPOCH;
+      group->engines[rank].open = true;
+      group->engines[rank].held_step = BT_NO_STEP;
     }
-  tell_first_places (led);
+  record_initial_places (group);
   return true;
 }
 
 static void
-finish_led (led_t *led)
+free_group (managed_group_t *group)
 {
-  bt_free (led->ctx, led->popularity);
-  bt_free (led->ctx, led->counts);
-  bt_free (led->ctx, led->engines);
-  bt_free (led->ctx, led->copied_ms);
-  bt_free (led->ctx, led->ordered);
-  bt_free (led->ctx, led->map.data);
-  bt_drop_group_maps (led->ctx, led->maps);
-  bt_drop_group_rounds (led->ctx, led->rounds);
-  bt_drop_context (led->ctx);
+  bt_free (group->ctx, group->popularity);
+  bt_free (group->ctx, group->counts);
+  bt_free (group->ctx, group->engines);
+  bt_free (group->ctx, group->copy_done_ms);
+  bt_free (group->ctx, group->preparing_version);
+  bt_free (group->ctx, group->map.data);
+  bt_drop_group_maps (group->ctx, group->maps);
+  bt_drop_group_rounds (group->ctx, group->rounds);
+  bt_drop_context (group->ctx);
 }
 
-/* What a rank's agent sends, as bytes. */
+/* Encodes the report that the agent of a rank sends. */
 static void
-write_report (led_t *led, int32_t rank, int64_t now_ms, bt_buffer_t *buffer)
+write_report (managed_group_t *group, int32_t rank, int64_t now_ms, bt_buffer_t *buffer)
 {
-  bt_engine_report_t report = { .group = "group", .rank = rank, .ranks = led->shape.ranks };
+  bt_engine_report_t report = { .group = "group", .rank = rank, .ranks = group->shape.ranks };
   Bilberry__EngineReport message = BILBERRY__ENGINE_REPORT__INIT;
   bt_frame_t frame = BILBERRY__FRAME__INIT;
-  double picks = picks_a_pass * REPORT_MS / PASS_MS;
+  double picks = picks_per_pass * REPORT_MS / PASS_MS;
 
-  report.maps = led->engines[rank];
+  report.maps = group->engines[rank];
   report.running = 8;
   report.pace = 1;
-  for (int32_t i = 0; i < count_cells (led); i++)
-    led->counts[i] = (uint32_t)(led->popularity[i] * picks + bt_random_unit (&led->random));
+  for (int32_t i = 0; i < count_cells (group); i++)
+    group->counts[i] = (uint32_t)(group->popularity[i] * picks + bt_random_unit (&group->random));
   bt_write_engine_report (&report, &message);
-  if ((now_ms / REPORT_MS + rank) % bt_get_picks_every (led->shape.ranks) == 0)
+  if ((now_ms / REPORT_MS + rank) % bt_get_picks_every (group->shape.ranks) == 0)
     {
-      message.picks = led->counts;
-      message.n_picks = (size_t)count_cells (led);
+      message.picks = group->counts;
+      message.n_picks = (size_t)count_cells (group);
     }
   frame.body_case = BILBERRY__FRAME__BODY_ENGINE_REPORT;
   frame.engine_report = &message;
-  bt_encode_frame (led->ctx, buffer, &frame);
+  bt_encode_frame (group->ctx, buffer, &frame);
 }
 
 static void
-take_report (led_t *led, bt_buffer_t *buffer, int64_t now_ms)
+handle_report (managed_group_t *group, bt_buffer_t *buffer, int64_t now_ms)
 {
   bt_error_t error = { 0 };
   bt_frame_t *frame = bt_decode_frame (buffer, MAX_FRAME_BYTES, &error);
@@ -229,43 +231,43 @@
   bt_engine_report_t report;
 
   bt_read_engine_report (message, &report);
-  bt_set_rank_pace (led->maps, report.rank, report.pace);
-  bt_take_rank_running (led->maps, report.rank, report.running, 10, now_ms);
-  bt_take_rank_picks (led->maps, message->picks, (int32_t)message->n_picks, now_ms);
-  bt_take_rank_report (led->rounds, report.rank, &report.maps, now_ms);
+  bt_set_rank_pace (group->maps, report.rank, report.pace);
+  bt_take_rank_running (group->maps, report.rank, report.running, 10, now_ms);
+  bt_take_rank_picks (group->maps, message->picks, (int32_t)message->n_picks, now_ms);
+  bt_take_rank_report (group->rounds, report.rank, &report.maps, now_ms);
   bt_drop_frame (frame);
 }
 
 static void
-report_rank (led_t *led, int32_t rank, int64_t now_ms)
+report_rank (managed_group_t *group, int32_t rank, int64_t now_ms)
 {
   bt_buffer_t buffer = { 0 };
   int64_t start_ns;
 
-  if (led->ordered[rank] != 0 && now_ms >= led->copied_ms[rank])
+  if (group->preparing_version[rank] != 0 && now_ms >= group->copy_done_ms[rank])
     {
-      led->engines[rank].prepared = led->ordered[rank];
-      led->ordered[rank] = 0;
+      group->engines[rank].prepared = group->preparing_version[rank];
+      group->preparing_version[rank] = 0;
     }
-  write_report (led, rank, now_ms, &buffer);
-  led->costs.report_bytes += (int64_t)bt_count_buffer (&buffer);
+  write_report (group, rank, now_ms, &buffer);
+  group->costs.report_bytes += (int64_t)bt_count_buffer (&buffer);
   start_ns = bt_read_cpu_ns ();
-  take_report (led, &buffer, now_ms);
-  led->costs.reports += bt_read_cpu_ns () - start_ns;
-  bt_clear_buffer (led->ctx, &buffer);
+  handle_report (group, &buffer, now_ms);
+  group->costs.reports_ns += bt_read_cpu_ns () - start_ns;
+  bt_clear_buffer (group->ctx, &buffer);
 }
 
-/* What an order does to an engine, which answers it at once. */
+/* Applies an order to the emulated engine, which answers it at once. */
 static void
-carry_out (led_t *led, const bt_group_order_t *order, int64_t now_ms)
+execute_order (managed_group_t *group, const bt_group_order_t *order, int64_t now_ms)
 {
-  bt_rank_report_t *engine = &led->engines[order->rank];
+  bt_rank_report_t *engine = &group->engines[order->rank];
 
   engine->sequence++;
   if (order->kind == BT_GROUP_PREPARE)
     {
-      led->ordered[order->rank] = order->version;
-      led->copied_ms[order->rank] = now_ms + COPY_MS;
+      group->preparing_version[order->rank] = order->version;
+      group->copy_done_ms[order->rank] = now_ms + COPY_MS;
     }
   else if (order->kind == BT_GROUP_HOLD)
     engine->held_step = order->step;
@@ -276,96 +278,97 @@
       engine->armed_version = order->version;
       engine->armed_step = order->step;
     }
-  bt_take_group_order_result (led->rounds, order->via, order->id, BT_ORDER_DONE,
-                              &led->engines[order->via], now_ms);
+  bt_take_group_order_result (group->rounds, order->via, order->id, BT_ORDER_DONE,
+                              &group->engines[order->via], now_ms);
 }
 
-/* Writes one order; a map is encoded once for all ranks. */
+/* Encodes one order. A map is encoded once for all ranks. */
 static void
-write_order (led_t *led, const bt_group_order_t *order, bt_buffer_t *buffer)
+write_order (managed_group_t *group, const bt_group_order_t *order, bt_buffer_t *buffer)
 {
   Bilberry__EngineOrder message = BILBERRY__ENGINE_ORDER__INIT;
   bt_frame_t frame = BILBERRY__FRAME__INIT;
   bt_error_t error = { 0 };
 
   bt_write_engine_order (order, &message);
-  if (order->kind == BT_GROUP_PREPARE && led->map_version != order->version)
+  if (order->kind == BT_GROUP_PREPARE && group->map_version != order->version)
     {
-      bt_free (led->ctx, led->map.data);
-      led->map = (bt_map_bytes_t){ NULL };
-      bt_encode_expert_map (led->ctx, bt_get_next_group_map (led->maps), &led->map, &error);
+      bt_free (group->ctx, group->map.data);
+      group->map = (bt_map_bytes_t){ NULL };
+      bt_encode_expert_map (group->ctx, bt_get_next_group_map (group->maps), &group->map, &error);
 #ifndef ENCODE_FOR_EACH_RANK
-      led->map_version = order->version;
+      group->map_version = order->version;
 #endif
     }
   if (order->kind == BT_GROUP_PREPARE)
-    message.map = (ProtobufCBinaryData){ led->map.bytes, led->map.data };
+    message.map = (ProtobufCBinaryData){ group->map.bytes, group->map.data };
   frame.body_case = BILBERRY__FRAME__BODY_ENGINE_ORDER;
   frame.engine_order = &message;
-  bt_encode_frame (led->ctx, buffer, &frame);
+  bt_encode_frame (group->ctx, buffer, &frame);
 }
 
 static void
-give_orders (led_t *led, int64_t now_ms)
+send_orders (managed_group_t *group, int64_t now_ms)
 {
   bt_group_order_t order;
-  bt_group_order_t *given = bt_calloc (led->ctx, (size_t)led->shape.ranks * 2, sizeof *given);
+  bt_group_order_t *orders = bt_calloc (group->ctx, (size_t)group->shape.ranks * 2, sizeof *orders);
   int32_t count = 0;
   int64_t start_ns = bt_read_cpu_ns ();
 
-  while (count < led->shape.ranks * 2 && bt_next_group_order (led->rounds, now_ms, &order))
+  while (count < group->shape.ranks * 2 && bt_next_group_order (group->rounds, now_ms, &order))
     {
       bt_buffer_t buffer = { 0 };
 
-      write_order (led, &order, &buffer);
-      led->costs.order_bytes += (int64_t)bt_count_buffer (&buffer);
-      bt_clear_buffer (led->ctx, &buffer);
-      given[count++] = order;
+      write_order (group, &order, &buffer);
+      group->costs.order_bytes += (int64_t)bt_count_buffer (&buffer);
+      bt_clear_buffer (group->ctx, &buffer);
+      orders[count++] = order;
     }
   for (int32_t i = 0; i < count; i++)
-    carry_out (led, &given[i], now_ms);
-  led->costs.orders += bt_read_cpu_ns () - start_ns;
-  bt_free (led->ctx, given);
+    execute_order (group, &orders[i], now_ms);
+  group->costs.orders_ns += bt_read_cpu_ns () - start_ns;
+  bt_free (group->ctx, orders);
 }
 
 static void
-plan (led_t *led, int64_t now_ms)
+plan_round (managed_group_t *group, int64_t now_ms)
 {
   int64_t start_ns;
   double skew[2] = { 0 };
 
-  if (bt_get_group_phase (led->rounds) != BT_GROUP_CALM)
+  if (bt_get_group_phase (group->rounds) != BT_GROUP_CALM)
     return;
-  if (led->target != 0)
-    bt_use_next_group_map (led->ctx, led->maps, led->target);
-  led->target = 0;
-  if (bt_take_group_jump (led->maps, now_ms))
-    led->next_plan_ms = now_ms;
-  if (now_ms < led->next_plan_ms
-      || bt_get_group_map (led->ctx, led->maps, EPOCH, bt_get_group_version (led->rounds)) == NULL)
+  if (group->target_version != 0)
+    bt_use_next_group_map (group->ctx, group->maps, group->target_version);
+  group->target_version = 0;
+  if (bt_take_group_jump (group->maps, now_ms))
+    group->next_plan_ms = now_ms;
+  if (now_ms < group->next_plan_ms
+      || bt_get_group_map (group->ctx, group->maps, EPOCH, bt_get_group_version (group->rounds))
+             == NULL)
     return;
-  led->next_plan_ms = now_ms + PLAN_MS;
+  group->next_plan_ms = now_ms + PLAN_MS;
   start_ns = bt_read_cpu_ns ();
-  if (bt_plan_next_group_map (led->ctx, led->maps, now_ms, skew) != NULL)
-    led->target = bt_begin_group_round (led->rounds, now_ms);
-  led->costs.plans += bt_read_cpu_ns () - start_ns;
-  led->costs.plan_count++;
-  led->costs.rounds += led->target != 0;
-  led->costs.skew += skew[0];
+  if (bt_plan_next_group_map (group->ctx, group->maps, now_ms, skew) != NULL)
+    group->target_version = bt_begin_group_round (group->rounds, now_ms);
+  group->costs.plans_ns += bt_read_cpu_ns () - start_ns;
+  group->costs.plan_count++;
+  group->costs.rounds += group->target_version != 0;
+  group->costs.skew += skew[0];
 }
 
-/* The group begins a step, unless a rank holds it before that step. */
+/* Starts the next step of the group, unless a rank holds it before that step. */
 static void
-begin_step (led_t *led)
+begin_step (managed_group_t *group)
 {
-  int64_t step = led->engines[0].step + 1;
+  int64_t step = group->engines[0].step + 1;
 
-  for (int32_t rank = 0; rank < led->shape.ranks; rank++)
-    if (led->engines[rank].held_step == step)
+  for (int32_t rank = 0; rank < group->shape.ranks; rank++)
+    if (group->engines[rank].held_step == step)
       return;
-  for (int32_t rank = 0; rank < led->shape.ranks; rank++)
+  for (int32_t rank = 0; rank < group->shape.ranks; rank++)
     {
-      bt_rank_report_t *engine = &led->engines[rank];
+      bt_rank_report_t *engine = &group->engines[rank];
 
       engine->step = step;
       if (engine->armed_version == 0 || engine->armed_step != step)
@@ -376,44 +379,47 @@
 }
 
 static void
-run_led (led_t *led)
+run_group (managed_group_t *group)
 {
-  int32_t ticks_a_report = REPORT_MS / TICK_MS;
+  int32_t ticks_per_report = REPORT_MS / TICK_MS;
 
   for (int64_t now_ms = 0; now_ms < RUN_MS; now_ms += TICK_MS)
     {
       if (now_ms % JUMP_MS == 0)
-        draw_popularity (led);
+        draw_popularity (group);
       if (now_ms % PASS_MS == 0)
-        begin_step (led);
-      for (int32_t rank = 0; rank < led->shape.ranks; rank++)
-        if (bt_take_group_ask (led->rounds) || (now_ms / TICK_MS + rank) % ticks_a_report == 0)
-          report_rank (led, rank, now_ms);
-      plan (led, now_ms);
-      give_orders (led, now_ms);
+        begin_step (group);
+      for (int32_t rank = 0; rank < group->shape.ranks; rank++)
+        if (bt_take_group_ask (group->rounds) || (now_ms / TICK_MS + rank) % ticks_per_report == 0)
+          report_rank (group, rank, now_ms);
+      plan_round (group, now_ms);
+      send_orders (group, now_ms);
     }
 }
 
 static void
-print_costs (const led_t *led, double first)
+print_costs (const managed_group_t *group, double smallest_total_ms)
 {
-  const costs_t *costs = &led->costs;
+  const costs_t *costs = &group->costs;
   double seconds = (double)RUN_MS / MS_PER_S;
-  double all = (double)(costs->reports + costs->plans + costs->orders) / NS_PER_MS / seconds;
+  double total_ms =
+      (double)(costs->reports_ns + costs->plans_ns + costs->orders_ns) / NS_PER_MS / seconds;
 
   printf ("| %d x %d x %d | %.1f | %.1f | %.1f | %.1f | %.2f | %d | %d | %.0f | %.0f | %.1f |\n",
-          led->shape.ranks, led->shape.sets, led->shape.experts,
-          (double)costs->reports / NS_PER_MS / seconds, (double)costs->plans / NS_PER_MS / seconds,
-          (double)costs->orders / NS_PER_MS / seconds, all,
-          costs->plan_count == 0 ? 0 : (double)costs->plans / NS_PER_MS / costs->plan_count,
+          group->shape.ranks, group->shape.sets, group->shape.experts,
+          (double)costs->reports_ns / NS_PER_MS / seconds,
+          (double)costs->plans_ns / NS_PER_MS / seconds,
+          (double)costs->orders_ns / NS_PER_MS / seconds, total_ms,
+          costs->plan_count == 0 ? 0 : (double)costs->plans_ns / NS_PER_MS / costs->plan_count,
           costs->plan_count, costs->rounds, (double)costs->report_bytes / MS_PER_S / seconds,
-          (double)costs->order_bytes / MS_PER_S / seconds, first > 0 ? all / first : 1);
+          (double)costs->order_bytes / MS_PER_S / seconds,
+          smallest_total_ms > 0 ? total_ms / smallest_total_ms : 1);
 }
 
 int
 main (void)
 {
-  double first = 0;
+  double smallest_total_ms = 0;
 
   printf (
       "| ranks x sets x experts | reports ms/s | plans ms/s | orders ms/s | all ms/s | a plan ms"
@@ -421,21 +427,22 @@
       "|---|---|---|---|---|---|---|---|---|---|---|\n");
   for (size_t i = 0; i < sizeof shapes / sizeof shapes[0]; i++)
     {
-      led_t led = { .shape = shapes[i] };
+      managed_group_t group = { .shape = shapes[i] };
 
-      if (!start_led (&led))
+      if (!start_group (&group))
         {
-          printf ("| %d x %d x %d | such a group is left alone |\n", shapes[i].ranks,
-                  shapes[i].sets, shapes[i].experts);
-          finish_led (&led);
+          printf ("| %d x %d x %d | group too large to manage |\n", shapes[i].ranks, shapes[i].sets,
+                  shapes[i].experts);
+          free_group (&group);
           continue;
         }
-      run_led (&led);
-      print_costs (&led, first);
-      if (first == 0)
-        first = (double)(led.costs.reports + led.costs.plans + led.costs.orders) / NS_PER_MS
-                / ((double)RUN_MS / MS_PER_S);
-      finish_led (&led);
+      run_group (&group);
+      print_costs (&group, smallest_total_ms);
+      if (smallest_total_ms == 0)
+        smallest_total_ms =
+            (double)(group.costs.reports_ns + group.costs.plans_ns + group.costs.orders_ns)
+            / NS_PER_MS / ((double)RUN_MS / MS_PER_S);
+      free_group (&group);
     }
   return 0;
 }
--- a/bench/bench_log.c
+++ b/bench/bench_log.c
@@ -1,11 +1,13 @@
 /** @file
- * What the log of events costs: the same requests to gateways with the log on, with it off, and
- * with a reader that has stopped, in one run; then single lines of each fate.
+ * Measures what the event log costs. Sends the same requests to gateways with the log on, with
+ * the log off, and with a reader of the log that has stopped, in one run. Then measures single
+ * lines that are written, dropped by the budget, or lost because the reader stopped.
  *
  *   bench_log [--rounds N]
  *
- * Each round sends to each gateway in turn as many requests as the budget lets through at once, and
- * then rests until the budget is full again; a last round sends ten times as many.
+ * In each round every gateway in turn gets as many requests as the budget of log lines allows at
+ * once; then the bench waits until the budget is full again. The last rounds send ten times as
+ * many requests without a wait.
  */
 
 #include <dirent.h>
@@ -26,13 +28,13 @@
 enum
 {
   DEFAULT_ROUNDS = 7,
-  MOST_ROUNDS = 32,
-  REQUESTS = 300, /* in a round; within the budget's 400 lines at once */
+  MAX_ROUNDS = 32,
+  REQUESTS = 300, /* per round; within the budget's burst of 400 lines */
   BURST = 3000,
   WARM_UP = 50,
-  REST_MS = 9000, /* 300 lines at 40 a second, and some more */
+  REST_MS = 9000, /* time to earn 300 lines at 40 a second, with a margin */
   LINES = 20000,
-  LINE_PAUSE_MS = 25, /* one line at 40 a second */
+  LINE_PAUSE_MS = 25, /* the time to earn one line at 40 a second */
   PIPE_BYTES = 4096,
   PATH_BYTES = 320,
   NS_PER_US = 1000,
@@ -40,7 +42,7 @@
   BASE_TEN = 10,
 };
 
-/** The gateways, in the order of the field. */
+/** The gateways, by their index in the field. */
 typedef enum log_mode
 {
   LOG_ON = 0,
@@ -59,29 +61,29 @@
     "\"public\":false}],"
     "\"limits\":{\"max_header_bytes\":16384,\"max_body_bytes\":65536,\"idle_timeout_ms\":15000}}";
 
-/** What one batch of requests took. */
+/** Cost of one batch of requests. */
 typedef struct cost
 {
-  double cpu_us;  /* of the gateway, for a request */
-  double wall_us; /* of the client, for a request */
-  double bytes;   /* of log, for a request */
+  double cpu_us;  /* CPU time of the gateway per request */
+  double wall_us; /* time of the client per request */
+  double bytes;   /* log bytes per request */
 } cost_t;
 
 static bt_field_t *field;
-static int32_t failed;
+static int32_t failed_requests;
 
-/* Processor time of all threads of a process. */
+/* Returns the CPU time of all threads of a process, in microseconds. */
 static double
 read_cpu_us (pid_t pid)
 {
   char path[PATH_BYTES];
   double total_ns = 0;
   struct dirent *entry;
-  DIR *folder;
+  DIR *directory;
 
   snprintf (path, sizeof path, "/proc/%d/task", (int)pid);
-  folder = opendir (path);
-  while (folder != NULL && (entry = readdir (folder)) != NULL)
+  directory = opendir (path);
+  while (directory != NULL && (entry = readdir (directory)) != NULL)
     {
       char file[2 * PATH_BYTES];
       double task_ns = 0;
@@ -95,8 +97,8 @@
         total_ns += task_ns;
       fclose (input);
     }
-  if (folder != NULL)
-    closedir (folder);
+  if (directory != NULL)
+    closedir (directory);
   return total_ns / NS_PER_US;
 }
 
@@ -104,14 +106,14 @@
 read_log_bytes (int32_t gateway)
 {
   char path[PATH_BYTES];
-  struct stat facts;
+  struct stat file_status;
 
   snprintf (path, sizeof path, "%s/instance=gateway-%d.log", field->folder, (int)gateway);
-  return stat (path, &facts) == 0 ? (double)facts.st_size : 0;
+  return stat (path, &file_status) == 0 ? (double)file_status.st_size : 0;
 }
 
 static void
-ask (int32_t gateway, int32_t count)
+send_requests (int32_t gateway, int32_t count)
 {
   static const char *const headers[] = { "Host: shop.example", "Bilberrytray-Attempt-Id: r-bench",
                                          "Authorization: Bearer key-small",
@@ -122,7 +124,7 @@
       bt_reply_t reply;
 
       bt_ask_gateway (field, gateway, "/a/lookup", headers, "shrimp", &reply);
-      failed += reply.curl_code != 0 || reply.status != 200;
+      failed_requests += reply.curl_code != 0 || reply.status != 200;
       bt_clear_reply (&reply);
     }
 }
@@ -132,18 +134,18 @@
 {
   double cpu_us = read_cpu_us (field->gateways[gateway]);
   double bytes = read_log_bytes (gateway);
-  int64_t began_us = bt_read_monotonic_us ();
+  int64_t start_us = bt_read_monotonic_us ();
   cost_t cost;
 
-  ask (gateway, count);
-  cost.wall_us = (double)(bt_read_monotonic_us () - began_us) / count;
+  send_requests (gateway, count);
+  cost.wall_us = (double)(bt_read_monotonic_us () - start_us) / count;
   cost.cpu_us = (read_cpu_us (field->gateways[gateway]) - cpu_us) / count;
   cost.bytes = (read_log_bytes (gateway) - bytes) / count;
   return cost;
 }
 
 static int
-compare (const void *left, const void *right)
+compare_doubles (const void *left, const void *right)
 {
   double a = *(const double *)left;
   double b = *(const double *)right;
@@ -152,9 +154,9 @@
 }
 
 static void
-print_spread (const char *name, double *values, int32_t count, const char *unit)
+print_range (const char *name, double *values, int32_t count, const char *unit)
 {
-  qsort (values, (size_t)count, sizeof *values, compare);
+  qsort (values, (size_t)count, sizeof *values, compare_doubles);
   printf ("%-34s %9.2f  (%.2f to %.2f) %s\n", name, values[count / 2], values[0], values[count - 1],
           unit);
 }
@@ -167,35 +169,35 @@
   bt_start_gateway_process (field, gateway);
 }
 
-/* Of the gateways one has its log off, and one writes to a pipe that nobody reads. */
+/* Starts the gateways. One has its log off, and one writes its log to a pipe that nobody reads. */
 static bool
 start (void)
 {
-  static int ends[2];
+  static int pipe_ends[2];
 
   field = bt_new_field (MODES, configuration);
-  if (field == NULL || pipe2 (ends, O_CLOEXEC) != 0)
+  if (field == NULL || pipe2 (pipe_ends, O_CLOEXEC) != 0)
     return false;
-  fcntl (ends[1], F_SETPIPE_SZ, PIPE_BYTES);
+  fcntl (pipe_ends[1], F_SETPIPE_SZ, PIPE_BYTES);
   setenv ("BILBERRY_LOG_LEVEL", "error", 1);
   restart_gateway (LOG_OFF);
   unsetenv ("BILBERRY_LOG_LEVEL");
-  bt_set_program_output (ends[1]);
+  bt_set_program_output (pipe_ends[1]);
   restart_gateway (READER_STOPPED);
   bt_set_program_output (-1);
   for (int32_t i = 0; i < MODES; i++)
     {
       if (!bt_wait_gateway_ready (field, i))
         return false;
-      ask (i, WARM_UP);
+      send_requests (i, WARM_UP);
     }
   return true;
 }
 
 static void
-print_rounds (cost_t costs[MOST_ROUNDS][MODES], int32_t rounds)
+print_rounds (cost_t costs[MAX_ROUNDS][MODES], int32_t rounds)
 {
-  double values[MOST_ROUNDS];
+  double values[MAX_ROUNDS];
   char name[PATH_BYTES];
 
   for (int32_t mode = 0; mode < MODES; mode++)
@@ -203,7 +205,7 @@
       snprintf (name, sizeof name, "processor time, %s", mode_names[mode]);
       for (int32_t i = 0; i < rounds; i++)
         values[i] = costs[i][mode].cpu_us;
-      print_spread (name, values, rounds, "us a request");
+      print_range (name, values, rounds, "us a request");
     }
   for (int32_t mode = 0; mode < MODES; mode++)
     {
@@ -212,18 +214,18 @@
       snprintf (name, sizeof name, "  ratio, %s / log off", mode_names[mode]);
       for (int32_t i = 0; i < rounds; i++)
         values[i] = costs[i][mode].cpu_us / costs[i][LOG_OFF].cpu_us;
-      print_spread (name, values, rounds, "");
+      print_range (name, values, rounds, "");
       snprintf (name, sizeof name, "  time to answer, same ratio");
       for (int32_t i = 0; i < rounds; i++)
         values[i] = costs[i][mode].wall_us / costs[i][LOG_OFF].wall_us;
-      print_spread (name, values, rounds, "");
+      print_range (name, values, rounds, "");
     }
   for (int32_t mode = 0; mode < READER_STOPPED; mode++)
     {
       snprintf (name, sizeof name, "bytes, %s", mode_names[mode]);
       for (int32_t i = 0; i < rounds; i++)
         values[i] = costs[i][mode].bytes;
-      print_spread (name, values, rounds, "a request");
+      print_range (name, values, rounds, "a request");
     }
 }
 
@@ -237,13 +239,14 @@
          + (double)(usage.ru_utime.tv_usec + usage.ru_stime.tv_usec);
 }
 
-/* Processor time of one line into @p out, at a pace within the budget or all at once. */
+/* Returns the CPU time of one line written to @p out, in microseconds. @p pause_ms is the fake
+ * time between two lines: within the budget, or 0 to exceed it. */
 static double
 measure_line (int out, int64_t pause_ms)
 {
   bt_context_t *ctx = bt_new_context ();
   bt_fake_clock_t clock;
-  double began_us;
+  double start_us;
   int saved;
 
   bt_init_fake_clock (&clock, 0);
@@ -251,7 +254,7 @@
   fflush (stdout);
   saved = dup (STDOUT_FILENO);
   dup2 (out, STDOUT_FILENO);
-  began_us = read_own_cpu_us ();
+  start_us = read_own_cpu_us ();
   for (int32_t i = 0; i < LINES; i++)
     {
       clock.now_ms += pause_ms;
@@ -260,50 +263,50 @@
                     "outcome", "answered", "status", 200, "queue_ms", (json_int_t)0, "total_ms",
                     (json_int_t)39, "revision", (json_int_t)33);
     }
-  began_us = read_own_cpu_us () - began_us;
+  start_us = read_own_cpu_us () - start_us;
   dup2 (saved, STDOUT_FILENO);
   close (saved);
   bt_drop_context (ctx);
-  return began_us / LINES;
+  return start_us / LINES;
 }
 
 static void
 print_lines (int32_t rounds)
 {
-  double written[MOST_ROUNDS];
-  double left_out[MOST_ROUNDS];
-  double lost[MOST_ROUNDS];
+  double written[MAX_ROUNDS];
+  double dropped[MAX_ROUNDS];
+  double lost[MAX_ROUNDS];
   FILE *file = tmpfile ();
-  int ends[2];
+  int pipe_ends[2];
 
-  if (file == NULL || pipe2 (ends, O_CLOEXEC) != 0)
+  if (file == NULL || pipe2 (pipe_ends, O_CLOEXEC) != 0)
     return;
   for (int32_t i = 0; i < rounds; i++)
     {
       written[i] = measure_line (fileno (file), LINE_PAUSE_MS);
-      left_out[i] = measure_line (fileno (file), 0);
-      lost[i] = measure_line (ends[1], LINE_PAUSE_MS);
+      dropped[i] = measure_line (fileno (file), 0);
+      lost[i] = measure_line (pipe_ends[1], LINE_PAUSE_MS);
     }
-  print_spread ("one line, written to a file", written, rounds, "us");
-  print_spread ("one line, left out by the budget", left_out, rounds, "us");
-  print_spread ("one line, reader stopped", lost, rounds, "us");
+  print_range ("one line, written to a file", written, rounds, "us");
+  print_range ("one line, left out by the budget", dropped, rounds, "us");
+  print_range ("one line, reader stopped", lost, rounds, "us");
   fclose (file);
-  close (ends[0]);
-  close (ends[1]);
+  close (pipe_ends[0]);
+  close (pipe_ends[1]);
 }
 
 int
 main (int argc, char **argv)
 {
-  static cost_t costs[MOST_ROUNDS][MODES];
-  static cost_t burst[MOST_ROUNDS][MODES];
+  static cost_t costs[MAX_ROUNDS][MODES];
+  static cost_t burst[MAX_ROUNDS][MODES];
   int32_t rounds = DEFAULT_ROUNDS;
 
   if (argc == 3 && strcmp (argv[1], "--rounds") == 0)
     rounds = (int32_t)strtol (argv[2], NULL, BASE_TEN);
-  if (rounds < 1 || rounds > MOST_ROUNDS || !start ())
+  if (rounds < 1 || rounds > MAX_ROUNDS || !start ())
     {
-      fprintf (stderr, "bench_log: can't start\n");
+      fprintf (stderr, "bench_log: invalid number of rounds, or the gateways did not start\n");
       return 1;
     }
   for (int32_t i = 0; i < rounds; i++)
@@ -315,14 +318,13 @@
   for (int32_t i = 0; i < rounds; i++)
     for (int32_t step = 0; step < MODES; step++)
       burst[i][(i + step) % MODES] = measure ((i + step) % MODES, BURST);
-  printf ("%d rounds: median (least to most)\n\n%d requests, each with its line\n", rounds,
-          REQUESTS);
+  printf ("%d rounds: median (min to max)\n\n%d requests, each with its line\n", rounds, REQUESTS);
   print_rounds (costs, rounds);
   printf ("\n%d requests, most lines over the budget\n", BURST);
   print_rounds (burst, rounds);
   printf ("\n");
   print_lines (rounds);
-  printf ("\nrequests that failed: %d\n", failed);
+  printf ("\nrequests that failed: %d\n", failed_requests);
   bt_drop_field (field, false);
-  return failed == 0 ? 0 : 1;
+  return failed_requests == 0 ? 0 : 1;
 }
--- a/bench/bench_maps.c
+++ b/bench/bench_maps.c
@@ -1,6 +1,7 @@
 /** @file
- * What each planner makes of drifting expert popularity: step-time skew and the cost of moving.
- * Seeded; the table is the same on every machine but for the plan times.
+ * Compares the map planners under drifting expert popularity: step-time skew and the cost of
+ * moving experts. The run is seeded; except for the plan times, the table is the same on every
+ * machine.
  */
 
 #include <stdio.h>
@@ -23,10 +24,10 @@
   LONG_INTERVAL_MS = 30000,
   HALF_LIFE_MS = 10000,
   STEP_MS = 6,
-  STEPS_A_TICK = TICK_MS / STEP_MS,
-  TOKENS_A_RANK = 128,
-  EXPERTS_A_TOKEN = 8,
-  STORE_MB_A_S = 2000,
+  STEPS_PER_TICK = TICK_MS / STEP_MS,
+  TOKENS_PER_RANK = 128,
+  EXPERTS_PER_TOKEN = 8,
+  STORE_MB_PER_S = 2000,
   MOVE_US_PER_MB = 50,
   KB_PER_MB = 1000,
   PLAN_LAYERS = 60,
@@ -37,7 +38,7 @@
 static const double median = 0.5;
 static const double tail = 0.99;
 
-/** A group to simulate. */
+/** A rank group to simulate. */
 typedef struct group
 {
   const char *name;
@@ -56,18 +57,18 @@
   GROUPS = sizeof groups / sizeof groups[0],
 };
 
-/** A way to plan. */
-typedef struct way
+/** A planner with its settings. */
+typedef struct variant
 {
   const char *name;
   const bt_map_planner_t *planner;
   bt_map_weights_t weights;
   int64_t half_life_ms;
   int64_t interval_ms;
-  bool instant; /**< Weights need no time to arrive: a bound, not a system. */
-} way_t;
+  bool instant; /**< Weights arrive without delay: an upper bound, not a real system. */
+} variant_t;
 
-/** What a run came to. */
+/** Totals and samples of one run. */
 typedef struct result
 {
   double skew[TICKS];
@@ -78,16 +79,16 @@
   int64_t slowest_plan_us;
 } result_t;
 
-/** A run under way. */
+/** State of one run. */
 typedef struct run
 {
   bt_context_t *ctx;
   const group_t *group;
-  const way_t *way;
+  const variant_t *variant;
   drift_t *drift;
   bt_random_t noise;
   bt_expert_map_t *map;
-  bt_expert_map_t *staged; /**< NULL while no map is on its way. */
+  bt_expert_map_t *staged; /**< NULL while no planned map is being staged. */
   int64_t ready_ms;
   bt_expert_load_t *load;
   bt_map_history_t *history;
@@ -101,7 +102,7 @@
                             round_bytes,  expert_share,        0 };
 }
 
-/* Where every run starts: packed for the popularity at the start. */
+/* Returns the map that every run starts with, planned for the popularity at the start. */
 static bt_expert_map_t *
 pack_first_map (run_t *run)
 {
@@ -134,7 +135,7 @@
   bt_seed_random (&run->noise, SEED + 1);
   run->map = pack_first_map (run);
   run->load = bt_new_expert_load (run->ctx, group->shape.layers, group->shape.experts,
-                                  run->way->half_life_ms);
+                                  run->variant->half_life_ms);
   run->history = bt_new_map_history (run->ctx, group->shape);
 }
 
@@ -147,12 +148,13 @@
   bt_drop_map_history (run->ctx, run->history);
 }
 
-/* One step's skew: the tokens of one step are drawn, so even a perfect map has some. */
+/* Returns the skew of one step. The tokens of the step are drawn at random, so even a perfect map
+ * has some skew. */
 static double
 sample_step (run_t *run)
 {
   bt_map_shape_t shape = run->group->shape;
-  double tokens = (double)shape.ranks * TOKENS_A_RANK * EXPERTS_A_TOKEN;
+  double tokens = (double)shape.ranks * TOKENS_PER_RANK * EXPERTS_PER_TOKEN;
   double busiest_sum = 0;
   double total = 0;
 
@@ -182,12 +184,12 @@
   return busiest_sum * shape.ranks / total;
 }
 
-/* What the ranks report for one second's steps. */
+/* Adds the load that the ranks report for the steps of one second. */
 static void
 report_loads (run_t *run, int64_t now_ms)
 {
   bt_map_shape_t shape = run->group->shape;
-  double tokens = (double)shape.ranks * TOKENS_A_RANK * EXPERTS_A_TOKEN * STEPS_A_TICK;
+  double tokens = (double)shape.ranks * TOKENS_PER_RANK * EXPERTS_PER_TOKEN * STEPS_PER_TICK;
 
   bt_decay_expert_load (run->load, now_ms);
   for (int32_t layer = 0; layer < shape.layers; layer++)
@@ -202,10 +204,10 @@
 {
   result_t *result = run->result;
   bt_map_input_t input = {
-    run->map, run->load, run->history, run->way->weights, get_limits (run->group), now_ms
+    run->map, run->load, run->history, run->variant->weights, get_limits (run->group), now_ms
   };
   int64_t start_us = bt_read_monotonic_us ();
-  bt_map_plan_t *plan = bt_plan_map (run->ctx, run->way->planner, &input);
+  bt_map_plan_t *plan = bt_plan_map (run->ctx, run->variant->planner, &input);
   int64_t plan_us = bt_read_monotonic_us () - start_us;
 
   if (plan_us > result->slowest_plan_us)
@@ -214,8 +216,8 @@
     {
       run->staged = bt_copy_expert_map (run->ctx, plan->next);
       run->ready_ms = now_ms;
-      if (!run->way->instant)
-        run->ready_ms += plan->moved_bytes / ((int64_t)STORE_MB_A_S * KB_PER_MB);
+      if (!run->variant->instant)
+        run->ready_ms += plan->moved_bytes / ((int64_t)STORE_MB_PER_S * KB_PER_MB);
       result->moved_bytes += plan->moved_bytes;
       result->extra_ms += plan->cost_ms;
     }
@@ -233,10 +235,13 @@
 }
 
 static void
-play (
-    bt_context_t *ctx, const group_t *group, drift_kind_t kind, const way_t *way, result_t *result)
+run_variant (bt_context_t *ctx,
+             const group_t *group,
+             drift_kind_t kind,
+             const variant_t *variant,
+             result_t *result)
 {
-  run_t run = { ctx, group, way };
+  run_t run = { ctx, group, variant };
 
   memset (result, 0, sizeof *result);
   run.result = result;
@@ -252,7 +257,7 @@
       result->skew[tick] = sample_step (&run);
       result->skew_sum += result->skew[tick];
       report_loads (&run, now_ms);
-      if (tick > 0 && now_ms % way->interval_ms == 0 && run.staged == NULL)
+      if (tick > 0 && now_ms % variant->interval_ms == 0 && run.staged == NULL)
         plan_next (&run, now_ms);
     }
   end_run (&run);
@@ -275,7 +280,8 @@
   return values[(int32_t)(at * (count - 1))];
 }
 
-/* Lost to skew: how much longer than balanced the run's steps took, in seconds. */
+/* Prints a row of the table. "skew, s" is the time that the steps of the run took beyond balanced
+ * steps, in seconds. */
 static void
 print_result (const char *name, result_t *result)
 {
@@ -287,23 +293,23 @@
           (double)result->slowest_plan_us / 1000.0);
 }
 
-/* Weights of the two deployments; docs/OPERATING-maps.md names them. */
-static const bt_map_weights_t haiyun = { 1.0, 0.5, 60000, STEP_MS, 1.5, 0 };
-static const bt_map_weights_t association = { 0.5, 1.0, 60000, STEP_MS, 2.0, 30000 };
-static const bt_map_weights_t no_weights = { 1.0, 1.0, 1, 0, 1.0, 0 };
+/* Weights of the two deployments, as docs/OPERATING-maps.md lists them. */
+static const bt_map_weights_t haiyun_weights = { 1.0, 0.5, 60000, STEP_MS, 1.5, 0 };
+static const bt_map_weights_t association_weights = { 0.5, 1.0, 60000, STEP_MS, 2.0, 30000 };
+static const bt_map_weights_t neutral_weights = { 1.0, 1.0, 1, 0, 1.0, 0 };
 
 static void
 print_drift_tables (bt_context_t *ctx)
 {
   const bt_map_planner_t *full = bt_full_map_planner ();
   const bt_map_planner_t *paying = bt_paying_map_planner ();
-  const way_t ways[] = {
-    { "static", bt_static_map_planner (), no_weights, HALF_LIFE_MS, INTERVAL_MS, false },
-    { "full, 30 s", full, no_weights, HALF_LIFE_MS, LONG_INTERVAL_MS, false },
-    { "full, 10 s", full, no_weights, HALF_LIFE_MS, INTERVAL_MS, false },
-    { "full, no staging", full, no_weights, HALF_LIFE_MS, INTERVAL_MS, true },
-    { "paying, Haiyun", paying, haiyun, HALF_LIFE_MS, INTERVAL_MS, false },
-    { "paying, assoc.", paying, association, HALF_LIFE_MS, INTERVAL_MS, false },
+  const variant_t variants[] = {
+    { "static", bt_static_map_planner (), neutral_weights, HALF_LIFE_MS, INTERVAL_MS, false },
+    { "full, 30 s", full, neutral_weights, HALF_LIFE_MS, LONG_INTERVAL_MS, false },
+    { "full, 10 s", full, neutral_weights, HALF_LIFE_MS, INTERVAL_MS, false },
+    { "full, no staging", full, neutral_weights, HALF_LIFE_MS, INTERVAL_MS, true },
+    { "paying, Haiyun", paying, haiyun_weights, HALF_LIFE_MS, INTERVAL_MS, false },
+    { "paying, assoc.", paying, association_weights, HALF_LIFE_MS, INTERVAL_MS, false },
   };
   static result_t result;
 
@@ -313,62 +319,66 @@
         printf ("\n%s; %s\n\n", groups[g].name, name_drift (kind));
         printf ("| planner | p50 | p99 | moved GB | maps | skew, s | moving, s | plan, ms |\n");
         printf ("|---|---|---|---|---|---|---|---|\n");
-        for (size_t w = 0; w < sizeof ways / sizeof ways[0]; w++)
+        for (size_t w = 0; w < sizeof variants / sizeof variants[0]; w++)
           {
-            play (ctx, &groups[g], kind, &ways[w], &result);
-            print_result (ways[w].name, &result);
+            run_variant (ctx, &groups[g], kind, &variants[w], &result);
+            print_result (variants[w].name, &result);
           }
       }
 }
 
-/* Attention's share of a step is what the experts leave; the experts are taken as balanced. */
+/* Prints the skew by placement policy. Attention takes the part of a step that experts do not
+ * take; the load of the experts is assumed to be balanced. */
 static void
 print_placement_table (void)
 {
-  static double skew[PLACE_TICKS - PLACE_WARM_TICKS];
-  const int32_t count = PLACE_TICKS - PLACE_WARM_TICKS;
+  static double skew[PLACE_TICKS - PLACE_WARM_UP_TICKS];
+  const int32_t count = PLACE_TICKS - PLACE_WARM_UP_TICKS;
 
   printf ("\nRequests on 16 ranks, loads seen up to 500 ms late by 7 entries\n\n"
           "| placement | attention p50 | attention p99 | whole step p50 | whole step p99 |\n"
           "|---|---|---|---|---|\n");
   for (int32_t kind = 0; kind < PLACE_COUNT; kind++)
     {
-      double middle;
-      double high;
-
-      play_placement (kind, skew);
-      middle = quantile (skew, count, median);
-      high = quantile (skew, count, tail);
-      printf ("| %s | %.3f | %.3f | %.3f | %.3f |\n", name_placement (kind), middle, high,
-              expert_share + (1 - expert_share) * middle, expert_share + (1 - expert_share) * high);
+      double median_skew;
+      double tail_skew;
+
+      simulate_placement (kind, skew);
+      median_skew = quantile (skew, count, median);
+      tail_skew = quantile (skew, count, tail);
+      printf ("| %s | %.3f | %.3f | %.3f | %.3f |\n", name_placement (kind), median_skew, tail_skew,
+              expert_share + (1 - expert_share) * median_skew,
+              expert_share + (1 - expert_share) * tail_skew);
     }
 }
 
 static void
 print_round_table (bt_context_t *ctx)
 {
-  static const uint64_t ahead[] = { 4, 6, 8, 12, 20, 50, 100 };
+  static const uint64_t arm_steps[] = { 4, 6, 8, 12, 20, 50, 100 };
   static rounds_t rounds;
 
   printf ("\nRounds without faults on 16 ranks, 10 minutes, steps of 6 ms\n\n"
           "| steps ahead | rounds taken | dropped | steps | tries held |\n|---|---|---|---|---|\n");
-  for (size_t i = 0; i < sizeof ahead / sizeof ahead[0]; i++)
+  for (size_t i = 0; i < sizeof arm_steps / sizeof arm_steps[0]; i++)
     {
-      play_rounds (ctx, &rounds, ahead[i]);
-      printf ("| %d | %d | %d | %lld | %lld |\n", (int)ahead[i], rounds.applied, rounds.dropped,
+      simulate_rounds (ctx, &rounds, arm_steps[i]);
+      printf ("| %d | %d | %d | %lld | %lld |\n", (int)arm_steps[i], rounds.applied, rounds.dropped,
               (long long)rounds.group.steps, (long long)rounds.group.held);
     }
 }
 
-/* The largest group: a plan from a full map whose loads have shifted, and the one after it. */
+/* Prints the plan times of the largest group: for a full map after its loads have shifted, and for
+ * the plan after that. */
 static void
 print_plan_time (bt_context_t *ctx)
 {
   group_t group = { "", { PLAN_LAYERS, 256, 32 }, 10, 44040192 };
-  way_t way = { "", bt_paying_map_planner (), haiyun, HALF_LIFE_MS, INTERVAL_MS, true };
+  variant_t variant = { "",  bt_paying_map_planner (), haiyun_weights, HALF_LIFE_MS, INTERVAL_MS,
+                        true };
   static result_t result;
-  run_t run = { ctx, &group, &way };
-  int64_t first_us;
+  run_t run = { ctx, &group, &variant };
+  int64_t first_plan_us;
 
   run.result = &result;
   run.drift = new_drift (ctx, group.shape, DRIFT_DIALECT, RUN_MS, SEED);
@@ -376,14 +386,14 @@
   move_drift (run.drift, RUN_MS / 2);
   report_loads (&run, 0);
   plan_next (&run, 0);
-  first_us = result.slowest_plan_us;
+  first_plan_us = result.slowest_plan_us;
   if (run.staged != NULL)
     switch_map (&run, 0);
   result.slowest_plan_us = 0;
   plan_next (&run, 1);
   printf ("\nPlan time, 32 ranks, 256 experts, 60 layers: %.0f ms after a shift, "
           "%.0f ms from a map that fits\n",
-          (double)first_us / 1000.0, (double)result.slowest_plan_us / 1000.0);
+          (double)first_plan_us / 1000.0, (double)result.slowest_plan_us / 1000.0);
   end_run (&run);
   drop_drift (ctx, run.drift);
 }
--- a/bench/bench_path.c
+++ b/bench/bench_path.c
@@ -1,11 +1,12 @@
 /** @file
- * What the path adds: the same load straight to a stand-in and through the system, in one run.
+ * Measures the overhead of the request path: the same load sent directly to a stand-in and
+ * through the system, in one run.
  *
  *   bench_path [--rate N] [--seconds N] [--clients N]
  *
  * Starts its own deployment on loopback (two entries, two model engines, one plain service). For
- * each kind of endpoint it sends N requests a second from keep-alive clients, first straight, then
- * through the entries, and prints the time to the first byte and the processor time used.
+ * each kind of endpoint it sends N requests a second from keep-alive clients, first directly,
+ * then through the entries, and prints the time to the first byte and the CPU time used.
  */
 
 #include <curl/curl.h>
@@ -40,21 +41,21 @@
     "{\"name\":\"drafts\",\"when\":{\"path\":\"/v1/completions\"},"
     "\"then\":{\"action\":\"route\",\"app\":\"drafts\"}}]}";
 
-/** One client thread's part of a load. */
+/** One client thread and its share of a load. */
 typedef struct client
 {
   pthread_t thread;
   char url[URL_BYTES];
   const char *body;
   int64_t requests;
-  int64_t interval_us; /**< 0: as fast as answers come. */
+  int64_t interval_us; /**< 0: the next request starts when the answer has arrived. */
   int64_t start_us;
   int64_t *first_us; /**< Times to the first byte. */
   int64_t done;
   int64_t failed;
 } client_t;
 
-/** What one load came to. */
+/** Result of one load. */
 typedef struct result
 {
   int64_t done;
@@ -63,7 +64,7 @@
   int64_t p50_us;
   int64_t p99_us;
   int64_t max_us;
-  double cpu_seconds; /**< Of the entries and agents. */
+  double cpu_seconds; /**< CPU time of the entries and agents. */
 } result_t;
 
 static size_t
@@ -194,7 +195,7 @@
 {
   client_t clients[MAX_CLIENTS] = { 0 };
   int64_t start_us = bt_read_monotonic_us () + US_PER_MS;
-  double cpu_before = read_cpu_seconds (stage);
+  double start_cpu_seconds = read_cpu_seconds (stage);
 
   memset (result, 0, sizeof *result);
   for (int32_t i = 0; i < client_count; i++)
@@ -213,7 +214,7 @@
   for (int32_t i = 0; i < client_count; i++)
     pthread_join (clients[i].thread, NULL);
   result->seconds = (double)(bt_read_monotonic_us () - start_us) / US_PER_S;
-  result->cpu_seconds = read_cpu_seconds (stage) - cpu_before;
+  result->cpu_seconds = read_cpu_seconds (stage) - start_cpu_seconds;
   collect (clients, client_count, result);
 }
 
@@ -228,44 +229,44 @@
 }
 
 static void
-run_pair (const bt_stage_t *stage,
-          const char *name,
-          const char *standin,
-          const char *path,
-          const char *body,
-          int64_t rate,
-          int64_t requests,
-          int32_t clients)
+compare_paths (const bt_stage_t *stage,
+               const char *name,
+               const char *standin,
+               const char *path,
+               const char *body,
+               int64_t rate,
+               int64_t requests,
+               int32_t clients)
 {
-  static const char *const entries[] = { "entry-0", "entry-1" };
-  const char *direct[] = { standin };
+  static const char *const entry_targets[] = { "entry-0", "entry-1" };
+  const char *direct_targets[] = { standin };
   char label[URL_BYTES];
-  result_t straight;
-  result_t through;
+  result_t direct;
+  result_t proxied;
 
-  run_load (stage, direct, 1, path, body, 0, (int64_t)WARM_UP_REQUESTS * clients, clients,
-            &straight);
-  run_load (stage, entries, 2, path, body, 0, (int64_t)WARM_UP_REQUESTS * clients, clients,
-            &through);
-  run_load (stage, direct, 1, path, body, rate, requests, clients, &straight);
-  run_load (stage, entries, 2, path, body, rate, requests, clients, &through);
-  straight.cpu_seconds = 0;
+  run_load (stage, direct_targets, 1, path, body, 0, (int64_t)WARM_UP_REQUESTS * clients, clients,
+            &direct);
+  run_load (stage, entry_targets, 2, path, body, 0, (int64_t)WARM_UP_REQUESTS * clients, clients,
+            &proxied);
+  run_load (stage, direct_targets, 1, path, body, rate, requests, clients, &direct);
+  run_load (stage, entry_targets, 2, path, body, rate, requests, clients, &proxied);
+  direct.cpu_seconds = 0;
   snprintf (label, sizeof label, "%s, straight", name);
-  print_row (label, &straight);
+  print_row (label, &direct);
   snprintf (label, sizeof label, "%s, through", name);
-  print_row (label, &through);
+  print_row (label, &proxied);
   printf ("| %-26s | %8s | %6s | %8s | %8.3f | %8.3f | %8s | %10s |\n", "  added", "", "", "",
-          (double)(through.p50_us - straight.p50_us) / US_PER_MS,
-          (double)(through.p99_us - straight.p99_us) / US_PER_MS, "", "");
+          (double)(proxied.p50_us - direct.p50_us) / US_PER_MS,
+          (double)(proxied.p99_us - direct.p99_us) / US_PER_MS, "", "");
 }
 
 static int64_t
-read_option (int argc, char **argv, const char *name, int64_t otherwise)
+read_option (int argc, char **argv, const char *name, int64_t fallback)
 {
   for (int i = 1; i + 1 < argc; i++)
     if (strcmp (argv[i], name) == 0)
       return strtoll (argv[i + 1], NULL, BASE_TEN);
-  return otherwise;
+  return fallback;
 }
 
 int
@@ -280,7 +281,9 @@
 
   if (clients < 1 || clients > MAX_CLIENTS || rate < 1 || seconds < 1)
     {
-      fprintf (stderr, "bench_path: rate and seconds from 1, clients from 1 to %d\n", MAX_CLIENTS);
+      fprintf (stderr,
+               "bench_path: --rate and --seconds must be at least 1, --clients from 1 to %d\n",
+               MAX_CLIENTS);
       return 2;
     }
   bt_set_stage_arguments (NULL, agent_arguments);
@@ -292,12 +295,12 @@
   printf ("| %-26s | %8s | %6s | %8s | %8s | %8s | %8s | %10s |\n", "load", "answers", "failed",
           "per s", "p50 ms", "p99 ms", "max ms", "per core-s");
   printf ("|---|---|---|---|---|---|---|---|\n");
-  run_pair (stage, "plain service", "plain-0", "/lookup/x", "stock of shrimp?", rate, requests,
-            clients);
-  run_pair (stage, "model, 4 tokens", "engine-0", "/v1/completions",
-            "{\"prompt\":\"ten kilos\",\"max_tokens\":4}", rate, requests, clients);
-  run_pair (stage, "plain service, unpaced", "plain-0", "/lookup/x", "stock of shrimp?", 0,
-            requests, clients);
+  compare_paths (stage, "plain service", "plain-0", "/lookup/x", "stock of shrimp?", rate, requests,
+                 clients);
+  compare_paths (stage, "model, 4 tokens", "engine-0", "/v1/completions",
+                 "{\"prompt\":\"ten kilos\",\"max_tokens\":4}", rate, requests, clients);
+  compare_paths (stage, "plain service, unpaced", "plain-0", "/lookup/x", "stock of shrimp?", 0,
+                 requests, clients);
   bt_drop_stage (stage, false);
   return 0;
 }
--- a/bench/bench_policy_path.c
+++ b/bench/bench_policy_path.c
@@ -1,12 +1,14 @@
 /** @file
- * Whether the order of the policy bench's results holds through real processes: the same load
- * straight to the engines (round robin; the better of two by own counts) and through the system.
+ * Checks that the ranking of the policy bench's results also holds with real processes. The same
+ * load goes directly to the engines (round robin, or the better of two random engines by the
+ * bench's own request counts) and through the system.
  *
  *   bench_policy_path [SECONDS]
  *
- * Starts its own deployment on loopback from the folder that it stands in: three entries, two
- * engines of 64 slots. First a load of three times the capacity, nine tenths of it by a large
- * account; then a load of 0.4 with one engine slowed five times. A caller gives up at its deadline.
+ * Starts its own deployment on loopback, with the programs in the directory of this program:
+ * three entries, two engines of 64 slots. The first load is three times the capacity, nine
+ * tenths of it from a large account. The second load is 0.4 of the capacity, with one engine
+ * slowed down five times. A caller gives up at its deadline.
  */
 
 #include <curl/curl.h>
@@ -45,45 +47,45 @@
     "\"then\":{\"action\":\"route\",\"app\":\"drafts\",\"deadline_ms\":4000,\"idempotent\":true}}]"
     "}";
 
-typedef enum way
+typedef enum variant
 {
-  THROUGH = 0,
-  ROUND_ROBIN,
-  TWO_CHOICES,
-} way_t;
+  VARIANT_THROUGH_SYSTEM = 0,
+  VARIANT_ROUND_ROBIN,
+  VARIANT_TWO_CHOICES,
+} variant_t;
 
-/** One request under way. */
+/** A request in progress. */
 typedef struct caller
 {
   CURL *easy;
   struct curl_slist *lines;
   int32_t target;
   bool small;
-  int64_t begin_us;
+  int64_t start_us;
 } caller_t;
 
-/** What a load came to. */
+/** Result of one load. */
 typedef struct result
 {
-  int64_t asked;
+  int64_t sent;
   int64_t good;
   int64_t refused;
   int64_t other;
-  int64_t small_asked;
+  int64_t small_sent;
   int64_t small_good;
   int64_t *good_us;
   int64_t *refused_us;
 } result_t;
 
-/** A load under way. */
+/** A load in progress. */
 typedef struct load
 {
   const bt_stage_t *stage;
-  way_t way;
+  variant_t variant;
   CURLM *multi;
   bt_random_t random;
   int32_t next;
-  int32_t open[ENGINES];
+  int32_t in_flight[ENGINES];
   result_t *result;
 } load_t;
 
@@ -99,17 +101,17 @@
   int32_t left;
   int32_t right;
 
-  if (load->way == THROUGH)
+  if (load->variant == VARIANT_THROUGH_SYSTEM)
     return (int32_t)bt_random_below (&load->random, ENTRIES);
-  if (load->way == ROUND_ROBIN)
+  if (load->variant == VARIANT_ROUND_ROBIN)
     return load->next++ % ENGINES;
   left = (int32_t)bt_random_below (&load->random, ENGINES);
   right = (int32_t)bt_random_below (&load->random, ENGINES);
-  return load->open[left] <= load->open[right] ? left : right;
+  return load->in_flight[left] <= load->in_flight[right] ? left : right;
 }
 
 static void
-ask (load_t *load)
+start_request (load_t *load)
 {
   caller_t *caller = calloc (1, sizeof *caller);
   char name[TEXT_BYTES];
@@ -118,7 +120,8 @@
 
   caller->small = bt_random_below (&load->random, WHOLE_PERCENT) >= LARGE_PERCENT;
   caller->target = choose_target (load);
-  snprintf (name, sizeof name, "%s-%d", load->way == THROUGH ? "entry" : "engine", caller->target);
+  snprintf (name, sizeof name, "%s-%d",
+            load->variant == VARIANT_THROUGH_SYSTEM ? "entry" : "engine", caller->target);
   snprintf (url, sizeof url, "http://127.0.0.1:%d/v1/completions",
             bt_get_stage_port (load->stage, name));
   snprintf (body, sizeof body, "{\"prompt\":\"ten kilos\",\"max_tokens\":%d}", TOKENS);
@@ -132,11 +135,11 @@
   curl_easy_setopt (caller->easy, CURLOPT_WRITEFUNCTION, ignore_bytes);
   curl_easy_setopt (caller->easy, CURLOPT_TIMEOUT_MS, (long)DEADLINE_MS);
   curl_easy_setopt (caller->easy, CURLOPT_PRIVATE, caller);
-  caller->begin_us = bt_read_monotonic_us ();
-  if (load->way != THROUGH)
-    load->open[caller->target]++;
-  load->result->asked++;
-  load->result->small_asked += caller->small ? 1 : 0;
+  caller->start_us = bt_read_monotonic_us ();
+  if (load->variant != VARIANT_THROUGH_SYSTEM)
+    load->in_flight[caller->target]++;
+  load->result->sent++;
+  load->result->small_sent += caller->small ? 1 : 0;
   curl_multi_add_handle (load->multi, caller->easy);
 }
 
@@ -152,15 +155,15 @@
   curl_easy_getinfo (easy, CURLINFO_RESPONSE_CODE, &status);
   if (code == CURLE_OK && status == STATUS_OK)
     {
-      result->good_us[result->good++] = now_us - caller->begin_us;
+      result->good_us[result->good++] = now_us - caller->start_us;
       result->small_good += caller->small ? 1 : 0;
     }
   else if (code == CURLE_OK)
-    result->refused_us[result->refused++] = now_us - caller->begin_us;
+    result->refused_us[result->refused++] = now_us - caller->start_us;
   else
     result->other++;
-  if (load->way != THROUGH)
-    load->open[caller->target]--;
+  if (load->variant != VARIANT_THROUGH_SYSTEM)
+    load->in_flight[caller->target]--;
   curl_multi_remove_handle (load->multi, easy);
   curl_easy_cleanup (easy);
   curl_slist_free_all (caller->lines);
@@ -168,7 +171,7 @@
 }
 
 static int
-turn_crank (load_t *load)
+drive_transfers (load_t *load)
 {
   CURLMsg *message;
   int running = 0;
@@ -183,25 +186,29 @@
 }
 
 static void
-run_load (const bt_stage_t *stage, way_t way, double per_second, int64_t requests, result_t *result)
+run_load (const bt_stage_t *stage,
+          variant_t variant,
+          double per_second,
+          int64_t requests,
+          result_t *result)
 {
-  load_t load = { .stage = stage, .way = way, .result = result };
-  const int64_t begin_us = bt_read_monotonic_us ();
+  load_t load = { .stage = stage, .variant = variant, .result = result };
+  const int64_t start_us = bt_read_monotonic_us ();
 
   memset (result, 0, sizeof *result);
   result->good_us = calloc ((size_t)requests, sizeof *result->good_us);
   result->refused_us = calloc ((size_t)requests, sizeof *result->refused_us);
   bt_seed_random (&load.random, SEED);
   load.multi = curl_multi_init ();
-  while (result->asked < requests)
+  while (result->sent < requests)
     {
-      const double passed_s = (double)(bt_read_monotonic_us () - begin_us) / US_PER_S;
+      const double passed_s = (double)(bt_read_monotonic_us () - start_us) / US_PER_S;
 
-      while (result->asked < requests && (double)result->asked < passed_s * per_second)
-        ask (&load);
-      turn_crank (&load);
+      while (result->sent < requests && (double)result->sent < passed_s * per_second)
+        start_request (&load);
+      drive_transfers (&load);
     }
-  while (turn_crank (&load) > 0)
+  while (drive_transfers (&load) > 0)
     continue;
   curl_multi_cleanup (load.multi);
 }
@@ -230,13 +237,13 @@
 static void
 print_row (const char *name, result_t *result)
 {
-  const double whole = WHOLE_PERCENT;
+  const double percent = WHOLE_PERCENT;
 
   printf ("| %-24s | %6lld | %6.1f | %6.1f | %6.1f | %6.1f | %7.0f / %-7.0f | %7.1f / %-7.1f |\n",
-          name, (long long)result->asked, (double)result->good * whole / (double)result->asked,
-          (double)result->small_good * whole / (double)result->small_asked,
-          (double)result->refused * whole / (double)result->asked,
-          (double)result->other * whole / (double)result->asked,
+          name, (long long)result->sent, (double)result->good * percent / (double)result->sent,
+          (double)result->small_good * percent / (double)result->small_sent,
+          (double)result->refused * percent / (double)result->sent,
+          (double)result->other * percent / (double)result->sent,
           get_percentile_ms (result->good_us, result->good, 50),
           get_percentile_ms (result->good_us, result->good, 99),
           get_percentile_ms (result->refused_us, result->refused, 50),
@@ -246,7 +253,7 @@
   free (result->refused_us);
 }
 
-/* What the entries refused and tried again, by reason. */
+/* Prints the refusals and retries of the entries, by reason. */
 static void
 print_counters (const bt_stage_t *stage)
 {
@@ -269,10 +276,10 @@
     }
 }
 
-/* Each way gets a deployment of its own, since the stand-in goes on with runs that nobody awaits.
- */
+/* Runs one variant on a new deployment: after a load, the stand-in engines still execute runs
+ * whose callers have given up. */
 static bool
-run_way (way_t way, double per_second, int64_t seconds, const char *fault)
+run_variant (variant_t variant, double per_second, int64_t seconds, const char *fault)
 {
   static const char *const names[] = { "through the system", "straight, round robin",
                                        "straight, two choices" };
@@ -283,26 +290,26 @@
     return false;
   if (fault != NULL)
     json_decref (bt_call_standin (stage, "engine-0", "/fault", fault));
-  run_load (stage, way, per_second, (int64_t)(per_second * (double)seconds), &result);
-  print_row (names[way], &result);
-  if (way == THROUGH)
+  run_load (stage, variant, per_second, (int64_t)(per_second * (double)seconds), &result);
+  print_row (names[variant], &result);
+  if (variant == VARIANT_THROUGH_SYSTEM)
     print_counters (stage);
   bt_drop_stage (stage, false);
   return true;
 }
 
 static bool
-run_ways (const char *title, double times, int64_t seconds, const char *fault)
+run_variants (const char *title, double capacity_factor, int64_t seconds, const char *fault)
 {
-  const double per_second = times * ENGINES * ENGINE_SLOTS * US_PER_MS / RUN_MS;
+  const double per_second = capacity_factor * ENGINES * ENGINE_SLOTS * US_PER_MS / RUN_MS;
   bool ran = true;
 
   printf ("\n%s, %.0f requests a second for %lld s\n\n", title, per_second, (long long)seconds);
   printf ("| way | asked | good %% | small good %% | refused %% | nothing in time %% "
           "| answer p50 / p99 ms | refusal p50 / p99 ms |\n");
   printf ("|---|---|---|---|---|---|---|---|\n");
-  for (int32_t way = TWO_CHOICES; way >= THROUGH; way--)
-    ran = run_way ((way_t)way, per_second, seconds, fault) && ran;
+  for (int32_t variant = VARIANT_TWO_CHOICES; variant >= VARIANT_THROUGH_SYSTEM; variant--)
+    ran = run_variant ((variant_t)variant, per_second, seconds, fault) && ran;
   return ran;
 }
 
@@ -313,14 +320,15 @@
   const int64_t seconds = argc > 1 ? strtoll (argv[1], NULL, BASE_TEN) : DEFAULT_SECONDS;
   char *folder = strdup (argv[0]);
 
-  /* The harness would start the programs of another build, whose figures mean nothing here. */
+  /* Otherwise the harness might start the programs of another build, whose results are not
+   * comparable. */
   setenv ("BT_BUILD_DIR", dirname (folder), 1);
   free (folder);
   bt_set_stage_arguments (NULL, agent_arguments);
-  if (!run_ways ("Three times the capacity", 3, seconds, NULL))
+  if (!run_variants ("Three times the capacity", 3, seconds, NULL))
     return 1;
-  return run_ways ("One engine slowed five times, load 0.4", 0.4, seconds,
-                   "{\"kind\":\"slow\",\"count\":5}")
+  return run_variants ("One engine slowed five times, load 0.4", 0.4, seconds,
+                       "{\"kind\":\"slow\",\"count\":5}")
              ? 0
              : 1;
 }
--- a/bench/bench_requests.c
+++ b/bench/bench_requests.c
@@ -1,6 +1,6 @@
 /** @file
- * What the request protocol costs in memory and computing: bytes for each kept record, and the time
- * of each step relative to a dispatch without a key in the same run.
+ * Measures the cost of the request protocol in memory and CPU time: bytes per record, and the
+ * time of each operation relative to a dispatch without a key in the same run.
  */
 
 #include <stdio.h>
@@ -12,7 +12,7 @@
 enum
 {
   ROUNDS = 100000,
-  LIFE_MS = 30000,
+  EXPIRY_MS = 30000,
   ANSWER_BYTES = 2000,
   ANSWER_PIECES = 20,
 };
@@ -27,8 +27,8 @@
                                    .max_records = ROUNDS,
                                    .max_bytes = (uint64_t)1 << 32,
                                    .max_answer_bytes = 1 << 20,
-                                   .keep_answer_ms = LIFE_MS,
-                                   .ticket_life_ms = LIFE_MS };
+                                   .keep_answer_ms = EXPIRY_MS,
+                                   .ticket_life_ms = EXPIRY_MS };
 
   return bt_new_arbiter (ctx, &options);
 }
@@ -37,11 +37,11 @@
 make_dispatch (int32_t round, bool keyed)
 {
   bt_dispatch_t dispatch = {
-    .path = { 1, (uint64_t)round, 1 }, .target = self, .has_ticket = keyed, .deadline_ms = LIFE_MS
+    .path = { 1, (uint64_t)round, 1 }, .target = self, .has_ticket = keyed, .deadline_ms = EXPIRY_MS
   };
 
   dispatch.ticket.home = self;
-  dispatch.ticket.expires_ms = LIFE_MS;
+  dispatch.ticket.expires_ms = EXPIRY_MS;
   memcpy (dispatch.ticket.key.bytes, &round, sizeof round);
   return dispatch;
 }
@@ -72,7 +72,7 @@
   bt_arbiter_t *arbiter = make_arbiter (ctx);
   bt_arbiter_actions_t actions = { 0 };
   int64_t start_us = bt_read_monotonic_us ();
-  int64_t took_us;
+  int64_t elapsed_us;
 
   for (int32_t i = 0; i < ROUNDS; i++)
     {
@@ -82,11 +82,11 @@
       actions.count = 0;
       end_run (ctx, arbiter, (uint64_t)i + 1, &actions);
     }
-  took_us = bt_read_monotonic_us () - start_us;
+  elapsed_us = bt_read_monotonic_us () - start_us;
   *bytes = (double)bt_count_arbiter_bytes (arbiter) / ROUNDS;
   bt_free_arbiter_actions (ctx, &actions);
   bt_drop_arbiter (ctx, arbiter);
-  return (double)took_us / ROUNDS;
+  return (double)elapsed_us / ROUNDS;
 }
 
 static double
@@ -95,12 +95,12 @@
   bt_arbiter_t *arbiter = make_arbiter (ctx);
   bt_arbiter_actions_t actions = { 0 };
   int64_t start_us = bt_read_monotonic_us ();
-  int64_t took_us;
+  int64_t elapsed_us;
 
   for (int32_t i = 0; i < ROUNDS; i++)
     {
       bt_dispatch_t dispatch = make_dispatch (i, true);
-      bt_grant_request_t grant = { .ticket = dispatch.ticket, .proposal = { other, LIFE_MS, 0 } };
+      bt_grant_request_t grant = { .ticket = dispatch.ticket, .proposal = { other, EXPIRY_MS, 0 } };
       bt_tombstone_request_t tombstone = { .target = self, .ticket = dispatch.ticket };
 
       if (tombstones)
@@ -109,11 +109,11 @@
         bt_handle_grant_request (ctx, arbiter, &grant, 0, &actions);
       actions.count = 0;
     }
-  took_us = bt_read_monotonic_us () - start_us;
+  elapsed_us = bt_read_monotonic_us () - start_us;
   *bytes = (double)bt_count_arbiter_bytes (arbiter) / ROUNDS;
   bt_free_arbiter_actions (ctx, &actions);
   bt_drop_arbiter (ctx, arbiter);
-  return (double)took_us / ROUNDS;
+  return (double)elapsed_us / ROUNDS;
 }
 
 static double
@@ -142,15 +142,15 @@
   bt_context_t *ctx = bt_new_context ();
   double bytes;
   double baseline = run_dispatches (ctx, false, &bytes);
-  double took = run_dispatches (ctx, true, &bytes);
+  double cost_us = run_dispatches (ctx, true, &bytes);
 
   printf ("%-44s %8.2f us\n", "run without a key, 20 pieces (baseline)", baseline);
   printf ("%-44s %8.2f of it, %6.0f bytes kept\n", "run with a key, 2,000-byte answer kept",
-          took / baseline, bytes);
-  took = run_grants (ctx, false, &bytes);
-  printf ("%-44s %8.2f of it, %6.0f bytes kept\n", "grant", took / baseline, bytes);
-  took = run_grants (ctx, true, &bytes);
-  printf ("%-44s %8.2f of it, %6.0f bytes kept\n", "tombstone", took / baseline, bytes);
+          cost_us / baseline, bytes);
+  cost_us = run_grants (ctx, false, &bytes);
+  printf ("%-44s %8.2f of it, %6.0f bytes kept\n", "grant", cost_us / baseline, bytes);
+  cost_us = run_grants (ctx, true, &bytes);
+  printf ("%-44s %8.2f of it, %6.0f bytes kept\n", "tombstone", cost_us / baseline, bytes);
   printf ("%-44s %8.2f of it\n", "signing a ticket", run_tickets (ctx, false) / baseline);
   printf ("%-44s %8.2f of it\n", "checking a ticket", run_tickets (ctx, true) / baseline);
   bt_drop_context (ctx);
--- a/bench/drift.h
+++ b/bench/drift.h
@@ -2,8 +2,8 @@
 #define BILBERRYTRAY_BENCH_DRIFT_H
 
 /** @file
- * Expert popularity that drifts, seeded: what the map bench plays to the planners. All of
- * it is static, since a bench is one program of one source file.
+ * Seeded model of drifting expert popularity, the input of the planners in the map bench. All
+ * functions are static, since each bench is one program with one source file.
  */
 
 #include <math.h>
@@ -15,10 +15,11 @@
 
 typedef enum drift_kind
 {
-  DRIFT_SEASON = 0, /**< One mix of topics turns slowly into another. */
-  DRIFT_DIALECT,    /**< At a third of the run the mix changes within ten seconds; at two back. */
-  DRIFT_BURST,      /**< Every four minutes one set of experts is six times as busy for 75 s. */
-  DRIFT_ACCOUNTS,   /**< Three large client accounts come and go. */
+  DRIFT_SEASON = 0, /**< A mix of topics changes slowly into another. */
+  DRIFT_DIALECT,    /**< The mix changes within ten seconds at one third of the run, and back at two
+                       thirds. */
+  DRIFT_BURST,      /**< Every four minutes one in 16 experts is six times as popular for 75 s. */
+  DRIFT_ACCOUNTS,   /**< Three large client accounts become active and inactive at random. */
   DRIFT_COUNT,
 } drift_kind_t;
 
@@ -31,7 +32,7 @@
   BURST_FIRST_MS = 120000,
   BURST_ONE_IN = 16,
   SHIFT_MS = 10000,
-  STAY_MS = 90000,
+  ACCOUNT_STAY_MS = 90000,
 };
 
 static const double base_sigma = 0.5;
@@ -45,8 +46,8 @@
   drift_kind_t kind;
   int64_t duration_ms;
   bt_random_t random;
-  bool account_on[ACCOUNTS];
-  int64_t account_turn_ms[ACCOUNTS];
+  bool account_active[ACCOUNTS];
+  int64_t account_toggle_ms[ACCOUNTS];
   double *topics[TOPICS];
   double *shares;
 } drift_t;
@@ -67,7 +68,7 @@
 }
 
 static void
-normalise (const drift_t *drift, double *shares)
+normalize (const drift_t *drift, double *shares)
 {
   for (int32_t layer = 0; layer < drift->shape.layers; layer++)
     {
@@ -104,7 +105,7 @@
         drift->topics[topic][i] = exp (base + topic_sigma * bt_draw_normal (&drift->random));
     }
   for (int32_t topic = 0; topic < TOPICS; topic++)
-    normalise (drift, drift->topics[topic]);
+    normalize (drift, drift->topics[topic]);
   move_drift (drift, 0);
   return drift;
 }
@@ -118,7 +119,7 @@
   bt_free (ctx, drift);
 }
 
-/* From 0 to 1 over SHIFT_MS from a start on. */
+/* Rises from 0 to 1 within SHIFT_MS after @p start_ms. */
 static double
 ramp (int64_t now_ms, int64_t start_ms)
 {
@@ -133,13 +134,13 @@
   weights[0] = 1.0 - ACCOUNTS * account_share;
   for (int32_t i = 0; i < ACCOUNTS; i++)
     {
-      if (now_ms >= drift->account_turn_ms[i])
+      if (now_ms >= drift->account_toggle_ms[i])
         {
-          drift->account_on[i] = !drift->account_on[i];
-          drift->account_turn_ms[i] =
-              now_ms - (int64_t)(STAY_MS * log (1.0 - bt_random_unit (&drift->random)));
+          drift->account_active[i] = !drift->account_active[i];
+          drift->account_toggle_ms[i] =
+              now_ms - (int64_t)(ACCOUNT_STAY_MS * log (1.0 - bt_random_unit (&drift->random)));
         }
-      weights[i + 1] = drift->account_on[i] ? account_share : 0;
+      weights[i + 1] = drift->account_active[i] ? account_share : 0;
     }
 }
 
@@ -177,7 +178,7 @@
          && (now_ms - BURST_FIRST_MS) % BURST_PERIOD_MS < BURST_MS;
 }
 
-/** Moves the popularities to a time, which only grows. */
+/** Advances the popularity to @p now_ms, which must not decrease between calls. */
 static void
 move_drift (drift_t *drift, int64_t now_ms)
 {
@@ -195,10 +196,11 @@
       if (bursting && i % BURST_ONE_IN == burst)
         drift->shares[i] *= burst_factor;
     }
-  normalise (drift, drift->shares);
+  normalize (drift, drift->shares);
 }
 
-/** The share of a layer's tokens that an expert is given; a layer's shares add up to 1. */
+/** Returns the share of a layer's tokens that are routed to an expert. The shares of a layer add up
+ * to 1. */
 static double
 get_drift_share (const drift_t *drift, int32_t layer, int32_t expert)
 {
--- a/bench/harness_baselines.c
+++ b/bench/harness_baselines.c
@@ -1,18 +1,18 @@
 #include "bilberrytray/load/retry_budget.h"
 #include "harness_policies.h"
 
-/* What one entry knows under a baseline. */
+/* State of one entry instance under a baseline policy. */
 typedef struct baseline_entry
 {
   bt_retry_budget_t *budget;
   int32_t next;
   bool linked[MAX_ENDPOINTS];
-  int32_t own[MAX_ENDPOINTS];
+  int32_t in_flight[MAX_ENDPOINTS];
   int32_t reported[MAX_ENDPOINTS];
 } baseline_entry_t;
 
-/* Chooses among endpoints whose link is up; -1 when there are none. */
-typedef int32_t (*choose_t) (world_t *world,
+/* Chooses one of @p count endpoints whose link is up; @p count is at least 1. */
+typedef int32_t (*choose_t) (simulation_t *sim,
                              baseline_entry_t *entry,
                              const int32_t *linked,
                              int32_t count);
@@ -24,36 +24,36 @@
 } baseline_t;
 
 static int32_t
-choose_next (world_t *world, baseline_entry_t *entry, const int32_t *linked, int32_t count)
+choose_next (simulation_t *sim, baseline_entry_t *entry, const int32_t *linked, int32_t count)
 {
-  (void)world;
+  (void)sim;
   entry->next = (entry->next + 1) % count;
   return linked[entry->next];
 }
 
 static int32_t
-choose_random (world_t *world, baseline_entry_t *entry, const int32_t *linked, int32_t count)
+choose_random (simulation_t *sim, baseline_entry_t *entry, const int32_t *linked, int32_t count)
 {
   (void)entry;
-  return linked[bt_random_below (&world->random, (uint64_t)count)];
+  return linked[bt_random_below (&sim->random, (uint64_t)count)];
 }
 
 static int32_t
-choose_of_two (world_t *world, baseline_entry_t *entry, const int32_t *linked, int32_t count)
+choose_of_two (simulation_t *sim, baseline_entry_t *entry, const int32_t *linked, int32_t count)
 {
-  const int32_t left = choose_random (world, entry, linked, count);
-  const int32_t right = choose_random (world, entry, linked, count);
+  const int32_t left = choose_random (sim, entry, linked, count);
+  const int32_t right = choose_random (sim, entry, linked, count);
 
-  return entry->own[left] <= entry->own[right] ? left : right;
+  return entry->in_flight[left] <= entry->in_flight[right] ? left : right;
 }
 
 static int32_t
-choose_least_reported (world_t *world,
+choose_least_reported (simulation_t *sim,
                        baseline_entry_t *entry,
                        const int32_t *linked,
                        int32_t count)
 {
-  const int32_t first = (int32_t)bt_random_below (&world->random, (uint64_t)count);
+  const int32_t first = (int32_t)bt_random_below (&sim->random, (uint64_t)count);
   int32_t best = linked[first];
 
   for (int32_t i = 1; i < count; i++)
@@ -67,128 +67,129 @@
 }
 
 static void *
-start_baseline (world_t *world, choose_t choose)
+start_baseline (simulation_t *sim, choose_t choose)
 {
-  baseline_t *state = bt_calloc (world->ctx, 1, sizeof *state);
+  baseline_t *state = bt_calloc (sim->ctx, 1, sizeof *state);
   bt_retry_budget_options_t options;
 
   bt_default_retry_budget_options (&options);
   state->choose = choose;
   for (int32_t i = 0; i < ENTRIES; i++)
     {
-      state->entries[i].budget = bt_new_retry_budget (world->ctx, &options);
-      state->entries[i].next = (int32_t)bt_random_below (&world->random, MAX_ENDPOINTS);
-      for (int32_t k = 0; k < world->scenario->endpoints; k++)
+      state->entries[i].budget = bt_new_retry_budget (sim->ctx, &options);
+      state->entries[i].next = (int32_t)bt_random_below (&sim->random, MAX_ENDPOINTS);
+      for (int32_t k = 0; k < sim->scenario->endpoints; k++)
         state->entries[i].linked[k] = true;
     }
   return state;
 }
 
 static void *
-start_round_robin (world_t *world)
+start_round_robin (simulation_t *sim)
 {
-  return start_baseline (world, choose_next);
+  return start_baseline (sim, choose_next);
 }
 
 static void *
-start_random (world_t *world)
+start_random (simulation_t *sim)
 {
-  return start_baseline (world, choose_random);
+  return start_baseline (sim, choose_random);
 }
 
 static void *
-start_two_choices (world_t *world)
+start_two_choices (simulation_t *sim)
 {
-  return start_baseline (world, choose_of_two);
+  return start_baseline (sim, choose_of_two);
 }
 
 static void *
-start_least_reported (world_t *world)
+start_least_reported (simulation_t *sim)
 {
-  return start_baseline (world, choose_least_reported);
+  return start_baseline (sim, choose_least_reported);
 }
 
 static void
-stop_baseline (world_t *world, void *data)
+stop_baseline (simulation_t *sim, void *data)
 {
   baseline_t *state = data;
 
   for (int32_t i = 0; i < ENTRIES; i++)
-    bt_drop_retry_budget (world->ctx, state->entries[i].budget);
-  bt_free (world->ctx, state);
+    bt_drop_retry_budget (sim->ctx, state->entries[i].budget);
+  bt_free (sim->ctx, state);
 }
 
 static void
-dispatch (world_t *world, baseline_t *state, int32_t index)
+dispatch (simulation_t *sim, baseline_t *state, int32_t index)
 {
-  baseline_entry_t *entry = &state->entries[world->requests[index].entry];
+  baseline_entry_t *entry = &state->entries[sim->requests[index].entry];
   int32_t linked[MAX_ENDPOINTS];
   int32_t count = 0;
   int32_t endpoint;
 
-  for (int32_t i = 0; i < world->scenario->endpoints; i++)
+  for (int32_t i = 0; i < sim->scenario->endpoints; i++)
     if (entry->linked[i])
       linked[count++] = i;
   if (count == 0)
     {
-      bt_end_request (world, index, ENDING_REFUSED, BT_REASON_NO_ENDPOINT);
+      bt_end_request (sim, index, OUTCOME_REFUSED, BT_REASON_NO_ENDPOINT);
       return;
     }
-  endpoint = state->choose (world, entry, linked, count);
-  entry->own[endpoint]++;
-  bt_send_request (world, index, endpoint);
+  endpoint = state->choose (sim, entry, linked, count);
+  entry->in_flight[endpoint]++;
+  bt_send_request (sim, index, endpoint);
 }
 
 static void
-arrive_baseline (world_t *world, void *data, int32_t index)
+arrive_baseline (simulation_t *sim, void *data, int32_t index)
 {
   baseline_t *state = data;
 
-  bt_record_attempt (state->entries[world->requests[index].entry].budget);
-  dispatch (world, state, index);
+  bt_record_attempt (state->entries[sim->requests[index].entry].budget);
+  dispatch (sim, state, index);
 }
 
 static void
-try_again (world_t *world, baseline_t *state, int32_t index, bt_retry_t retry, bool not_run)
+retry_request (
+    simulation_t *sim, baseline_t *state, int32_t index, bt_retry_t retry, bool not_executed)
 {
-  request_t *request = &world->requests[index];
+  request_t *request = &sim->requests[index];
   baseline_entry_t *entry = &state->entries[request->entry];
 
-  if (!not_run && !request->idempotent)
-    bt_end_request (world, index, ENDING_UNKNOWN, BT_REASON_LINK_LOST);
-  else if (!bt_take_retry (world->ctx, entry->budget, retry))
-    bt_end_request (world, index, ENDING_REFUSED, BT_REASON_RETRY_BUDGET);
+  if (!not_executed && !request->idempotent)
+    bt_end_request (sim, index, OUTCOME_UNKNOWN, BT_REASON_LINK_LOST);
+  else if (!bt_take_retry (sim->ctx, entry->budget, retry))
+    bt_end_request (sim, index, OUTCOME_REFUSED, BT_REASON_RETRY_BUDGET);
   else
     {
-      world->sums.retries++;
+      sim->counters.retries++;
       request->first_token_us = 0;
-      dispatch (world, state, index);
+      dispatch (sim, state, index);
     }
 }
 
 static void
-reply_baseline (world_t *world, void *data, const event_t *event)
+reply_baseline (simulation_t *sim, void *data, const event_t *event)
 {
   baseline_t *state = data;
-  const request_t *request = &world->requests[event->request];
+  const request_t *request = &sim->requests[event->request];
   baseline_entry_t *entry = &state->entries[event->entry];
 
-  if (entry->own[event->endpoint] > 0)
-    entry->own[event->endpoint]--;
+  if (entry->in_flight[event->endpoint] > 0)
+    entry->in_flight[event->endpoint]--;
   if (event->end == BT_ATTEMPT_ANSWERED)
-    bt_end_request (world, event->request,
-                    world->now_us <= request->deadline_us ? ENDING_GOOD : ENDING_LATE,
+    bt_end_request (sim, event->request,
+                    sim->now_us <= request->deadline_us ? OUTCOME_IN_TIME : OUTCOME_LATE,
                     BT_REASON_NONE);
   else if (event->end == BT_ATTEMPT_CANCELLED)
-    bt_end_request (world, event->request, ENDING_REFUSED, event->reason);
+    bt_end_request (sim, event->request, OUTCOME_REFUSED, event->reason);
   else if (event->end == BT_ATTEMPT_REFUSED)
-    try_again (world, state, event->request, BT_RETRY_ENDPOINT_FULL, true);
+    retry_request (sim, state, event->request, BT_RETRY_ENDPOINT_FULL, true);
   else
-    try_again (world, state, event->request, BT_RETRY_ENGINE_SILENT, false);
+    retry_request (sim, state, event->request, BT_RETRY_ENGINE_SILENT, false);
 }
 
 static void
-load_baseline (world_t *world, void *data, const event_t *event)
+load_baseline (simulation_t *sim, void *data, const event_t *event)
 {
   baseline_t *state = data;
 
@@ -196,42 +197,43 @@
 }
 
 static void
-cache_baseline (world_t *world, void *data, const event_t *event)
+cache_baseline (simulation_t *sim, void *data, const event_t *event)
 {
-  (void)world;
+  (void)sim;
   (void)data;
   (void)event;
 }
 
 static void
-link_baseline (world_t *world, void *data, const event_t *event)
+link_baseline (simulation_t *sim, void *data, const event_t *event)
 {
   baseline_t *state = data;
   baseline_entry_t *entry = &state->entries[event->entry];
-  const int32_t count = world->request_count;
+  const int32_t count = sim->request_count;
 
   entry->linked[event->endpoint] = event->kind == EVENT_LINK_UP;
-  entry->own[event->endpoint] = 0;
+  entry->in_flight[event->endpoint] = 0;
   entry->reported[event->endpoint] = 0;
   if (event->kind == EVENT_LINK_UP)
     return;
   for (int32_t i = 0; i < count; i++)
-    if (world->requests[i].endpoint == event->endpoint && world->requests[i].entry == event->entry
-        && world->requests[i].ending == ENDING_NONE)
-      try_again (world, state, i, BT_RETRY_LINK_LOST, false);
+    if (sim->requests[i].endpoint == event->endpoint && sim->requests[i].entry == event->entry
+        && sim->requests[i].outcome == OUTCOME_NONE)
+      retry_request (sim, state, i, BT_RETRY_LINK_LOST, false);
 }
 
 static void
-tick_baseline (world_t *world, void *data, int32_t entry)
+tick_baseline (simulation_t *sim, void *data, int32_t entry)
 {
-  (void)world;
+  (void)sim;
   (void)data;
   (void)entry;
 }
 
-#define BASELINE(start_it)                                                                         \
-  .start = (start_it), .stop = stop_baseline, .arrive = arrive_baseline, .reply = reply_baseline,  \
-  .load = load_baseline, .cache = cache_baseline, .link = link_baseline, .tick = tick_baseline
+#define BASELINE(start_function)                                                                   \
+  .start = (start_function), .stop = stop_baseline, .on_arrival = arrive_baseline,                 \
+  .on_reply = reply_baseline, .on_load = load_baseline, .on_cache_event = cache_baseline,          \
+  .on_link_event = link_baseline, .on_tick = tick_baseline
 
 const policy_t bt_round_robin_policy = { .name = "round robin", BASELINE (start_round_robin) };
 const policy_t bt_random_policy = { .name = "random", BASELINE (start_random) };
--- a/bench/harness_core_policy.c
+++ b/bench/harness_core_policy.c
@@ -28,23 +28,23 @@
 }
 
 static void
-put_endpoint (world_t *world, entry_t *entry, int32_t index)
+put_endpoint (simulation_t *sim, entry_t *entry, int32_t index)
 {
   bt_endpoint_t endpoint;
 
   memset (&endpoint, 0, sizeof endpoint);
-  bt_get_world_identity (world, index, &endpoint.identity);
+  bt_get_sim_identity (sim, index, &endpoint.identity);
   snprintf (endpoint.name, sizeof endpoint.name, "endpoint-%d", index);
   snprintf (endpoint.app, sizeof endpoint.app, "%s", app);
   snprintf (endpoint.failure_domain, sizeof endpoint.failure_domain, "domain-%d",
-            world->endpoints[index].domain);
-  bt_put_endpoint (world->ctx, entry->router, &endpoint, bt_world_now_ms (world));
+            sim->endpoints[index].domain);
+  bt_put_endpoint (sim->ctx, entry->router, &endpoint, bt_get_sim_time_ms (sim));
 }
 
 static void *
-start_core (world_t *world)
+start_core (simulation_t *sim)
 {
-  core_state_t *state = bt_calloc (world->ctx, 1, sizeof *state);
+  core_state_t *state = bt_calloc (sim->ctx, 1, sizeof *state);
 
   for (int32_t i = 0; i < ENTRIES; i++)
     {
@@ -56,210 +56,215 @@
       bt_default_router_options (&router);
       bt_default_admission_options (&admission);
       bt_default_retry_budget_options (&budget);
-      router.default_slots = world->scenario->slots;
+      router.default_slots = sim->scenario->slots;
       snprintf (router.failure_domain, sizeof router.failure_domain, "domain-%d",
-                i % world->scenario->domains);
+                i % sim->scenario->domains);
       if (core_tweak != NULL)
         core_tweak (&router, &admission);
-      entry->router = bt_new_router (world->ctx, &router);
+      entry->router = bt_new_router (sim->ctx, &router);
       bt_set_router_entries (entry->router, ENTRIES);
-      entry->admission = bt_new_admission (world->ctx, entry->router, &admission);
-      entry->budget = bt_new_retry_budget (world->ctx, &budget);
-      for (int32_t k = 0; k < world->scenario->endpoints; k++)
-        put_endpoint (world, entry, k);
+      entry->admission = bt_new_admission (sim->ctx, entry->router, &admission);
+      entry->budget = bt_new_retry_budget (sim->ctx, &budget);
+      for (int32_t k = 0; k < sim->scenario->endpoints; k++)
+        put_endpoint (sim, entry, k);
     }
   return state;
 }
 
 static void
-stop_core (world_t *world, void *data)
+stop_core (simulation_t *sim, void *data)
 {
   core_state_t *state = data;
   for (int32_t i = 0; i < ENTRIES; i++)
     {
-      bt_drop_admission (world->ctx, state->entries[i].admission);
-      bt_drop_router (world->ctx, state->entries[i].router);
-      bt_drop_retry_budget (world->ctx, state->entries[i].budget);
+      bt_drop_admission (sim->ctx, state->entries[i].admission);
+      bt_drop_router (sim->ctx, state->entries[i].router);
+      bt_drop_retry_budget (sim->ctx, state->entries[i].budget);
     }
-  bt_free (world->ctx, state);
+  bt_free (sim->ctx, state);
 }
 
 static void
-dispatch (world_t *world, entry_t *entry, int32_t index)
+dispatch (simulation_t *sim, entry_t *entry, int32_t index)
 {
-  request_t *request = &world->requests[index];
+  request_t *request = &sim->requests[index];
   bt_identity_t excluded[3];
-  bt_route_request_t wanted = { .app = app, .account = "", .excluded = excluded };
+  bt_route_request_t route_request = { .app = app, .account = "", .excluded = excluded };
   int64_t retry_after_ms;
   bt_reason_t reason;
   int32_t endpoint = 0;
 
   for (int32_t i = 0; i < request->tried_count; i++)
-    bt_get_world_identity (world, request->tried[i], &excluded[i]);
-  wanted.excluded_count = request->tried_count;
-  wanted.deadline_left_ms = bt_get_deadline_left_ms (world, request);
-  wanted.prefix = request->prefix;
-  wanted.seed = bt_next_random (&world->random);
-  reason = bt_choose_endpoint (entry->router, &wanted, bt_world_now_ms (world), &request->route,
-                               &retry_after_ms);
+    bt_get_sim_identity (sim, request->tried[i], &excluded[i]);
+  route_request.excluded_count = request->tried_count;
+  route_request.deadline_left_ms = bt_get_deadline_left_ms (sim, request);
+  route_request.prefix = request->prefix;
+  route_request.seed = bt_next_random (&sim->random);
+  reason = bt_choose_endpoint (entry->router, &route_request, bt_get_sim_time_ms (sim),
+                               &request->route, &retry_after_ms);
   if (reason != BT_REASON_NONE)
     {
-      bt_end_request (world, index, ENDING_REFUSED, reason);
+      bt_end_request (sim, index, OUTCOME_REFUSED, reason);
       return;
     }
   sscanf (request->route.identity.instance, "agent-%d", &endpoint); /* NOLINT */
-  bt_record_dispatch (entry->router, &request->route, request->prefix, bt_world_now_ms (world));
-  bt_send_request (world, index, endpoint);
+  bt_record_dispatch (entry->router, &request->route, request->prefix, bt_get_sim_time_ms (sim));
+  bt_send_request (sim, index, endpoint);
 }
 
 static void
-apply_decision (world_t *world, entry_t *entry, const bt_admission_decision_t *decision)
+apply_decision (simulation_t *sim, entry_t *entry, const bt_admission_decision_t *decision)
 {
   const int32_t index = (int32_t)decision->id;
 
   if (decision->action == BT_ADMISSION_ADMIT)
-    dispatch (world, entry, index);
+    dispatch (sim, entry, index);
   else if (decision->action == BT_ADMISSION_QUEUE)
-    bt_set_waiting (world, index, true);
+    bt_set_request_queued (sim, index, true);
   else
-    bt_end_request (world, index, ENDING_REFUSED, decision->reason);
+    bt_end_request (sim, index, OUTCOME_REFUSED, decision->reason);
 }
 
 static void
-decide (world_t *world, entry_t *entry, int32_t index, bool again)
+request_admission (simulation_t *sim, entry_t *entry, int32_t index, bool is_retry)
 {
-  const request_t *request = &world->requests[index];
-  bt_admission_request_t wanted = { .id = (uint64_t)index, .app = app, .again = again };
+  const request_t *request = &sim->requests[index];
+  bt_admission_request_t admission_request = { .id = (uint64_t)index,
+                                               .app = app,
+                                               .again = is_retry };
   bt_admission_decision_t decision;
   char account[BT_NAME_BYTES];
 
   snprintf (account, sizeof account, "account-%d", request->account);
-  wanted.account = account;
-  wanted.deadline_left_ms = bt_get_deadline_left_ms (world, request);
-  wanted.seed = bt_next_random (&world->random);
-  bt_decide_admission (world->ctx, entry->admission, &wanted, bt_world_now_ms (world), &decision);
-  apply_decision (world, entry, &decision);
+  admission_request.account = account;
+  admission_request.deadline_left_ms = bt_get_deadline_left_ms (sim, request);
+  admission_request.seed = bt_next_random (&sim->random);
+  bt_decide_admission (sim->ctx, entry->admission, &admission_request, bt_get_sim_time_ms (sim),
+                       &decision);
+  apply_decision (sim, entry, &decision);
 }
 
 static void
-pump (world_t *world, entry_t *entry)
+admit_queued_requests (simulation_t *sim, entry_t *entry)
 {
   bt_admission_decision_t decision;
 
-  while (bt_next_admission (entry->admission, bt_world_now_ms (world), &decision))
-    apply_decision (world, entry, &decision);
+  while (bt_next_admission (entry->admission, bt_get_sim_time_ms (sim), &decision))
+    apply_decision (sim, entry, &decision);
 }
 
 static void
-arrive_core (world_t *world, void *data, int32_t index)
+arrive_core (simulation_t *sim, void *data, int32_t index)
 {
   core_state_t *state = data;
-  entry_t *entry = &state->entries[world->requests[index].entry];
+  entry_t *entry = &state->entries[sim->requests[index].entry];
 
   bt_record_attempt (entry->budget);
-  decide (world, entry, index, false);
+  request_admission (sim, entry, index, false);
 }
 
-/* Tries again if the outcome allows it and the budget pays for it; else the final answer. */
+/* Retries a request if the outcome of its attempt and the retry budget allow it; otherwise ends
+ * it. */
 static void
-try_again (world_t *world, entry_t *entry, int32_t index, bt_retry_t retry, bool not_run)
+retry_request (
+    simulation_t *sim, entry_t *entry, int32_t index, bt_retry_t retry, bool not_executed)
 {
-  request_t *request = &world->requests[index];
+  request_t *request = &sim->requests[index];
 
-  if (!not_run && !request->idempotent)
+  if (!not_executed && !request->idempotent)
     {
-      bt_end_request (world, index, ENDING_UNKNOWN, BT_REASON_LINK_LOST);
+      bt_end_request (sim, index, OUTCOME_UNKNOWN, BT_REASON_LINK_LOST);
       return;
     }
-  if (request->tried_count == 3 || !bt_take_retry (world->ctx, entry->budget, retry))
+  if (request->tried_count == 3 || !bt_take_retry (sim->ctx, entry->budget, retry))
     {
-      bt_end_request (world, index, ENDING_REFUSED, BT_REASON_RETRY_BUDGET);
+      bt_end_request (sim, index, OUTCOME_REFUSED, BT_REASON_RETRY_BUDGET);
       return;
     }
-  world->sums.retries++;
+  sim->counters.retries++;
   request->tried[request->tried_count++] = request->endpoint;
   request->endpoint = -1;
   request->first_token_us = 0;
   request->attempt++;
-  decide (world, entry, index, true);
+  request_admission (sim, entry, index, true);
 }
 
 static void
-reply_core (world_t *world, void *data, const event_t *event)
+reply_core (simulation_t *sim, void *data, const event_t *event)
 {
   core_state_t *state = data;
   entry_t *entry = &state->entries[event->entry];
-  request_t *request = &world->requests[event->request];
-  const int64_t now_ms = bt_world_now_ms (world);
+  request_t *request = &sim->requests[event->request];
+  const int64_t now_ms = bt_get_sim_time_ms (sim);
 
   bt_record_attempt_end (entry->router, &request->route, event->end,
                          now_ms - request->sent_us / MS_US, now_ms);
   if (event->end == BT_ATTEMPT_REFUSED)
     bt_record_load (entry->router, &request->route.identity, &event->load, now_ms);
   if (event->end == BT_ATTEMPT_ANSWERED)
-    bt_end_request (world, event->request,
-                    world->now_us <= request->deadline_us ? ENDING_GOOD : ENDING_LATE,
+    bt_end_request (sim, event->request,
+                    sim->now_us <= request->deadline_us ? OUTCOME_IN_TIME : OUTCOME_LATE,
                     BT_REASON_NONE);
   else if (event->end == BT_ATTEMPT_REFUSED)
-    try_again (world, entry, event->request, BT_RETRY_ENDPOINT_FULL, true);
+    retry_request (sim, entry, event->request, BT_RETRY_ENDPOINT_FULL, true);
   else
-    try_again (world, entry, event->request, BT_RETRY_ENGINE_SILENT, false);
-  pump (world, entry);
+    retry_request (sim, entry, event->request, BT_RETRY_ENGINE_SILENT, false);
+  admit_queued_requests (sim, entry);
 }
 
 static void
-load_core (world_t *world, void *data, const event_t *event)
+load_core (simulation_t *sim, void *data, const event_t *event)
 {
   core_state_t *state = data;
   entry_t *entry = &state->entries[event->entry];
   bt_identity_t identity;
 
-  bt_get_world_identity (world, event->endpoint, &identity);
+  bt_get_sim_identity (sim, event->endpoint, &identity);
   identity.incarnation = event->value;
-  bt_record_load (entry->router, &identity, &event->load, bt_world_now_ms (world));
-  pump (world, entry);
+  bt_record_load (entry->router, &identity, &event->load, bt_get_sim_time_ms (sim));
+  admit_queued_requests (sim, entry);
 }
 
 static void
-cache_core (world_t *world, void *data, const event_t *event)
+cache_core (simulation_t *sim, void *data, const event_t *event)
 {
   core_state_t *state = data;
   bt_identity_t identity;
 
-  bt_get_world_identity (world, event->endpoint, &identity);
+  bt_get_sim_identity (sim, event->endpoint, &identity);
   bt_record_prefix (state->entries[event->entry].router, &identity, event->value,
-                    event->attempt == 1, bt_world_now_ms (world));
+                    event->attempt == 1, bt_get_sim_time_ms (sim));
 }
 
 static void
-link_core (world_t *world, void *data, const event_t *event)
+link_core (simulation_t *sim, void *data, const event_t *event)
 {
   core_state_t *state = data;
   entry_t *entry = &state->entries[event->entry];
-  const int32_t count = world->request_count;
+  const int32_t count = sim->request_count;
   bt_identity_t identity;
 
   if (event->kind == EVENT_LINK_UP)
     {
-      put_endpoint (world, entry, event->endpoint);
+      put_endpoint (sim, entry, event->endpoint);
       return;
     }
-  bt_get_world_identity (world, event->endpoint, &identity);
+  bt_get_sim_identity (sim, event->endpoint, &identity);
   identity.incarnation = event->value;
-  bt_record_link_down (entry->router, &identity, bt_world_now_ms (world));
+  bt_record_link_down (entry->router, &identity, bt_get_sim_time_ms (sim));
   for (int32_t i = 0; i < count; i++)
-    if (world->requests[i].endpoint == event->endpoint && world->requests[i].entry == event->entry
-        && world->requests[i].ending == ENDING_NONE)
-      try_again (world, entry, i, BT_RETRY_LINK_LOST, false);
-  pump (world, entry);
+    if (sim->requests[i].endpoint == event->endpoint && sim->requests[i].entry == event->entry
+        && sim->requests[i].outcome == OUTCOME_NONE)
+      retry_request (sim, entry, i, BT_RETRY_LINK_LOST, false);
+  admit_queued_requests (sim, entry);
 }
 
 static void
-tick_core (world_t *world, void *data, int32_t entry)
+tick_core (simulation_t *sim, void *data, int32_t entry)
 {
   core_state_t *state = data;
 
-  pump (world, &state->entries[entry]);
+  admit_queued_requests (sim, &state->entries[entry]);
 }
 
 const policy_t bt_core_policy = {
@@ -267,10 +272,10 @@
   .fair_agent = true,
   .start = start_core,
   .stop = stop_core,
-  .arrive = arrive_core,
-  .reply = reply_core,
-  .load = load_core,
-  .cache = cache_core,
-  .link = link_core,
-  .tick = tick_core,
+  .on_arrival = arrive_core,
+  .on_reply = reply_core,
+  .on_load = load_core,
+  .on_cache_event = cache_core,
+  .on_link_event = link_core,
+  .on_tick = tick_core,
 };
--- a/bench/harness_cpu.h
+++ b/bench/harness_cpu.h
@@ -2,15 +2,15 @@
 #define BILBERRYTRAY_BENCH_HARNESS_CPU_H
 
 /** @file
- * What a bench has spent of the processor.
+ * CPU time of the bench process.
  */
 
 #include <stdint.h>
 
-/** Processor time of this process, all threads, ns. */
+/** Returns the CPU time of all threads of this process, in nanoseconds. */
 int64_t bt_read_cpu_ns (void);
 
-/** The same in microseconds. */
+/** Returns the same time in microseconds. */
 double bt_read_cpu_us (void);
 
 #endif
--- a/bench/harness_deviates.h
+++ b/bench/harness_deviates.h
@@ -2,15 +2,16 @@
 #define BILBERRYTRAY_BENCH_HARNESS_DEVIATES_H
 
 /** @file
- * Random deviates that the benches draw beside uniform ones.
+ * Random draws from distributions other than the uniform one.
  */
 
 #include "bilberrytray/base/random.h"
 
-/** A normal deviate. */
+/** Draws from the standard normal distribution. */
 double bt_draw_normal (bt_random_t *random);
 
-/** A count whose mean is @p mean, by the normal approximation; never below 0. */
+/** Draws a count with mean @p mean from the normal approximation of the Poisson distribution; never
+ * below 0. */
 double bt_draw_count (bt_random_t *random, double mean);
 
 #endif
--- a/bench/harness_events.c
+++ b/bench/harness_events.c
@@ -2,7 +2,7 @@
 
 enum
 {
-  FIRST_EVENTS = 1024,
+  INITIAL_EVENTS = 1024,
 };
 
 static bool
@@ -10,59 +10,58 @@
 {
   if (left->at_us != right->at_us)
     return left->at_us < right->at_us;
-  return left->number < right->number;
+  return left->sequence < right->sequence;
 }
 
 static void
-swap_events (world_t *world, int32_t left, int32_t right)
+swap_events (simulation_t *sim, int32_t left, int32_t right)
 {
-  const event_t kept = world->heap[left];
+  const event_t saved = sim->heap[left];
 
-  world->heap[left] = world->heap[right];
-  world->heap[right] = kept;
+  sim->heap[left] = sim->heap[right];
+  sim->heap[right] = saved;
 }
 
 void
-bt_push_event (world_t *world, const event_t *event)
+bt_push_event (simulation_t *sim, const event_t *event)
 {
-  int32_t at = world->heap_count;
+  int32_t at = sim->heap_count;
 
-  if (at == world->heap_capacity)
+  if (at == sim->heap_capacity)
     {
-      world->heap_capacity = at == 0 ? FIRST_EVENTS : 2 * at;
-      world->heap =
-          bt_realloc (world->ctx, world->heap, (size_t)world->heap_capacity, sizeof *world->heap);
+      sim->heap_capacity = at == 0 ? INITIAL_EVENTS : 2 * at;
+      sim->heap = bt_realloc (sim->ctx, sim->heap, (size_t)sim->heap_capacity, sizeof *sim->heap);
     }
-  world->heap[at] = *event;
-  world->heap[at].number = world->event_number++;
-  world->heap_count++;
-  while (at > 0 && is_earlier (&world->heap[at], &world->heap[(at - 1) / 2]))
+  sim->heap[at] = *event;
+  sim->heap[at].sequence = sim->next_event_sequence++;
+  sim->heap_count++;
+  while (at > 0 && is_earlier (&sim->heap[at], &sim->heap[(at - 1) / 2]))
     {
-      swap_events (world, at, (at - 1) / 2);
+      swap_events (sim, at, (at - 1) / 2);
       at = (at - 1) / 2;
     }
 }
 
 bool
-bt_pop_event (world_t *world, event_t *event)
+bt_pop_event (simulation_t *sim, event_t *event)
 {
   int32_t at = 0;
 
-  if (world->heap_count == 0)
+  if (sim->heap_count == 0)
     return false;
-  *event = world->heap[0];
-  world->heap[0] = world->heap[--world->heap_count];
+  *event = sim->heap[0];
+  sim->heap[0] = sim->heap[--sim->heap_count];
   while (true)
     {
-      int32_t least = at;
+      int32_t smallest = at;
 
       for (int32_t child = 2 * at + 1; child <= 2 * at + 2; child++)
-        if (child < world->heap_count && is_earlier (&world->heap[child], &world->heap[least]))
-          least = child;
-      if (least == at)
+        if (child < sim->heap_count && is_earlier (&sim->heap[child], &sim->heap[smallest]))
+          smallest = child;
+      if (smallest == at)
         break;
-      swap_events (world, at, least);
-      at = least;
+      swap_events (sim, at, smallest);
+      at = smallest;
     }
   return true;
 }
--- a/bench/harness_figures.c
+++ b/bench/harness_figures.c
@@ -30,127 +30,131 @@
 }
 
 static void
-take_first_tokens (const world_t *world, int64_t *times_us, figures_t *figures)
+compute_first_token_times (const simulation_t *sim, int64_t *times_us, run_metrics_t *metrics)
 {
   int64_t count = 0;
 
-  for (int32_t i = 0; i < world->request_count; i++)
+  for (int32_t i = 0; i < sim->request_count; i++)
     {
-      const request_t *request = &world->requests[i];
+      const request_t *request = &sim->requests[i];
 
-      if (request->ending == ENDING_GOOD || request->ending == ENDING_LATE)
-        times_us[count++] = request->first_token_us - request->arrive_us;
+      if (request->outcome == OUTCOME_IN_TIME || request->outcome == OUTCOME_LATE)
+        times_us[count++] = request->first_token_us - request->arrival_us;
     }
-  figures->first_p50_ms = get_percentile_ms (times_us, count, 50);
-  figures->first_p99_ms = get_percentile_ms (times_us, count, 99);
+  metrics->first_p50_ms = get_percentile_ms (times_us, count, 50);
+  metrics->first_p99_ms = get_percentile_ms (times_us, count, 99);
 }
 
 static void
-take_refusals (const world_t *world, int64_t *times_us, figures_t *figures)
+compute_refusals (const simulation_t *sim, int64_t *times_us, run_metrics_t *metrics)
 {
   int64_t count = 0;
 
-  for (int32_t i = 0; i < world->request_count; i++)
+  for (int32_t i = 0; i < sim->request_count; i++)
     {
-      const request_t *request = &world->requests[i];
+      const request_t *request = &sim->requests[i];
 
-      if (request->ending != ENDING_REFUSED)
+      if (request->outcome != OUTCOME_REFUSED)
         continue;
-      times_us[count++] = request->end_us - request->arrive_us;
-      figures->needless += request->needless ? 1 : 0;
-      figures->held += request->end_us - request->arrive_us > (int64_t)HELD_MS * MS_US ? 1 : 0;
+      times_us[count++] = request->end_us - request->arrival_us;
+      metrics->needless_refusals += request->needless_refusal ? 1 : 0;
+      metrics->slow_refusals +=
+          request->end_us - request->arrival_us > (int64_t)SLOW_REFUSAL_MS * MS_US ? 1 : 0;
     }
-  figures->refusal_p50_ms = get_percentile_ms (times_us, count, 50);
-  figures->refusal_p99_ms = get_percentile_ms (times_us, count, 99);
+  metrics->refusal_p50_ms = get_percentile_ms (times_us, count, 50);
+  metrics->refusal_p99_ms = get_percentile_ms (times_us, count, 99);
 }
 
 static void
-take_endings (const world_t *world, figures_t *figures)
+count_outcomes (const simulation_t *sim, run_metrics_t *metrics)
 {
-  for (int32_t i = 0; i < world->request_count; i++)
-    switch (world->requests[i].ending)
+  for (int32_t i = 0; i < sim->request_count; i++)
+    switch (sim->requests[i].outcome)
       {
-      case ENDING_GOOD:
-        figures->good++;
+      case OUTCOME_IN_TIME:
+        metrics->good++;
         break;
-      case ENDING_LATE:
-        figures->late++;
+      case OUTCOME_LATE:
+        metrics->late++;
         break;
-      case ENDING_UNKNOWN:
-        figures->unknown++;
+      case OUTCOME_UNKNOWN:
+        metrics->unknown++;
         break;
-      case ENDING_NONE:
-        figures->unended++;
+      case OUTCOME_NONE:
+        metrics->unanswered++;
         break;
-      case ENDING_REFUSED:
+      case OUTCOME_REFUSED:
         break;
       }
 }
 
 static void
-take_pace (const world_t *world, figures_t *figures)
+compute_good_rate (const simulation_t *sim, run_metrics_t *metrics)
 {
-  const scenario_t *scenario = world->scenario;
+  const scenario_t *scenario = sim->scenario;
   const bool burst = scenario->burst_to_ms > 0;
   const int64_t to_us = (burst ? scenario->burst_to_ms : scenario->length_ms) * MS_US;
   const int64_t begin_us = burst ? scenario->burst_from_ms * MS_US : 0;
   const int64_t from_us = begin_us + (to_us - begin_us) / 4;
 
-  for (int32_t i = 0; i < world->request_count; i++)
+  for (int32_t i = 0; i < sim->request_count; i++)
     {
-      const request_t *request = &world->requests[i];
+      const request_t *request = &sim->requests[i];
 
-      if (request->ending == ENDING_GOOD && request->end_us >= from_us && request->end_us < to_us)
-        figures->pace++;
+      if (request->outcome == OUTCOME_IN_TIME && request->end_us >= from_us
+          && request->end_us < to_us)
+        metrics->good_per_s++;
     }
-  figures->pace = figures->pace * SECOND_US / (double)(to_us - from_us);
+  metrics->good_per_s = metrics->good_per_s * SECOND_US / (double)(to_us - from_us);
 }
 
 static void
-take_accounts (const world_t *world, figures_t *figures)
+compute_account_shares (const simulation_t *sim, run_metrics_t *metrics)
 {
   double requests[MAX_ACCOUNTS] = { 0 };
   double good[MAX_ACCOUNTS] = { 0 };
   double small_requests = 0;
   double small_good = 0;
 
-  for (int32_t i = 0; i < world->request_count; i++)
+  for (int32_t i = 0; i < sim->request_count; i++)
     {
-      requests[world->requests[i].account]++;
-      good[world->requests[i].account] += world->requests[i].ending == ENDING_GOOD ? 1 : 0;
+      requests[sim->requests[i].account]++;
+      good[sim->requests[i].account] += sim->requests[i].outcome == OUTCOME_IN_TIME ? 1 : 0;
     }
-  figures->least = 1;
-  for (int32_t i = world->scenario->large; i < world->scenario->accounts; i++)
+  metrics->worst_account = 1;
+  for (int32_t i = sim->scenario->large_accounts; i < sim->scenario->accounts; i++)
     {
       small_requests += requests[i];
       small_good += good[i];
-      if (requests[i] > 0 && good[i] / requests[i] < figures->least)
-        figures->least = good[i] / requests[i];
+      if (requests[i] > 0 && good[i] / requests[i] < metrics->worst_account)
+        metrics->worst_account = good[i] / requests[i];
     }
-  figures->small = small_requests > 0 ? small_good / small_requests : 1;
+  metrics->small_accounts = small_requests > 0 ? small_good / small_requests : 1;
 }
 
 void
-bt_take_figures (const world_t *world, figures_t *figures)
+bt_compute_run_metrics (const simulation_t *sim, run_metrics_t *metrics)
 {
-  const double requests = world->request_count;
-  int64_t *times_us = bt_calloc (world->ctx, (size_t)world->request_count + 1, sizeof *times_us);
-
-  memset (figures, 0, sizeof *figures);
-  figures->requests = world->request_count;
-  take_endings (world, figures);
-  take_pace (world, figures);
-  take_first_tokens (world, times_us, figures);
-  take_refusals (world, times_us, figures);
-  take_accounts (world, figures);
-  bt_free (world->ctx, times_us);
-  figures->good /= requests;
-  figures->late /= requests;
-  figures->unknown /= requests;
-  figures->needless /= requests;
-  figures->held /= requests;
-  figures->retries = (double)world->sums.retries / requests;
-  figures->cache =
-      world->sums.starts > 0 ? (double)world->sums.cache_hits / (double)world->sums.starts : 0;
-  figures->skew = world->sums.steps > 0 ? world->sums.skew / (double)world->sums.steps : 0;
+  const double requests = sim->request_count;
+  int64_t *times_us = bt_calloc (sim->ctx, (size_t)sim->request_count + 1, sizeof *times_us);
+
+  memset (metrics, 0, sizeof *metrics);
+  metrics->requests = sim->request_count;
+  count_outcomes (sim, metrics);
+  compute_good_rate (sim, metrics);
+  compute_first_token_times (sim, times_us, metrics);
+  compute_refusals (sim, times_us, metrics);
+  compute_account_shares (sim, metrics);
+  bt_free (sim->ctx, times_us);
+  metrics->good /= requests;
+  metrics->late /= requests;
+  metrics->unknown /= requests;
+  metrics->needless_refusals /= requests;
+  metrics->slow_refusals /= requests;
+  metrics->retries = (double)sim->counters.retries / requests;
+  metrics->cache_hits = sim->counters.run_starts > 0
+                            ? (double)sim->counters.cache_hits / (double)sim->counters.run_starts
+                            : 0;
+  metrics->skew =
+      sim->counters.steps > 0 ? sim->counters.skew_sum / (double)sim->counters.steps : 0;
 }
--- a/bench/harness_figures.h
+++ b/bench/harness_figures.h
@@ -2,37 +2,40 @@
 #define BILBERRYTRAY_BENCH_HARNESS_FIGURES_H
 
 /** @file
- * The figures of one run.
+ * Metrics of one simulation run.
  */
 
 #include "harness_world.h"
 
 enum
 {
-  HELD_MS = 5,
+  SLOW_REFUSAL_MS = 5,
 };
 
-typedef struct figures
+typedef struct run_metrics
 {
   int64_t requests;
-  double good;           /**< Answered whole within the deadline, share of requests. */
-  double pace;           /**< Good answers a second in the last three quarters of the burst. */
-  double late;           /**< Share of requests. */
-  double unknown;        /**< Share of requests. */
-  double first_p50_ms;   /**< Time to first token of answered requests. */
-  double first_p99_ms;   /**< The same. */
-  double refusal_p50_ms; /**< Time to the final refusal. */
-  double refusal_p99_ms; /**< The same. */
-  double held;           /**< Refused after more than HELD_MS, share of requests. */
-  double needless;       /**< Needless refusals, share of requests. */
-  double small;          /**< Good share of the small accounts' requests. */
-  double least;          /**< Good share of the account that fares worst among the small. */
-  double cache;          /**< Runs that found their prefix cached, share of runs. */
-  double retries;        /**< Retries for each request. */
-  double skew;           /**< Mean over steps of slowest rank over mean rank, less 1. */
-  int64_t unended;       /**< Requests that never got an answer: must be 0. */
-} figures_t;
+  double good;       /**< Complete answers within the deadline, share of requests. */
+  double good_per_s; /**< Answers within the deadline per second, in the last three quarters of the
+                        burst. */
+  double late;       /**< Answers after the deadline, share of requests. */
+  double unknown;    /**< Requests that may have run, share of requests. */
+  double first_p50_ms;      /**< Time to the first token of answered requests, median. */
+  double first_p99_ms;      /**< The same, 99th percentile. */
+  double refusal_p50_ms;    /**< Time to the final refusal, median. */
+  double refusal_p99_ms;    /**< The same, 99th percentile. */
+  double slow_refusals;     /**< Refusals after more than SLOW_REFUSAL_MS, share of requests. */
+  double needless_refusals; /**< Refusals of requests that could have been served in time, share of
+                               requests. */
+  double
+      small_accounts; /**< Requests of small accounts answered in time, share of their requests. */
+  double worst_account; /**< The same for the small account with the lowest share. */
+  double cache_hits;    /**< Runs whose prefix was cached, share of runs. */
+  double retries;       /**< Retries per request. */
+  double skew;          /**< Slowest rank over mean rank, less 1; mean over all steps. */
+  int64_t unanswered;   /**< Requests that never got an answer; must be 0. */
+} run_metrics_t;
 
-void bt_take_figures (const world_t *world, figures_t *figures);
+void bt_compute_run_metrics (const simulation_t *sim, run_metrics_t *metrics);
 
 #endif
--- a/bench/harness_group.h
+++ b/bench/harness_group.h
@@ -2,74 +2,78 @@
 #define BILBERRYTRAY_BENCH_HARNESS_GROUP_H
 
 /** @file
- * An emulator of one rank group and its callers, pass by pass, without network or clock. What
- * decides is the code that runs: the maps of a group, and the pace of its passes. Seeded: the same
- * load, way and seed give the same result everywhere.
+ * An emulator of one rank group and its callers. It simulates pass by pass, without network or
+ * clock. The decisions are made by the production code: the maps of a group and the limiter of
+ * its passes. The same load, variant and seed give the same result on every machine.
  *
- * A pass takes a fixed time, the fullest rank's own work, and set by set the work of the rank whose
- * experts are most in demand. A stream gets one event a pass. Ranks report their counts every 100
- * ms; a map is in use three passes after all ranks have copied their experts.
+ * A pass takes a fixed time, plus the own work of the rank with most work, plus for each set the
+ * work of the rank whose experts are selected most. A stream gets one event per pass. Ranks
+ * report their selection counts every 100 ms. A new map is in use three passes after all ranks
+ * have copied their experts.
  */
 
 #include "group_maps.h"
 
-/** How demand for experts moves. */
+/** How the demand for experts shifts. */
 typedef enum bt_shift_kind
 {
   BT_SHIFT_NONE = 0,
-  BT_SHIFT_JUMP,   /**< Each time the experts of some sets change places at random. */
-  BT_SHIFT_DRIFT,  /**< In ten small moves a part of the experts of each set change places. */
-  BT_SHIFT_RETURN, /**< There and back again. */
+  BT_SHIFT_JUMP,   /**< At each shift, the experts of some sets are shuffled. */
+  BT_SHIFT_DRIFT,  /**< A shift has ten steps, each of which swaps a part of the experts of every
+                      set. */
+  BT_SHIFT_RETURN, /**< The popularity alternates between two states. */
 } bt_shift_kind_t;
 
-/** A group and what its callers ask of it. */
+/** A rank group and the load that its callers put on it. */
 typedef struct bt_group_load
 {
   char name[BT_NAME_BYTES];
   bt_engine_t engine;
   int32_t ranks;
-  double requests_a_s;  /**< Of the whole group. */
-  double prompt_tokens; /**< Mean of a request. */
-  double events;        /**< Mean of a stream. */
-  int64_t aim_ms;       /**< Callers expect the first event within this. */
-  int64_t pause_ms;     /**< And no longer pause than this. */
+  double requests_a_s;  /**< Arrival rate at the whole group. */
+  double prompt_tokens; /**< Mean per request. */
+  double events;        /**< Mean per stream. */
+  int64_t aim_ms;       /**< Target for the time to the first event. */
+  int64_t pause_ms;     /**< Longest pause between two events that a caller accepts. */
   int64_t run_ms;
-  double skew; /**< Exponent of the experts' popularity by their place. */
+  double skew; /**< Exponent of the power law of expert popularity. */
   bt_shift_kind_t shift;
-  double shift_share; /**< Part of the sets that a jump moves, or of the experts in a drift. */
-  int64_t shift_ms;   /**< Between two shifts. */
+  double shift_share; /**< Share of the sets that a jump changes, or of the experts that a drift
+                         moves. */
+  int64_t shift_ms;   /**< Time between two shifts. */
 } bt_group_load_t;
 
-/** How the group is run. */
+/** Settings under which a group is run. */
 typedef struct bt_group_way
 {
   char name[BT_NAME_BYTES];
   bt_group_maps_settings_t maps;
-  double pass_part; /**< Of the longest pause, what a pass may take. */
-  bool known;       /**< Demand is known beforehand and copies take no time: the ceiling. */
+  double pass_time_share; /**< Duration of a pass that the limiter aims at, as a share of the
+                             longest accepted pause. */
+  bool demand_known; /**< Demand is known in advance and copies take no time: the upper bound. */
 } bt_group_way_t;
 
-/** What the callers got. */
+/** Service that the callers got. */
 typedef struct bt_group_result
 {
   int32_t asked;
-  int32_t in_time; /**< First event within its aim, and no pause too long. */
-  int32_t late;    /**< Whole, but not in time. */
-  int32_t left;    /**< Went away unserved. */
+  int32_t in_time; /**< Streams with the first event within the target and no pause too long. */
+  int32_t late;    /**< Complete streams that were not in time. */
+  int32_t left;    /**< Callers that left before their request was admitted. */
   int32_t passes;
-  double pass_ms; /**< Mean. */
-  double skew;    /**< Mean over the passes of the busiest rank's load over the mean. */
+  double pass_ms; /**< Mean duration of a pass. */
+  double skew;    /**< Load of the busiest rank over the mean load, averaged over all passes. */
   int32_t rounds;
   int64_t copies;
 } bt_group_result_t;
 
-/** The way that ships. */
+/** Returns the settings that are shipped. */
 bt_group_way_t bt_get_shipped_group_way (void);
 
-/** Plays a load to its end. */
+/** Simulates a load until all its requests have ended. */
 void bt_play_group (bt_context_t *ctx,
                     const bt_group_load_t *load,
-                    const bt_group_way_t *way,
+                    const bt_group_way_t *variant,
                     uint64_t seed,
                     bt_group_result_t *result);
 
--- a/bench/harness_kept.c
+++ b/bench/harness_kept.c
@@ -39,9 +39,9 @@
 }
 
 static void
-drop_documents (bt_context_t *ctx, void *made)
+drop_documents (bt_context_t *ctx, void *object)
 {
-  bt_drop_config_table (ctx, made);
+  bt_drop_config_table (ctx, object);
 }
 
 static void *
@@ -50,26 +50,25 @@
   bt_membership_settings_t settings = bt_get_default_membership_settings ();
   bt_identity_t self = { "entry-0", 1 };
   bt_membership_t *membership = bt_new_membership (ctx, &self, BT_LISTED_ENTRY, &settings);
-  bt_listed_instance_t *listed = bt_calloc (ctx, (size_t)count, sizeof *listed);
+  bt_listed_instance_t *list = bt_calloc (ctx, (size_t)count, sizeof *list);
 
-  /* One entry to nineteen agents, as at the target. */
+  /* One entry to nineteen agents, as in the target deployment. */
   for (int32_t i = 0; i < count; i++)
     {
-      listed[i].role = i % 20 == 0 ? BT_LISTED_ENTRY : BT_LISTED_AGENT;
-      snprintf (listed[i].instance, BT_NAME_BYTES, "%s-%d", i % 20 == 0 ? "entry" : "agent",
-                (int)i);
-      snprintf (listed[i].failure_domain, BT_NAME_BYTES, "domain-%d", (int)i % 4);
-      snprintf (listed[i].address, BT_ADDRESS_BYTES, "10.0.0.1:7000");
+      list[i].role = i % 20 == 0 ? BT_LISTED_ENTRY : BT_LISTED_AGENT;
+      snprintf (list[i].instance, BT_NAME_BYTES, "%s-%d", i % 20 == 0 ? "entry" : "agent", (int)i);
+      snprintf (list[i].failure_domain, BT_NAME_BYTES, "domain-%d", (int)i % 4);
+      snprintf (list[i].address, BT_ADDRESS_BYTES, "10.0.0.1:7000");
     }
-  bt_take_member_list (ctx, membership, 1, listed, count, 0);
-  bt_free (ctx, listed);
+  bt_take_member_list (ctx, membership, 1, list, count, 0);
+  bt_free (ctx, list);
   return membership;
 }
 
 static void
-drop_members (bt_context_t *ctx, void *made)
+drop_members (bt_context_t *ctx, void *object)
 {
-  bt_drop_membership (ctx, made);
+  bt_drop_membership (ctx, object);
 }
 
 static void *
@@ -93,9 +92,9 @@
 }
 
 static void
-drop_endpoints (bt_context_t *ctx, void *made)
+drop_endpoints (bt_context_t *ctx, void *object)
 {
-  bt_drop_router (ctx, made);
+  bt_drop_router (ctx, object);
 }
 
 static void *
@@ -127,12 +126,12 @@
 }
 
 static void
-drop_records (bt_context_t *ctx, void *made)
+drop_records (bt_context_t *ctx, void *object)
 {
-  bt_drop_arbiter (ctx, made);
+  bt_drop_arbiter (ctx, object);
 }
 
-/* Declarations with as many of one kind as said, and one of each other. */
+/* Makes declarations with the given numbers of accounts and endpoints, one app and one rule. */
 static void *
 make_declarations (bt_context_t *ctx, int32_t accounts, int32_t endpoints)
 {
@@ -190,12 +189,12 @@
 }
 
 static void
-drop_declarations (bt_context_t *ctx, void *made)
+drop_declarations (bt_context_t *ctx, void *object)
 {
-  bt_drop_declarations (ctx, made);
+  bt_drop_declarations (ctx, object);
 }
 
-const bt_kept_case_t bt_kept_cases[BT_KEPT_COUNT] = {
+const bt_memory_case_t bt_memory_cases[BT_MEMORY_CASE_COUNT] = {
   { "document of 300 B in force", make_documents, drop_documents },
   { "listed instance (1 entry to 19 agents)", make_members, drop_members },
   { "endpoint in the router", make_endpoints, drop_endpoints },
--- a/bench/harness_kept.h
+++ b/bench/harness_kept.h
@@ -2,24 +2,24 @@
 #define BILBERRYTRAY_BENCH_HARNESS_KEPT_H
 
 /** @file
- * Things that a process keeps, made in a given number, to measure what one of them costs.
+ * Objects that a process holds in memory, made in a given number, to measure the cost of one.
  */
 
 #include "bilberrytray/base/context.h"
 
 enum
 {
-  BT_KEPT_COUNT = 6,
+  BT_MEMORY_CASE_COUNT = 6,
 };
 
-typedef struct bt_kept_case
+typedef struct bt_memory_case
 {
-  const char *what;
-  /** Makes a table with @p count of them. */
+  const char *name;
+  /** Makes an object that holds @p count of them. */
   void *(*make) (bt_context_t *ctx, int32_t count);
-  void (*drop) (bt_context_t *ctx, void *made);
-} bt_kept_case_t;
+  void (*drop) (bt_context_t *ctx, void *object);
+} bt_memory_case_t;
 
-extern const bt_kept_case_t bt_kept_cases[BT_KEPT_COUNT];
+extern const bt_memory_case_t bt_memory_cases[BT_MEMORY_CASE_COUNT];
 
 #endif
--- a/bench/harness_omniscient.c
+++ b/bench/harness_omniscient.c
@@ -1,54 +1,54 @@
 #include "harness_policies.h"
 
-/* The central queue, ordered by deadline as a heap of request numbers. */
-typedef struct central
+/* The central queue: a heap of request indices, ordered by deadline. */
+typedef struct central_queue
 {
   int32_t *heap;
   int32_t count;
   int32_t capacity;
-} central_t;
+} central_queue_t;
 
 static void *
-start_central (world_t *world)
+start_central (simulation_t *sim)
 {
-  central_t *state = bt_calloc (world->ctx, 1, sizeof *state);
+  central_queue_t *state = bt_calloc (sim->ctx, 1, sizeof *state);
 
-  state->capacity = world->request_count + 1;
-  state->heap = bt_calloc (world->ctx, (size_t)state->capacity, sizeof *state->heap);
+  state->capacity = sim->request_count + 1;
+  state->heap = bt_calloc (sim->ctx, (size_t)state->capacity, sizeof *state->heap);
   return state;
 }
 
 static void
-stop_central (world_t *world, void *data)
+stop_central (simulation_t *sim, void *data)
 {
-  central_t *state = data;
+  central_queue_t *state = data;
 
-  bt_free (world->ctx, state->heap);
-  bt_free (world->ctx, state);
+  bt_free (sim->ctx, state->heap);
+  bt_free (sim->ctx, state);
 }
 
 static int64_t
-get_deadline (const world_t *world, const central_t *state, int32_t at)
+get_deadline (const simulation_t *sim, const central_queue_t *state, int32_t at)
 {
-  return world->requests[state->heap[at]].deadline_us;
+  return sim->requests[state->heap[at]].deadline_us;
 }
 
 static void
-swap (central_t *state, int32_t left, int32_t right)
+swap (central_queue_t *state, int32_t left, int32_t right)
 {
-  const int32_t kept = state->heap[left];
+  const int32_t saved = state->heap[left];
 
   state->heap[left] = state->heap[right];
-  state->heap[right] = kept;
+  state->heap[right] = saved;
 }
 
 static void
-push_request (world_t *world, central_t *state, int32_t index)
+push_request (simulation_t *sim, central_queue_t *state, int32_t index)
 {
   int32_t at = state->count++;
 
   state->heap[at] = index;
-  while (at > 0 && get_deadline (world, state, at) < get_deadline (world, state, (at - 1) / 2))
+  while (at > 0 && get_deadline (sim, state, at) < get_deadline (sim, state, (at - 1) / 2))
     {
       swap (state, at, (at - 1) / 2);
       at = (at - 1) / 2;
@@ -56,45 +56,45 @@
 }
 
 static void
-pop_request (world_t *world, central_t *state)
+pop_request (simulation_t *sim, central_queue_t *state)
 {
   int32_t at = 0;
 
   state->heap[0] = state->heap[--state->count];
   while (true)
     {
-      int32_t least = at;
+      int32_t smallest = at;
 
       for (int32_t child = 2 * at + 1; child <= 2 * at + 2; child++)
         if (child < state->count
-            && get_deadline (world, state, child) < get_deadline (world, state, least))
-          least = child;
-      if (least == at)
+            && get_deadline (sim, state, child) < get_deadline (sim, state, smallest))
+          smallest = child;
+      if (smallest == at)
         return;
-      swap (state, at, least);
-      at = least;
+      swap (state, at, smallest);
+      at = smallest;
     }
 }
 
-/* The endpoint with a free slot that would finish the request first, the emptier one of equals; -1
- * when no slot is free. */
+/* Returns the endpoint with a free slot that would complete the request first; among equals, the
+ * one with fewest running requests. Returns -1 if no slot is free. */
 static int32_t
-find_best (const world_t *world, const request_t *request, int64_t *best_us)
+find_best (const simulation_t *sim, const request_t *request, int64_t *best_us)
 {
   int32_t best = -1;
 
-  for (int32_t i = 0; i < world->scenario->endpoints; i++)
+  for (int32_t i = 0; i < sim->scenario->endpoints; i++)
     {
-      const endpoint_t *endpoint = &world->endpoints[i];
+      const endpoint_t *endpoint = &sim->endpoints[i];
       int64_t us;
 
-      if (endpoint->dead || endpoint->silent || endpoint->running >= world->scenario->slots)
+      if (endpoint->dead || endpoint->silent || endpoint->running >= sim->scenario->slots)
         continue;
-      us = world->policy->clairvoyant ? bt_foresee_run_us (world, request, i)
-                                      : bt_expect_run_us (world, request, i);
+      us = sim->policy->clairvoyant ? bt_get_actual_run_us (sim, request, i)
+                                    : bt_get_max_run_us (sim, request, i);
       if (best >= 0
           && (us > *best_us
-              || (us == *best_us && endpoint->running >= world->endpoints[best].running)))
+              || (us == *best_us && endpoint->running >= sim->endpoints[best].running)))
         continue;
       best = i;
       *best_us = us;
@@ -103,106 +103,106 @@
 }
 
 static void
-assign (world_t *world, central_t *state)
+assign_requests (simulation_t *sim, central_queue_t *state)
 {
   while (state->count > 0)
     {
       const int32_t index = state->heap[0];
-      request_t *request = &world->requests[index];
+      request_t *request = &sim->requests[index];
       int64_t best_us = 0;
-      const int32_t best = find_best (world, request, &best_us);
+      const int32_t best = find_best (sim, request, &best_us);
 
-      if (bt_get_deadline_left_ms (world, request) <= 0)
+      if (bt_get_deadline_left_ms (sim, request) <= 0)
         {
-          pop_request (world, state);
-          bt_end_request (world, index, ENDING_REFUSED, BT_REASON_DEADLINE_UNREACHABLE);
+          pop_request (sim, state);
+          bt_end_request (sim, index, OUTCOME_REFUSED, BT_REASON_DEADLINE_UNREACHABLE);
           continue;
         }
       if (best < 0)
         return;
-      pop_request (world, state);
-      if (world->now_us + best_us + world->scenario->latency_us <= request->deadline_us)
-        bt_start_run (world, index, best);
+      pop_request (sim, state);
+      if (sim->now_us + best_us + sim->scenario->latency_us <= request->deadline_us)
+        bt_start_run (sim, index, best);
       else
-        bt_end_request (world, index, ENDING_REFUSED, BT_REASON_DEADLINE_UNREACHABLE);
+        bt_end_request (sim, index, OUTCOME_REFUSED, BT_REASON_DEADLINE_UNREACHABLE);
     }
 }
 
 static void
-arrive_central (world_t *world, void *data, int32_t index)
+arrive_central (simulation_t *sim, void *data, int32_t index)
 {
-  central_t *state = data;
+  central_queue_t *state = data;
 
-  bt_set_waiting (world, index, true);
-  push_request (world, state, index);
-  assign (world, state);
+  bt_set_request_queued (sim, index, true);
+  push_request (sim, state, index);
+  assign_requests (sim, state);
 }
 
 static void
-reply_central (world_t *world, void *data, const event_t *event)
+reply_central (simulation_t *sim, void *data, const event_t *event)
 {
-  const request_t *request = &world->requests[event->request];
-  central_t *state = data;
+  const request_t *request = &sim->requests[event->request];
+  central_queue_t *state = data;
 
   if (event->end == BT_ATTEMPT_ANSWERED)
-    bt_end_request (world, event->request,
-                    world->now_us <= request->deadline_us ? ENDING_GOOD : ENDING_LATE,
+    bt_end_request (sim, event->request,
+                    sim->now_us <= request->deadline_us ? OUTCOME_IN_TIME : OUTCOME_LATE,
                     BT_REASON_NONE);
   else if (request->idempotent)
     {
-      world->sums.retries++;
-      world->requests[event->request].attempt++;
-      push_request (world, state, event->request);
+      sim->counters.retries++;
+      sim->requests[event->request].attempt++;
+      push_request (sim, state, event->request);
     }
   else
-    bt_end_request (world, event->request, ENDING_UNKNOWN, event->reason);
-  assign (world, state);
+    bt_end_request (sim, event->request, OUTCOME_UNKNOWN, event->reason);
+  assign_requests (sim, state);
 }
 
 static void
-ignore_event (world_t *world, void *data, const event_t *event)
+ignore_event (simulation_t *sim, void *data, const event_t *event)
 {
-  (void)world;
+  (void)sim;
   (void)data;
   (void)event;
 }
 
 static void
-link_central (world_t *world, void *data, const event_t *event)
+link_central (simulation_t *sim, void *data, const event_t *event)
 {
-  central_t *state = data;
+  central_queue_t *state = data;
 
-  for (int32_t i = 0; event->kind == EVENT_LINK_DOWN && i < world->request_count; i++)
+  for (int32_t i = 0; event->kind == EVENT_LINK_DOWN && i < sim->request_count; i++)
     {
-      request_t *request = &world->requests[i];
+      request_t *request = &sim->requests[i];
 
-      if (request->endpoint != event->endpoint || request->ending != ENDING_NONE
+      if (request->endpoint != event->endpoint || request->outcome != OUTCOME_NONE
           || request->entry != event->entry)
         continue;
       if (!request->idempotent)
         {
-          bt_end_request (world, i, ENDING_UNKNOWN, BT_REASON_LINK_LOST);
+          bt_end_request (sim, i, OUTCOME_UNKNOWN, BT_REASON_LINK_LOST);
           continue;
         }
-      world->sums.retries++;
+      sim->counters.retries++;
       request->attempt++;
       request->endpoint = -1;
-      push_request (world, state, i);
+      push_request (sim, state, i);
     }
-  assign (world, state);
+  assign_requests (sim, state);
 }
 
 static void
-tick_central (world_t *world, void *data, int32_t entry)
+tick_central (simulation_t *sim, void *data, int32_t entry)
 {
   (void)entry;
-  assign (world, data);
+  assign_requests (sim, data);
 }
 
 #define CENTRAL                                                                                    \
-  .omniscient = true, .start = start_central, .stop = stop_central, .arrive = arrive_central,      \
-  .reply = reply_central, .load = ignore_event, .cache = ignore_event, .link = link_central,       \
-  .tick = tick_central
+  .omniscient = true, .start = start_central, .stop = stop_central, .on_arrival = arrive_central,  \
+  .on_reply = reply_central, .on_load = ignore_event, .on_cache_event = ignore_event,              \
+  .on_link_event = link_central, .on_tick = tick_central
 
 const policy_t bt_omniscient_policy = { .name = "omniscient", CENTRAL };
 const policy_t bt_clairvoyant_policy = { .name = "omniscient, lengths too",
--- a/bench/harness_policies.h
+++ b/bench/harness_policies.h
@@ -2,13 +2,14 @@
 #define BILBERRYTRAY_BENCH_HARNESS_POLICIES_H
 
 /** @file
- * The policies that the bench compares: the core, four usual baselines, and one that knows all.
+ * The policies that the bench compares: the core, four common baselines, and a policy with
+ * complete knowledge.
  */
 
 #include "bilberrytray/load/admission.h"
 #include "harness_world.h"
 
-/** The core under its default options, with bt_core_tweak applied to them. */
+/** The core with its default options, as changed by bt_set_core_tweak. */
 extern const policy_t bt_core_policy;
 
 extern const policy_t bt_round_robin_policy;
@@ -16,15 +17,16 @@
 extern const policy_t bt_two_choices_policy;
 extern const policy_t bt_least_reported_policy;
 
-/** One central queue, earliest feasible deadline first, that knows each endpoint's true state
- * without delay. It starts only what would be in time with the longest answer, so it wastes
- * nothing. */
+/** A central queue in order of deadlines, which knows the current state of each endpoint without
+ * delay. It starts a request only if even the longest answer would be in time, so no run is
+ * wasted. */
 extern const policy_t bt_omniscient_policy;
 
-/** The same, but it knows the length of each answer in advance too. */
+/** The same policy, which also knows the length of each answer in advance. */
 extern const policy_t bt_clairvoyant_policy;
 
-/** Changes options of bt_core_policy before a run, to compare variants; NULL for none. */
+/** Sets a function that changes the options of bt_core_policy before a run, to compare variants;
+ * NULL for none. */
 typedef void (*core_tweak_t) (bt_router_options_t *router, bt_admission_options_t *admission);
 void bt_set_core_tweak (core_tweak_t tweak);
 
--- a/bench/harness_scenarios.c
+++ b/bench/harness_scenarios.c
@@ -2,8 +2,8 @@
 
 #include <string.h>
 
-/* Haiyun's shape: 16 runners in groups of 4 over 3 failure domains, 10 accounts of which 2 large,
- * drafts that customers wait seconds for. */
+/* Haiyun's deployment: 16 runners in groups of 4 over 3 failure domains, 10 accounts of which 2
+ * are large. The requests are drafts, for which customers wait some seconds. */
 static void
 set_drafts (scenario_t *scenario)
 {
@@ -13,15 +13,15 @@
     .domains = 3,
     .slots = 8,
     .accounts = 10,
-    .large = 2,
+    .large_accounts = 2,
     .large_share = 0.8,
     .base_load = 0.6,
     .burst_load = 0.6,
     .length_ms = 60000,
     .deadline_min_ms = 2000,
     .deadline_max_ms = 8000,
-    .lag_min_ms = 100,
-    .lag_max_ms = 500,
+    .report_lag_min_ms = 100,
+    .report_lag_max_ms = 500,
     .prefixes = 3,
     .prefill_steps = 24,
     .output_min = 20,
@@ -32,7 +32,8 @@
   };
 }
 
-/* The lookup app: 3 plain endpoints, a few milliseconds a call, a customer at the counter. */
+/* The lookup app: 3 plain endpoints, a few milliseconds per call, for a customer who waits at the
+ * counter. */
 static void
 set_lookups (scenario_t *scenario)
 {
@@ -55,7 +56,8 @@
   scenario->burst_to_ms = 10000;
 }
 
-/* The association's shape: as the drafts, with shorter waits and a nearer network. */
+/* The association's deployment: like the drafts, with shorter deadlines and lower network
+ * latency. */
 static void
 set_checks (scenario_t *scenario)
 {
@@ -65,7 +67,7 @@
   scenario->deadline_max_ms = 4000;
 }
 
-/* A part of the target: 256 runners in groups of 32 ranks, 220 accounts. */
+/* A part of the target deployment: 256 runners in groups of 32 ranks, 220 accounts. */
 static void
 set_target (scenario_t *scenario)
 {
@@ -74,7 +76,7 @@
   scenario->ranks = 32;
   scenario->domains = 8;
   scenario->accounts = 220;
-  scenario->large = 12;
+  scenario->large_accounts = 12;
   scenario->length_ms = 24000;
   scenario->base_load = 0.1;
   scenario->burst_load = 3;
@@ -103,10 +105,10 @@
 }
 
 static void
-set_lag (scenario_t *scenario)
+set_report_lag (scenario_t *scenario)
 {
-  scenario->lag_min_ms = 3000;
-  scenario->lag_max_ms = 3000;
+  scenario->report_lag_min_ms = 3000;
+  scenario->report_lag_max_ms = 3000;
   scenario->base_load = 0.9;
   scenario->burst_load = 0.9;
 }
@@ -121,13 +123,14 @@
 }
 
 static void
-set_fault (scenario_t *scenario, fault_kind_t kind, int32_t first, int32_t count)
+set_fault (scenario_t *scenario, fault_kind_t kind, int32_t first_endpoint, int32_t count)
 {
-  scenario->faults[scenario->fault_count++] =
-      (fault_t){ .kind = kind, .first = first, .count = count, .from_ms = 15000, .to_ms = 40000 };
+  scenario->faults[scenario->fault_count++] = (fault_t){
+    .kind = kind, .first_endpoint = first_endpoint, .count = count, .from_ms = 15000, .to_ms = 40000
+  };
 }
 
-typedef enum shape
+typedef enum scenario_kind
 {
   STEADY = 0,
   BURST,
@@ -147,10 +150,10 @@
   CHECKS,
   CHECKS_BURST,
   TARGET,
-  SHAPE_COUNT,
-} shape_t;
+  SCENARIO_COUNT,
+} scenario_kind_t;
 
-static const char *const names[SHAPE_COUNT] = {
+static const char *const names[SCENARIO_COUNT] = {
   [STEADY] = "steady 0.6",
   [BURST] = "burst 30x to 3.0",
   [LARGE_BURST] = "large accounts burst",
@@ -174,13 +177,13 @@
 int32_t
 bt_count_scenarios (void)
 {
-  return SHAPE_COUNT;
+  return SCENARIO_COUNT;
 }
 
 static void
-set_shape (scenario_t *scenario, shape_t shape)
+set_kind (scenario_t *scenario, scenario_kind_t kind)
 {
-  switch (shape)
+  switch (kind)
     {
     case BURST:
     case CHECKS_BURST:
@@ -190,10 +193,10 @@
       set_large_burst (scenario);
       break;
     case LAG:
-      set_lag (scenario);
+      set_report_lag (scenario);
       break;
     case LAG_BURST:
-      set_lag (scenario);
+      set_report_lag (scenario);
       set_burst (scenario);
       break;
     case DIALECTS:
@@ -233,16 +236,16 @@
 void
 bt_get_scenario (int32_t index, scenario_t *scenario)
 {
-  const shape_t shape = (shape_t)index;
+  const scenario_kind_t kind = (scenario_kind_t)index;
 
-  if (shape == LOOKUPS)
+  if (kind == LOOKUPS)
     set_lookups (scenario);
-  else if (shape == CHECKS || shape == CHECKS_BURST)
+  else if (kind == CHECKS || kind == CHECKS_BURST)
     set_checks (scenario);
-  else if (shape == TARGET)
+  else if (kind == TARGET)
     set_target (scenario);
   else
     set_drafts (scenario);
-  set_shape (scenario, shape);
-  scenario->name = names[shape];
+  set_kind (scenario, kind);
+  scenario->name = names[kind];
 }
--- a/bench/harness_scenarios.h
+++ b/bench/harness_scenarios.h
@@ -2,7 +2,7 @@
 #define BILBERRYTRAY_BENCH_HARNESS_SCENARIOS_H
 
 /** @file
- * The workloads of the policy bench.
+ * Scenarios of the policy bench.
  */
 
 #include "harness_world.h"
--- a/bench/harness_spread.c
+++ b/bench/harness_spread.c
@@ -10,17 +10,17 @@
 
 enum
 {
-  RING_MS = 8192,
+  WHEEL_MS = 8192,
   TICK_MS = 20,
-  WARM_MS = 15000,
+  WARM_UP_MS = 15000,
   IDLE_MS = 30000,
   IDLE_LINK_MS = 1500,
   START_MS = 100000,
   REPLACE_MS = 1000,
-  FAILURE_MS = 300,
+  STORE_FAILURE_MS = 300,
   OUTAGE_MS = 60000,
   SETTLE_MS = 10000,
-  AFTER_S = 60,
+  RECOVERY_S = 60,
   LOSS_PERCENT = 5,
   DOMAINS = 4,
   MS_PER_S = 1000,
@@ -40,10 +40,10 @@
 typedef struct event
 {
   event_kind_t kind;
-  int32_t from; /**< -1: the operator or the service. */
+  int32_t from; /**< Index of the sender; -1: the operator or the store. */
   int32_t to;
-  uint64_t from_start;
-  uint64_t to_start;
+  uint64_t from_incarnation;
+  uint64_t to_incarnation;
   int64_t due_ms;
   bt_spread_heartbeat_t heartbeat;
   bt_document_list_t documents;
@@ -58,53 +58,53 @@
 {
   bt_identity_t identity;
   bt_config_spread_t *spread;
-  int64_t dead_until_ms; /**< 0 while it lives. */
+  int64_t dead_until_ms; /**< 0 while the node runs. */
   int64_t sent_bytes;
 } node_t;
 
 typedef struct fleet
 {
   bt_context_t *ctx;
-  const bt_spread_trial_t *trial;
+  const bt_sync_trial_t *trial;
   bt_random_t random;
   int64_t now_ms;
-  uint64_t starts;
+  uint64_t last_incarnation;
   node_t *nodes;
-  bool *near;
+  bool *neighbors;
   bt_spread_member_t *members;
   bt_document_t **documents;
   int64_t revision;
   uint64_t calls;
-  bool down;
-  event_t *ring[RING_MS];
+  bool store_down;
+  event_t *wheel[WHEEL_MS];
 } fleet_t;
 
 static bool
-is_near (const fleet_t *fleet, int32_t left, int32_t right)
+is_neighbor (const fleet_t *fleet, int32_t left, int32_t right)
 {
-  return fleet->near[left * fleet->trial->entries + right];
+  return fleet->neighbors[left * fleet->trial->entries + right];
 }
 
 static event_t *
 add_event (fleet_t *fleet, event_kind_t kind, int32_t from, int32_t to, int64_t delay_ms)
 {
   event_t *event = bt_calloc (fleet->ctx, 1, sizeof *event);
-  event_t **place;
+  event_t **slot;
 
   event->kind = kind;
   event->from = from;
   event->to = to;
-  event->from_start = from < 0 ? 0 : fleet->nodes[from].identity.incarnation;
-  event->to_start = fleet->nodes[to].identity.incarnation;
+  event->from_incarnation = from < 0 ? 0 : fleet->nodes[from].identity.incarnation;
+  event->to_incarnation = fleet->nodes[to].identity.incarnation;
   event->due_ms = fleet->now_ms + (delay_ms < 1 ? 1 : delay_ms);
-  place = &fleet->ring[event->due_ms % RING_MS];
-  event->next = *place;
-  *place = event;
+  slot = &fleet->wheel[event->due_ms % WHEEL_MS];
+  event->next = *slot;
+  *slot = event;
   return event;
 }
 
 static bool
-is_lost (fleet_t *fleet)
+draw_frame_loss (fleet_t *fleet)
 {
   return fleet->trial->fault == BT_TRIAL_LOSS
          && bt_random_below (&fleet->random, 100) < LOSS_PERCENT;
@@ -122,18 +122,18 @@
 }
 
 static void
-send_link (fleet_t *fleet, int32_t from, const bt_spread_action_t *action)
+send_to_peer (fleet_t *fleet, int32_t from, const bt_spread_action_t *action)
 {
   static const bt_trial_frame_t frames[] = { [BT_SPREAD_PUSH] = BT_TRIAL_PUSH,
                                              [BT_SPREAD_PULL] = BT_TRIAL_PULL,
                                              [BT_SPREAD_IN_FORCE] = BT_TRIAL_IN_FORCE };
-  const bt_spread_trial_t *trial = fleet->trial;
+  const bt_sync_trial_t *trial = fleet->trial;
   int32_t to = find_node (fleet, &action->peer);
   event_t *event;
 
   fleet->nodes[from].sent_bytes +=
       trial->count_bytes (trial->count_data, frames[action->kind], NULL, &action->documents);
-  if (to < 0 || action->kind == BT_SPREAD_IN_FORCE || is_lost (fleet))
+  if (to < 0 || action->kind == BT_SPREAD_IN_FORCE || draw_frame_loss (fleet))
     return;
   event = add_event (fleet, action->kind == BT_SPREAD_PUSH ? EVENT_PUSH : EVENT_PULL, from, to,
                      trial->latency_ms);
@@ -164,14 +164,14 @@
 
       if (action->kind == BT_SPREAD_READ || action->kind == BT_SPREAD_WATCH)
         fleet->calls++;
-      if (fleet->down && (action->kind == BT_SPREAD_READ || action->kind == BT_SPREAD_WATCH))
-        add_event (fleet, EVENT_FAILURE, -1, node, FAILURE_MS);
+      if (fleet->store_down && (action->kind == BT_SPREAD_READ || action->kind == BT_SPREAD_WATCH))
+        add_event (fleet, EVENT_FAILURE, -1, node, STORE_FAILURE_MS);
       else if (action->kind == BT_SPREAD_READ)
         answer_read (fleet, node, action->since);
       else if (action->kind == BT_SPREAD_WATCH)
         add_event (fleet, EVENT_WATCH, -1, node, action->wait_ms);
       else if (action->kind != BT_SPREAD_APPLY)
-        send_link (fleet, node, action);
+        send_to_peer (fleet, node, action);
     }
   bt_clear_spread_actions (fleet->ctx, actions);
 }
@@ -185,12 +185,12 @@
   bt_identity_t source = { "operator", 1 };
   bt_spread_actions_t actions = { 0 };
 
-  if (spread == NULL || event->to_start != fleet->nodes[event->to].identity.incarnation)
+  if (spread == NULL || event->to_incarnation != fleet->nodes[event->to].identity.incarnation)
     return;
   if (event->from >= 0)
     {
       source = fleet->nodes[event->from].identity;
-      source.incarnation = event->from_start;
+      source.incarnation = event->from_incarnation;
     }
   if (event->kind == EVENT_HEARTBEAT)
     bt_take_spread_heartbeat (fleet->ctx, spread, &source, &event->heartbeat, fleet->now_ms,
@@ -210,21 +210,21 @@
 }
 
 static void
-beat (fleet_t *fleet, int32_t node)
+send_heartbeats (fleet_t *fleet, int32_t node)
 {
-  const bt_spread_trial_t *trial = fleet->trial;
+  const bt_sync_trial_t *trial = fleet->trial;
 
   for (int32_t peer = 0; peer < trial->entries; peer++)
     {
       bt_spread_heartbeat_t heartbeat;
 
-      if (!is_near (fleet, node, peer) || fleet->nodes[peer].spread == NULL)
+      if (!is_neighbor (fleet, node, peer) || fleet->nodes[peer].spread == NULL)
         continue;
       bt_make_spread_heartbeat (fleet->nodes[node].spread, &fleet->nodes[peer].identity,
                                 fleet->now_ms, &heartbeat);
       fleet->nodes[node].sent_bytes +=
           trial->count_bytes (trial->count_data, BT_TRIAL_HEARTBEAT, &heartbeat, NULL);
-      if (!is_lost (fleet))
+      if (!draw_frame_loss (fleet))
         add_event (fleet, EVENT_HEARTBEAT, node, peer, trial->latency_ms)->heartbeat = heartbeat;
     }
 }
@@ -236,7 +236,7 @@
     {
       bt_spread_actions_t actions = { 0 };
 
-      if (!is_near (fleet, node, peer) || fleet->nodes[peer].spread == NULL)
+      if (!is_neighbor (fleet, node, peer) || fleet->nodes[peer].spread == NULL)
         continue;
       bt_open_spread_link (fleet->ctx, fleet->nodes[node].spread, &fleet->nodes[peer].identity,
                            fleet->now_ms, &actions);
@@ -254,12 +254,12 @@
   node_t *node = &fleet->nodes[index];
 
   snprintf (node->identity.instance, BT_NAME_BYTES, "entry-%d", (int)index);
-  node->identity.incarnation = ++fleet->starts;
+  node->identity.incarnation = ++fleet->last_incarnation;
   node->dead_until_ms = 0;
-  node->spread =
-      bt_new_config_spread (fleet->ctx, &node->identity, &settings, fleet->starts, fleet->now_ms);
+  node->spread = bt_new_config_spread (fleet->ctx, &node->identity, &settings,
+                                       fleet->last_incarnation, fleet->now_ms);
   for (int32_t i = 0; i < fleet->trial->entries; i++)
-    fleet->members[i].near = is_near (fleet, index, i);
+    fleet->members[i].near = is_neighbor (fleet, index, i);
   bt_set_spread_members (fleet->ctx, node->spread, fleet->members, fleet->trial->entries);
   open_links (fleet, index);
 }
@@ -273,22 +273,22 @@
   node->spread = NULL;
   node->dead_until_ms = fleet->now_ms + REPLACE_MS;
   for (int32_t peer = 0; peer < fleet->trial->entries; peer++)
-    if (is_near (fleet, peer, index) && fleet->nodes[peer].spread != NULL)
+    if (is_neighbor (fleet, peer, index) && fleet->nodes[peer].spread != NULL)
       bt_close_spread_link (fleet->ctx, fleet->nodes[peer].spread, &node->identity);
 }
 
 static void
-step (fleet_t *fleet)
+advance_1_ms (fleet_t *fleet)
 {
-  event_t **place;
+  event_t **slot;
 
   fleet->now_ms++;
-  place = &fleet->ring[fleet->now_ms % RING_MS];
-  while (*place != NULL)
+  slot = &fleet->wheel[fleet->now_ms % WHEEL_MS];
+  while (*slot != NULL)
     {
-      event_t *event = *place;
+      event_t *event = *slot;
 
-      *place = event->next;
+      *slot = event->next;
       deliver (fleet, event);
       bt_clear_documents (fleet->ctx, &event->documents);
       bt_free (fleet->ctx, event);
@@ -305,16 +305,16 @@
       if ((fleet->now_ms + i) % TICK_MS == 0)
         bt_tick_config_spread (fleet->ctx, node->spread, fleet->now_ms, &actions);
       run_actions (fleet, i, &actions);
-      if ((fleet->now_ms + (int64_t)i * 7) % fleet->trial->beat_ms == 0)
-        beat (fleet, i);
+      if ((fleet->now_ms + (int64_t)i * 7) % fleet->trial->heartbeat_interval_ms == 0)
+        send_heartbeats (fleet, i);
     }
 }
 
 static void
-run (fleet_t *fleet, int64_t wait_ms)
+run_for (fleet_t *fleet, int64_t wait_ms)
 {
   for (int64_t i = 0; i < wait_ms; i++)
-    step (fleet);
+    advance_1_ms (fleet);
 }
 
 static void
@@ -335,25 +335,25 @@
   bt_free (fleet->ctx, data);
 }
 
-/* A write of the service ends the watches that wait. */
+/* A write to the store completes all pending watches. */
 static void
-wake_watches (fleet_t *fleet)
+complete_watches (fleet_t *fleet)
 {
   event_t *woken = NULL;
 
   if (fleet->trial->fault == BT_TRIAL_SILENT_WATCH)
     return;
-  for (int32_t i = 0; i < RING_MS; i++)
-    for (event_t **place = &fleet->ring[i]; *place != NULL;)
+  for (int32_t i = 0; i < WHEEL_MS; i++)
+    for (event_t **link = &fleet->wheel[i]; *link != NULL;)
       {
-        event_t *event = *place;
+        event_t *event = *link;
 
         if (event->kind != EVENT_WATCH || event->due_ms <= fleet->now_ms)
           {
-            place = &event->next;
+            link = &event->next;
             continue;
           }
-        *place = event->next;
+        *link = event->next;
         event->next = woken;
         woken = event;
       }
@@ -362,23 +362,24 @@
       event_t *event = woken;
 
       woken = event->next;
-      add_event (fleet, EVENT_WATCH, -1, event->to, fleet->trial->latency_ms)->to_start =
-          event->to_start;
+      add_event (fleet, EVENT_WATCH, -1, event->to, fleet->trial->latency_ms)->to_incarnation =
+          event->to_incarnation;
       bt_free (fleet->ctx, event);
     }
 }
 
-/* The operator has the answer and the read-back, and hands over. */
+/* Pushes a change to the entries as the operator does, after the answer to the write and the
+ * read-back. It arrives four one-way latencies after the write. */
 static void
-hand_over (fleet_t *fleet, int32_t index)
+push_change (fleet_t *fleet, int32_t index)
 {
-  if (fleet->trial->fault >= BT_TRIAL_NO_HAND_OVER)
+  if (fleet->trial->fault >= BT_TRIAL_NO_PUSH)
     return;
   for (int32_t i = 0; i < fleet->trial->entries; i++)
     {
       event_t *event;
 
-      if (is_lost (fleet) || fleet->nodes[i].spread == NULL)
+      if (draw_frame_loss (fleet) || fleet->nodes[i].spread == NULL)
         continue;
       event = add_event (fleet, EVENT_PUSH, -1, i, 4 * fleet->trial->latency_ms);
       event->request = 1;
@@ -397,30 +398,30 @@
 }
 
 static int64_t
-change_once (fleet_t *fleet)
+measure_change (fleet_t *fleet)
 {
   int32_t index = (int32_t)bt_random_below (&fleet->random, (uint64_t)fleet->trial->documents);
-  int64_t begun_ms = fleet->now_ms;
-  int64_t taken_ms = -1;
+  int64_t start_ms = fleet->now_ms;
+  int64_t in_force_ms = -1;
 
   write_document (fleet, index);
-  wake_watches (fleet);
-  hand_over (fleet, index);
+  complete_watches (fleet);
+  push_change (fleet, index);
   if (fleet->trial->fault == BT_TRIAL_KILL)
     kill_node (fleet, (int32_t)bt_random_below (&fleet->random, (uint64_t)fleet->trial->entries));
-  while (fleet->now_ms - begun_ms < fleet->trial->gap_ms)
+  while (fleet->now_ms - start_ms < fleet->trial->change_interval_ms)
     {
-      step (fleet);
-      if (taken_ms < 0 && is_in_force (fleet))
-        taken_ms = fleet->now_ms - begun_ms;
+      advance_1_ms (fleet);
+      if (in_force_ms < 0 && is_in_force (fleet))
+        in_force_ms = fleet->now_ms - start_ms;
     }
-  while (taken_ms < 0)
+  while (in_force_ms < 0)
     {
-      step (fleet);
+      advance_1_ms (fleet);
       if (is_in_force (fleet))
-        taken_ms = fleet->now_ms - begun_ms;
+        in_force_ms = fleet->now_ms - start_ms;
     }
-  return taken_ms;
+  return in_force_ms;
 }
 
 static int64_t
@@ -443,71 +444,72 @@
 }
 
 static void
-measure_idle (fleet_t *fleet, bt_spread_figures_t *figures)
+measure_idle (fleet_t *fleet, bt_sync_metrics_t *metrics)
 {
-  int64_t bytes = sum_bytes (fleet);
-  uint64_t calls = fleet->calls;
-  double cpu_us = bt_read_cpu_us ();
+  int64_t start_bytes = sum_bytes (fleet);
+  uint64_t start_calls = fleet->calls;
+  double start_cpu_us = bt_read_cpu_us ();
   double node_seconds = (double)fleet->trial->entries * IDLE_MS / MS_PER_S;
 
-  run (fleet, IDLE_MS);
-  figures->idle_bytes_s = (double)(sum_bytes (fleet) - bytes) / node_seconds;
-  figures->idle_calls_s = (double)(fleet->calls - calls) * MS_PER_S / IDLE_MS;
-  figures->idle_cpu_us_s = (bt_read_cpu_us () - cpu_us) / node_seconds;
+  run_for (fleet, IDLE_MS);
+  metrics->idle_bytes_s = (double)(sum_bytes (fleet) - start_bytes) / node_seconds;
+  metrics->idle_calls_s = (double)(fleet->calls - start_calls) * MS_PER_S / IDLE_MS;
+  metrics->idle_cpu_us_s = (bt_read_cpu_us () - start_cpu_us) / node_seconds;
 }
 
 static void
-measure_changes (fleet_t *fleet, bt_spread_figures_t *figures)
+measure_changes (fleet_t *fleet, bt_sync_metrics_t *metrics)
 {
   int32_t changes = fleet->trial->changes;
-  int64_t *times = bt_calloc (fleet->ctx, (size_t)changes, sizeof *times);
-  int64_t bytes = sum_bytes (fleet);
-  uint64_t calls = fleet->calls;
-  int64_t begun_ms = fleet->now_ms;
-  double cpu_us = bt_read_cpu_us ();
+  int64_t *times_ms = bt_calloc (fleet->ctx, (size_t)changes, sizeof *times_ms);
+  int64_t start_bytes = sum_bytes (fleet);
+  uint64_t start_calls = fleet->calls;
+  int64_t start_ms = fleet->now_ms;
+  double start_cpu_us = bt_read_cpu_us ();
   double seconds;
-  double shares = (double)fleet->trial->entries * changes;
+  double entry_changes = (double)fleet->trial->entries * changes;
 
   for (int32_t i = 0; i < changes; i++)
-    times[i] = change_once (fleet);
-  seconds = (double)(fleet->now_ms - begun_ms) / MS_PER_S;
-  figures->change_bytes = ((double)(sum_bytes (fleet) - bytes)
-                           - figures->idle_bytes_s * seconds * fleet->trial->entries)
-                          / shares;
-  figures->change_calls =
-      ((double)(fleet->calls - calls) - figures->idle_calls_s * seconds) / changes;
-  figures->change_cpu_us =
-      (bt_read_cpu_us () - cpu_us - figures->idle_cpu_us_s * seconds * fleet->trial->entries)
-      / shares;
-  qsort (times, (size_t)changes, sizeof *times, compare_times);
-  figures->p50_ms = times[changes / 2];
-  figures->p99_ms = times[changes * 99 / 100];
-  figures->worst_ms = times[changes - 1];
-  bt_free (fleet->ctx, times);
+    times_ms[i] = measure_change (fleet);
+  seconds = (double)(fleet->now_ms - start_ms) / MS_PER_S;
+  metrics->change_bytes = ((double)(sum_bytes (fleet) - start_bytes)
+                           - metrics->idle_bytes_s * seconds * fleet->trial->entries)
+                          / entry_changes;
+  metrics->change_calls =
+      ((double)(fleet->calls - start_calls) - metrics->idle_calls_s * seconds) / changes;
+  metrics->change_cpu_us =
+      (bt_read_cpu_us () - start_cpu_us - metrics->idle_cpu_us_s * seconds * fleet->trial->entries)
+      / entry_changes;
+  qsort (times_ms, (size_t)changes, sizeof *times_ms, compare_times);
+  metrics->p50_ms = times_ms[changes / 2];
+  metrics->p99_ms = times_ms[changes * 99 / 100];
+  metrics->worst_ms = times_ms[changes - 1];
+  bt_free (fleet->ctx, times_ms);
 }
 
-/* The service is down for a while, and comes back. */
+/* Measures the calls while the store is down, and after it is back. */
 static void
-measure_outage (fleet_t *fleet, bt_spread_figures_t *figures)
+measure_outage (fleet_t *fleet, bt_sync_metrics_t *metrics)
 {
   uint64_t calls;
 
-  fleet->down = true;
-  run (fleet, SETTLE_MS);
+  fleet->store_down = true;
+  run_for (fleet, SETTLE_MS);
   calls = fleet->calls;
-  run (fleet, OUTAGE_MS);
-  figures->outage_calls_s = (double)(fleet->calls - calls) * MS_PER_S / OUTAGE_MS;
-  fleet->down = false;
-  for (int32_t i = 0; i < AFTER_S; i++)
+  run_for (fleet, OUTAGE_MS);
+  metrics->outage_calls_s = (double)(fleet->calls - calls) * MS_PER_S / OUTAGE_MS;
+  fleet->store_down = false;
+  for (int32_t i = 0; i < RECOVERY_S; i++)
     {
       calls = fleet->calls;
-      run (fleet, MS_PER_S);
-      if ((double)(fleet->calls - calls) > figures->after_calls)
-        figures->after_calls = (double)(fleet->calls - calls);
+      run_for (fleet, MS_PER_S);
+      if ((double)(fleet->calls - calls) > metrics->recovery_calls)
+        metrics->recovery_calls = (double)(fleet->calls - calls);
     }
 }
 
-/* Links as the instances choose them: by either end, all to all in a small fleet. */
+/* Selects links as the instances do: either end may choose a link, and a small fleet is fully
+ * meshed. Returns the mean number of links per entry. */
 static double
 choose_links (fleet_t *fleet)
 {
@@ -525,15 +527,15 @@
   for (int32_t i = 0; i < count; i++)
     {
       int32_t chosen[BT_AGENT_LINKS];
-      int32_t given = bt_choose_subset (fleet->ctx, candidates[i].instance, candidates, count,
-                                        BT_AGENT_LINKS, chosen);
+      int32_t chosen_count = bt_choose_subset (fleet->ctx, candidates[i].instance, candidates,
+                                               count, BT_AGENT_LINKS, chosen);
 
-      for (int32_t j = 0; j < given; j++)
+      for (int32_t j = 0; j < chosen_count; j++)
         if (chosen[j] != i)
-          fleet->near[i * count + chosen[j]] = fleet->near[chosen[j] * count + i] = true;
+          fleet->neighbors[i * count + chosen[j]] = fleet->neighbors[chosen[j] * count + i] = true;
     }
   for (int32_t i = 0; i < count * count; i++)
-    links += fleet->near[i] ? 1 : 0;
+    links += fleet->neighbors[i] ? 1 : 0;
   bt_free (fleet->ctx, candidates);
   return (double)links / count;
 }
@@ -545,50 +547,48 @@
 
   for (int32_t i = 0; i < fleet->trial->entries; i++)
     bt_drop_config_spread (ctx, fleet->nodes[i].spread);
-  for (int32_t i = 0; i < RING_MS; i++)
-    while (fleet->ring[i] != NULL)
+  for (int32_t i = 0; i < WHEEL_MS; i++)
+    while (fleet->wheel[i] != NULL)
       {
-        event_t *event = fleet->ring[i];
+        event_t *event = fleet->wheel[i];
 
-        fleet->ring[i] = event->next;
+        fleet->wheel[i] = event->next;
         bt_clear_documents (ctx, &event->documents);
         bt_free (ctx, event);
       }
   for (int32_t i = 0; i < fleet->trial->documents; i++)
     bt_drop_document (ctx, fleet->documents[i]);
   bt_free (ctx, fleet->nodes);
-  bt_free (ctx, fleet->near);
+  bt_free (ctx, fleet->neighbors);
   bt_free (ctx, fleet->members);
   bt_free (ctx, fleet->documents);
   bt_free (ctx, fleet);
 }
 
 void
-bt_run_spread_trial (bt_context_t *ctx,
-                     const bt_spread_trial_t *trial,
-                     bt_spread_figures_t *figures)
+bt_run_sync_trial (bt_context_t *ctx, const bt_sync_trial_t *trial, bt_sync_metrics_t *metrics)
 {
   fleet_t *fleet = bt_calloc (ctx, 1, sizeof *fleet);
   size_t count = (size_t)trial->entries;
 
-  memset (figures, 0, sizeof *figures);
+  memset (metrics, 0, sizeof *metrics);
   fleet->ctx = ctx;
   fleet->trial = trial;
   fleet->now_ms = START_MS;
   fleet->revision = 1;
   bt_seed_random (&fleet->random, count);
   fleet->nodes = bt_calloc (ctx, count, sizeof *fleet->nodes);
-  fleet->near = bt_calloc (ctx, count * count, sizeof *fleet->near);
+  fleet->neighbors = bt_calloc (ctx, count * count, sizeof *fleet->neighbors);
   fleet->members = bt_calloc (ctx, count, sizeof *fleet->members);
   fleet->documents = bt_calloc (ctx, (size_t)trial->documents, sizeof (bt_document_t *));
-  figures->peers = choose_links (fleet);
+  metrics->peers = choose_links (fleet);
   for (int32_t i = 0; i < trial->documents; i++)
     write_document (fleet, i);
   for (int32_t i = 0; i < trial->entries; i++)
     start_node (fleet, i);
-  run (fleet, WARM_MS);
-  measure_idle (fleet, figures);
-  measure_changes (fleet, figures);
-  measure_outage (fleet, figures);
+  run_for (fleet, WARM_UP_MS);
+  measure_idle (fleet, metrics);
+  measure_changes (fleet, metrics);
+  measure_outage (fleet, metrics);
   drop_fleet (fleet);
 }
