--- a/bench/harness_world.c
+++ b/bench/harness_world.c
@@ -9,31 +9,31 @@
   REPORT_MS = 250,
   TICK_MS = 5,
   DRAIN_MS = 30000,
-  FIRST_REQUESTS = 4096,
+  INITIAL_REQUESTS = 4096,
 };
 
 int64_t
-bt_world_now_ms (const world_t *world)
+bt_get_sim_time_ms (const simulation_t *sim)
 {
-  return world->now_us / MS_US;
+  return sim->now_us / MS_US;
 }
 
 int64_t
-bt_get_deadline_left_ms (const world_t *world, const request_t *request)
+bt_get_deadline_left_ms (const simulation_t *sim, const request_t *request)
 {
-  return (request->deadline_us - world->now_us) / MS_US;
+  return (request->deadline_us - sim->now_us) / MS_US;
 }
 
 void
-bt_get_world_identity (const world_t *world, int32_t index, bt_identity_t *identity)
+bt_get_sim_identity (const simulation_t *sim, int32_t index, bt_identity_t *identity)
 {
   memset (identity, 0, sizeof *identity);
   snprintf (identity->instance, sizeof identity->instance, "agent-%d", index);
-  identity->incarnation = world->endpoints[index].incarnation;
+  identity->incarnation = sim->endpoints[index].incarnation;
 }
 
 double
-bt_get_world_capacity (const scenario_t *scenario)
+bt_get_sim_capacity (const scenario_t *scenario)
 {
   const double step_us =
       (double)scenario->step_us + (double)scenario->slots * (double)scenario->request_us;
@@ -44,24 +44,24 @@
 }
 
 static int64_t
-draw_between (bt_random_t *random, int64_t least, int64_t most)
+draw_between (bt_random_t *random, int64_t min, int64_t max)
 {
-  return least + (int64_t)bt_random_below (random, (uint64_t)(most - least + 1));
+  return min + (int64_t)bt_random_below (random, (uint64_t)(max - min + 1));
 }
 
 static request_t *
-add_request (world_t *world)
+add_request (simulation_t *sim)
 {
   request_t *request;
 
-  if (world->request_count == world->request_capacity)
+  if (sim->request_count == sim->request_capacity)
     {
-      world->request_capacity =
-          world->request_capacity == 0 ? FIRST_REQUESTS : 2 * world->request_capacity;
-      world->requests = bt_realloc (world->ctx, world->requests, (size_t)world->request_capacity,
-                                    sizeof *world->requests);
+      sim->request_capacity =
+          sim->request_capacity == 0 ? INITIAL_REQUESTS : 2 * sim->request_capacity;
+      sim->requests = bt_realloc (sim->ctx, sim->requests, (size_t)sim->request_capacity,
+                                  sizeof *sim->requests);
     }
-  request = &world->requests[world->request_count++];
+  request = &sim->requests[sim->request_count++];
   memset (request, 0, sizeof *request);
   request->endpoint = -1;
   return request;
@@ -70,14 +70,14 @@
 static int32_t
 draw_account (const scenario_t *scenario, bt_random_t *random, bool large)
 {
-  const int32_t small = scenario->accounts - scenario->large;
+  const int32_t small = scenario->accounts - scenario->large_accounts;
 
   if (large || small == 0)
-    return (int32_t)bt_random_below (random, (uint64_t)scenario->large);
-  return scenario->large + (int32_t)bt_random_below (random, (uint64_t)small);
+    return (int32_t)bt_random_below (random, (uint64_t)scenario->large_accounts);
+  return scenario->large_accounts + (int32_t)bt_random_below (random, (uint64_t)small);
 }
 
-/* Some prefixes are asked for more than others: the first of 24 by a fifth of the requests. */
+/* Low prefixes are more frequent: of 24 prefixes, the first gets a fifth of the requests. */
 static uint64_t
 draw_prefix (const scenario_t *scenario, bt_random_t *random)
 {
@@ -87,15 +87,15 @@
 }
 
 static void
-draw_request (world_t *world, bt_random_t *random, int64_t at_us, bool burst_part)
+draw_request (simulation_t *sim, bt_random_t *random, int64_t at_us, bool in_burst)
 {
-  const scenario_t *scenario = world->scenario;
+  const scenario_t *scenario = sim->scenario;
   const bool large = bt_random_unit (random) < scenario->large_share;
-  request_t *request = add_request (world);
+  request_t *request = add_request (sim);
 
-  request->arrive_us = at_us;
+  request->arrival_us = at_us;
   request->account =
-      draw_account (scenario, random, large || (burst_part && scenario->burst_large_only));
+      draw_account (scenario, random, large || (in_burst && scenario->burst_large_only));
   request->entry = (int32_t)bt_random_below (random, ENTRIES);
   request->output = (int32_t)draw_between (random, scenario->output_min, scenario->output_max);
   request->deadline_us =
@@ -104,12 +104,12 @@
   request->prefix = draw_prefix (scenario, random);
 }
 
-/* Arrivals at random moments whose rate follows the load of the scenario. */
+/* Draws Poisson arrivals whose rate follows the load of the scenario. */
 static void
-draw_requests (world_t *world, uint64_t seed)
+draw_requests (simulation_t *sim, uint64_t seed)
 {
-  const scenario_t *scenario = world->scenario;
-  const double capacity = bt_get_world_capacity (scenario);
+  const scenario_t *scenario = sim->scenario;
+  const double capacity = bt_get_sim_capacity (scenario);
   bt_random_t random;
   double at_ms = 0;
 
@@ -123,254 +123,258 @@
       at_ms += -log (1 - bt_random_unit (&random)) * MS_US / (capacity * load);
       if (at_ms >= (double)scenario->length_ms)
         break;
-      draw_request (world, &random, (int64_t)(at_ms * MS_US),
+      draw_request (sim, &random, (int64_t)(at_ms * MS_US),
                     burst && bt_random_unit (&random) > scenario->base_load / load);
     }
 }
 
 void
-bt_set_waiting (world_t *world, int32_t index, bool waiting)
+bt_set_request_queued (simulation_t *sim, int32_t index, bool queued)
 {
-  request_t *request = &world->requests[index];
+  request_t *request = &sim->requests[index];
 
-  if (request->waiting == waiting)
+  if (request->queued == queued)
     return;
-  request->waiting = waiting;
-  world->waiting += waiting ? 1 : -1;
+  request->queued = queued;
+  sim->queued_requests += queued ? 1 : -1;
 }
 
-/* A refusal is needless when some healthy endpoint has a free slot and time for the longest answer,
- * or when all could serve what waits now, and then this request, within four fifths of the time
- * that it had left. */
+/* A refusal is needless if a healthy endpoint has a free slot and enough time for the longest
+ * answer. It is also needless if all healthy endpoints together could serve the queued requests
+ * and then this one. Both must fit into four fifths of the time left until the deadline. */
 static bool
-is_needless (const world_t *world, const request_t *request)
+is_refusal_needless (const simulation_t *sim, const request_t *request)
 {
-  const double left_us = (double)(request->deadline_us - world->now_us) * 4 / 5;
-  double best_us = left_us + 1;
-  double per_us = 0;
+  const double left_us = (double)(request->deadline_us - sim->now_us) * 4 / 5;
+  double shortest_run_us = left_us + 1;
+  double requests_per_us = 0;
 
-  for (int32_t i = 0; i < world->scenario->endpoints; i++)
+  for (int32_t i = 0; i < sim->scenario->endpoints; i++)
     {
-      const endpoint_t *endpoint = &world->endpoints[i];
-      const double run_us = (double)bt_expect_run_us (world, request, i);
+      const endpoint_t *endpoint = &sim->endpoints[i];
+      const double run_us = (double)bt_get_max_run_us (sim, request, i);
 
       if (endpoint->dead || endpoint->silent)
         continue;
-      per_us += (double)world->scenario->slots / run_us;
-      if (endpoint->running < world->scenario->slots && run_us <= left_us)
+      requests_per_us += (double)sim->scenario->slots / run_us;
+      if (endpoint->running < sim->scenario->slots && run_us <= left_us)
         return true;
-      best_us = run_us < best_us ? run_us : best_us;
+      shortest_run_us = run_us < shortest_run_us ? run_us : shortest_run_us;
     }
-  return per_us > 0 && (world->waiting + 1) / per_us + best_us <= left_us;
+  return requests_per_us > 0
+         && (sim->queued_requests + 1) / requests_per_us + shortest_run_us <= left_us;
 }
 
 void
-bt_end_request (world_t *world, int32_t index, ending_t ending, bt_reason_t reason)
+bt_end_request (simulation_t *sim, int32_t index, outcome_t outcome, bt_reason_t reason)
 {
-  request_t *request = &world->requests[index];
+  request_t *request = &sim->requests[index];
 
-  if (request->ending != ENDING_NONE)
+  if (request->outcome != OUTCOME_NONE)
     return;
-  bt_set_waiting (world, index, false);
-  request->needless = ending == ENDING_REFUSED && is_needless (world, request);
-  request->ending = ending;
+  bt_set_request_queued (sim, index, false);
+  request->needless_refusal = outcome == OUTCOME_REFUSED && is_refusal_needless (sim, request);
+  request->outcome = outcome;
   request->reason = reason;
-  request->end_us = world->now_us;
+  request->end_us = sim->now_us;
   request->endpoint = -1;
   request->attempt++;
-  world->open--;
+  sim->unfinished--;
 }
 
 void
-bt_send_request (world_t *world, int32_t index, int32_t endpoint)
+bt_send_request (simulation_t *sim, int32_t index, int32_t endpoint)
 {
-  request_t *request = &world->requests[index];
-  event_t event = { .kind = EVENT_AT_AGENT, .request = index, .endpoint = endpoint };
+  request_t *request = &sim->requests[index];
+  event_t event = { .kind = EVENT_REQUEST_AT_AGENT, .request = index, .endpoint = endpoint };
 
-  bt_set_waiting (world, index, false);
+  bt_set_request_queued (sim, index, false);
   request->endpoint = endpoint;
-  request->sent_us = world->now_us;
+  request->sent_us = sim->now_us;
   request->attempt++;
   event.attempt = request->attempt;
-  event.at_us = world->now_us + world->scenario->latency_us;
-  bt_push_event (world, &event);
+  event.at_us = sim->now_us + sim->scenario->latency_us;
+  bt_push_event (sim, &event);
 }
 
 static void
-report_load (world_t *world, const event_t *event)
+report_load (simulation_t *sim, const event_t *event)
 {
-  const scenario_t *scenario = world->scenario;
+  const scenario_t *scenario = sim->scenario;
   event_t next = *event;
 
-  next.at_us = world->now_us + (int64_t)REPORT_MS * MS_US;
-  bt_push_event (world, &next);
-  if (world->endpoints[event->endpoint].dead)
+  next.at_us = sim->now_us + (int64_t)REPORT_MS * MS_US;
+  bt_push_event (sim, &next);
+  if (sim->endpoints[event->endpoint].dead)
     return;
   for (int32_t entry = 0; entry < ENTRIES; entry++)
     {
-      event_t load = { .kind = EVENT_LOAD, .endpoint = event->endpoint, .entry = entry };
+      event_t load = { .kind = EVENT_LOAD_AT_ENTRY, .endpoint = event->endpoint, .entry = entry };
       const int64_t lag_ms =
-          draw_between (&world->random, scenario->lag_min_ms, scenario->lag_max_ms);
+          draw_between (&sim->random, scenario->report_lag_min_ms, scenario->report_lag_max_ms);
 
-      bt_get_engine_load (world, event->endpoint, &load.load);
+      bt_get_engine_load (sim, event->endpoint, &load.load);
       load.load.age_ms = lag_ms;
-      load.value = world->endpoints[event->endpoint].incarnation;
-      load.at_us = world->now_us + lag_ms * MS_US;
-      bt_push_event (world, &load);
+      load.value = sim->endpoints[event->endpoint].incarnation;
+      load.at_us = sim->now_us + lag_ms * MS_US;
+      bt_push_event (sim, &load);
     }
 }
 
 static void
-receive_reply (world_t *world, const event_t *event)
+receive_reply (simulation_t *sim, const event_t *event)
 {
-  request_t *request = &world->requests[event->request];
+  request_t *request = &sim->requests[event->request];
 
-  if (event->attempt != request->attempt || request->ending != ENDING_NONE)
+  if (event->attempt != request->attempt || request->outcome != OUTCOME_NONE)
     return;
-  world->policy->reply (world, world->state, event);
+  sim->policy->on_reply (sim, sim->state, event);
 }
 
 static void
-tick (world_t *world, const event_t *event)
+tick (simulation_t *sim, const event_t *event)
 {
   event_t next = *event;
 
-  world->policy->tick (world, world->state, event->entry);
-  next.at_us = world->now_us + (int64_t)TICK_MS * MS_US;
-  bt_push_event (world, &next);
+  sim->policy->on_tick (sim, sim->state, event->entry);
+  next.at_us = sim->now_us + (int64_t)TICK_MS * MS_US;
+  bt_push_event (sim, &next);
 }
 
 static void
-arrive (world_t *world, const event_t *event)
+arrive (simulation_t *sim, const event_t *event)
 {
   event_t next = *event;
 
   next.request++;
-  if (next.request < world->request_count)
+  if (next.request < sim->request_count)
     {
-      next.at_us = world->requests[next.request].arrive_us;
-      bt_push_event (world, &next);
+      next.at_us = sim->requests[next.request].arrival_us;
+      bt_push_event (sim, &next);
     }
-  world->policy->arrive (world, world->state, event->request);
+  sim->policy->on_arrival (sim, sim->state, event->request);
 }
 
 static void
-handle_event (world_t *world, const event_t *event)
+handle_event (simulation_t *sim, const event_t *event)
 {
   switch (event->kind)
     {
-    case EVENT_ARRIVE:
-      arrive (world, event);
+    case EVENT_ARRIVAL:
+      arrive (sim, event);
       break;
-    case EVENT_AT_AGENT:
-      bt_receive_request (world, event);
+    case EVENT_REQUEST_AT_AGENT:
+      bt_receive_request (sim, event);
       break;
-    case EVENT_AT_ENTRY:
-      receive_reply (world, event);
+    case EVENT_REPLY_AT_ENTRY:
+      receive_reply (sim, event);
       break;
     case EVENT_STEP:
-      bt_step_group (world, event);
+      bt_step_group (sim, event);
       break;
-    case EVENT_REPORT:
-      report_load (world, event);
+    case EVENT_REPORT_DUE:
+      report_load (sim, event);
       break;
-    case EVENT_LOAD:
-      world->policy->load (world, world->state, event);
+    case EVENT_LOAD_AT_ENTRY:
+      sim->policy->on_load (sim, sim->state, event);
       break;
-    case EVENT_CACHE:
-      world->policy->cache (world, world->state, event);
+    case EVENT_CACHE_AT_ENTRY:
+      sim->policy->on_cache_event (sim, sim->state, event);
       break;
     case EVENT_TICK:
-      tick (world, event);
+      tick (sim, event);
       break;
-    case EVENT_FAULT:
-      bt_set_fault (world, event, true);
+    case EVENT_FAULT_BEGIN:
+      bt_apply_fault (sim, event, true);
       break;
-    case EVENT_HEAL:
-      bt_set_fault (world, event, false);
+    case EVENT_FAULT_END:
+      bt_apply_fault (sim, event, false);
       break;
     case EVENT_LINK_DOWN:
     case EVENT_LINK_UP:
-      world->policy->link (world, world->state, event);
+      sim->policy->on_link_event (sim, sim->state, event);
       break;
-    case EVENT_SILENCE:
-      bt_check_silence (world, event);
+    case EVENT_SILENCE_TIMEOUT:
+      bt_handle_silence_timeout (sim, event);
       break;
     }
 }
 
 static void
-plan_faults (world_t *world)
+schedule_faults (simulation_t *sim)
 {
-  const scenario_t *scenario = world->scenario;
+  const scenario_t *scenario = sim->scenario;
 
   for (int32_t i = 0; i < scenario->fault_count; i++)
     {
-      event_t event = { .kind = EVENT_FAULT, .value = (uint64_t)i };
+      event_t event = { .kind = EVENT_FAULT_BEGIN, .value = (uint64_t)i };
 
       event.at_us = scenario->faults[i].from_ms * MS_US;
-      bt_push_event (world, &event);
-      event.kind = EVENT_HEAL;
+      bt_push_event (sim, &event);
+      event.kind = EVENT_FAULT_END;
       event.at_us = scenario->faults[i].to_ms * MS_US;
       if (scenario->faults[i].kind != FAULT_FLAPPING)
-        bt_push_event (world, &event);
+        bt_push_event (sim, &event);
     }
 }
 
 static void
-plan_events (world_t *world)
+schedule_events (simulation_t *sim)
 {
-  event_t first = { .kind = EVENT_ARRIVE, .at_us = world->requests[0].arrive_us };
+  event_t first = { .kind = EVENT_ARRIVAL, .at_us = sim->requests[0].arrival_us };
 
-  bt_push_event (world, &first);
-  for (int32_t i = 0; i < world->scenario->endpoints; i++)
+  bt_push_event (sim, &first);
+  for (int32_t i = 0; i < sim->scenario->endpoints; i++)
     {
-      event_t event = { .kind = EVENT_REPORT, .endpoint = i };
+      event_t event = { .kind = EVENT_REPORT_DUE, .endpoint = i };
 
-      event.at_us = (int64_t)bt_random_below (&world->random, (uint64_t)REPORT_MS * MS_US);
-      bt_push_event (world, &event);
+      event.at_us = (int64_t)bt_random_below (&sim->random, (uint64_t)REPORT_MS * MS_US);
+      bt_push_event (sim, &event);
     }
   for (int32_t i = 0; i < ENTRIES; i++)
     {
       event_t event = { .kind = EVENT_TICK, .entry = i };
 
-      event.at_us = (int64_t)bt_random_below (&world->random, (uint64_t)TICK_MS * MS_US);
-      bt_push_event (world, &event);
+      event.at_us = (int64_t)bt_random_below (&sim->random, (uint64_t)TICK_MS * MS_US);
+      bt_push_event (sim, &event);
     }
-  plan_faults (world);
+  schedule_faults (sim);
 }
 
-world_t *
-bt_run_world (bt_context_t *ctx, const scenario_t *scenario, const policy_t *policy, uint64_t seed)
+simulation_t *
+bt_run_simulation (bt_context_t *ctx,
+                   const scenario_t *scenario,
+                   const policy_t *policy,
+                   uint64_t seed)
 {
-  world_t *world = bt_calloc (ctx, 1, sizeof *world);
+  simulation_t *sim = bt_calloc (ctx, 1, sizeof *sim);
   event_t event;
 
-  world->ctx = ctx;
-  world->scenario = scenario;
-  world->policy = policy;
-  bt_seed_random (&world->random, seed + 1);
-  draw_requests (world, seed);
-  world->open = world->request_count;
-  bt_make_engines (world);
-  world->state = policy->start (world);
-  plan_events (world);
-  while (world->open > 0 && bt_pop_event (world, &event))
+  sim->ctx = ctx;
+  sim->scenario = scenario;
+  sim->policy = policy;
+  bt_seed_random (&sim->random, seed + 1);
+  draw_requests (sim, seed);
+  sim->unfinished = sim->request_count;
+  bt_make_engines (sim);
+  sim->state = policy->start (sim);
+  schedule_events (sim);
+  while (sim->unfinished > 0 && bt_pop_event (sim, &event))
     {
-      world->now_us = event.at_us;
-      if (bt_world_now_ms (world) > scenario->length_ms + DRAIN_MS)
+      sim->now_us = event.at_us;
+      if (bt_get_sim_time_ms (sim) > scenario->length_ms + DRAIN_MS)
         break;
-      handle_event (world, &event);
+      handle_event (sim, &event);
     }
-  policy->stop (world, world->state);
-  return world;
+  policy->stop (sim, sim->state);
+  return sim;
 }
 
 void
-bt_drop_world (world_t *world)
+bt_drop_simulation (simulation_t *sim)
 {
-  bt_drop_engines (world);
-  bt_free (world->ctx, world->heap);
-  bt_free (world->ctx, world->requests);
-  bt_free (world->ctx, world);
+  bt_drop_engines (sim);
+  bt_free (sim->ctx, sim->heap);
+  bt_free (sim->ctx, sim->requests);
+  bt_free (sim->ctx, sim);
 }
--- a/bench/placement.h
+++ b/bench/placement.h
@@ -2,9 +2,9 @@
 #define BILBERRYTRAY_BENCH_PLACEMENT_H
 
 /** @file
- * What the placement of requests on ranks adds to step-time skew: attention costs a rank in
- * proportion to the context it holds. Entries see the ranks' loads late, and their own dispatches
- * at once.
+ * Effect of request placement on step-time skew: the attention work of a rank is proportional to
+ * the context that it holds. Entries see the loads of the ranks with a delay, and their own
+ * dispatches at once.
  */
 
 #include <math.h>
@@ -20,7 +20,7 @@
   PLACE_ROUND_ROBIN,
   PLACE_TWO_CHOICES, /**< The less loaded of two random ranks. */
   PLACE_LEAST,       /**< The least loaded rank. */
-  PLACE_LEAST_EXACT, /**< The same without lag: a bound. */
+  PLACE_LEAST_EXACT, /**< The least loaded rank by loads without delay: an upper bound. */
   PLACE_COUNT,
 } placement_kind_t;
 
@@ -30,33 +30,33 @@
   PLACE_ENTRIES = 7,
   PLACE_TICK_MS = 50,
   PLACE_TICKS = 12000,
-  PLACE_WARM_TICKS = 1000,
+  PLACE_WARM_UP_TICKS = 1000,
   PLACE_LAG_TICKS = 10,
   PLACE_MAX_LIVE = 4096,
-  PLACE_LIVE_A_RANK = 64,
-  PLACE_MEAN_TICKS = 160,
+  PLACE_LIVE_PER_RANK = 64,
+  PLACE_MEAN_DURATION_TICKS = 160,
   PLACE_SEED = 7,
 };
 
 /** A request that runs. */
-typedef struct placed
+typedef struct active_request
 {
   int32_t rank;
   int32_t end_tick;
   double context;
-} placed_t;
+} active_request_t;
 
-/** A rank group that serves requests. */
+/** A rank group that serves requests, and the entries' view of it. */
 typedef struct placement
 {
   bt_random_t random;
   placement_kind_t kind;
-  placed_t live[PLACE_MAX_LIVE];
+  active_request_t live[PLACE_MAX_LIVE];
   int32_t live_count;
   int32_t next_rank[PLACE_ENTRIES];
   double load[PLACE_RANKS];
   double reported[PLACE_RANKS];
-  double own[PLACE_ENTRIES][PLACE_RANKS]; /* an entry's dispatches since the last report */
+  double unreported[PLACE_ENTRIES][PLACE_RANKS]; /* dispatches of an entry since the last report */
 } placement_t;
 
 static const char *
@@ -69,30 +69,32 @@
 }
 
 static double
-view_load (const placement_t *placement, int32_t entry, int32_t rank)
+get_visible_load (const placement_t *placement, int32_t entry, int32_t rank)
 {
   if (placement->kind == PLACE_LEAST_EXACT)
     return placement->load[rank];
-  return placement->reported[rank] + placement->own[entry][rank];
+  return placement->reported[rank] + placement->unreported[entry][rank];
 }
 
 static int32_t
 choose_rank (placement_t *placement, int32_t entry)
 {
-  int32_t best = (int32_t)bt_random_below (&placement->random, PLACE_RANKS);
-  int32_t second = (int32_t)bt_random_below (&placement->random, PLACE_RANKS);
+  int32_t chosen = (int32_t)bt_random_below (&placement->random, PLACE_RANKS);
+  int32_t alternative = (int32_t)bt_random_below (&placement->random, PLACE_RANKS);
 
   if (placement->kind == PLACE_RANDOM)
-    return best;
+    return chosen;
   if (placement->kind == PLACE_ROUND_ROBIN)
     return placement->next_rank[entry]++ % PLACE_RANKS;
   if (placement->kind == PLACE_TWO_CHOICES)
-    return view_load (placement, entry, second) < view_load (placement, entry, best) ? second
-                                                                                     : best;
+    return get_visible_load (placement, entry, alternative)
+                   < get_visible_load (placement, entry, chosen)
+               ? alternative
+               : chosen;
   for (int32_t rank = 0; rank < PLACE_RANKS; rank++)
-    if (view_load (placement, entry, rank) < view_load (placement, entry, best))
-      best = rank;
-  return best;
+    if (get_visible_load (placement, entry, rank) < get_visible_load (placement, entry, chosen))
+      chosen = rank;
+  return chosen;
 }
 
 static void
@@ -112,13 +114,14 @@
   int32_t entry = (int32_t)bt_random_below (&placement->random, PLACE_ENTRIES);
   int32_t rank = choose_rank (placement, entry);
   double context = exp (bt_draw_normal (&placement->random));
-  double ticks = -PLACE_MEAN_TICKS * log (1.0 - bt_random_unit (&placement->random));
+  double ticks = -PLACE_MEAN_DURATION_TICKS * log (1.0 - bt_random_unit (&placement->random));
 
   if (placement->live_count == PLACE_MAX_LIVE)
     return;
-  placement->live[placement->live_count++] = (placed_t){ rank, tick + 1 + (int32_t)ticks, context };
+  placement->live[placement->live_count++] =
+      (active_request_t){ rank, tick + 1 + (int32_t)ticks, context };
   placement->load[rank] += context;
-  placement->own[entry][rank] += context;
+  placement->unreported[entry][rank] += context;
 }
 
 static double
@@ -135,12 +138,12 @@
   return busiest * PLACE_RANKS / total;
 }
 
-/** Plays one way of placing; fills @p skew with PLACE_TICKS - PLACE_WARM_TICKS values. */
+/** Simulates one placement policy; fills @p skew with PLACE_TICKS - PLACE_WARM_UP_TICKS values. */
 static void
-play_placement (placement_kind_t kind, double *skew)
+simulate_placement (placement_kind_t kind, double *skew)
 {
   static placement_t placement;
-  double arrivals = (double)PLACE_RANKS * PLACE_LIVE_A_RANK / PLACE_MEAN_TICKS;
+  double arrivals = (double)PLACE_RANKS * PLACE_LIVE_PER_RANK / PLACE_MEAN_DURATION_TICKS;
 
   memset (&placement, 0, sizeof placement);
   placement.kind = kind;
@@ -153,12 +156,12 @@
       if (tick % PLACE_LAG_TICKS == 0)
         {
           memcpy (placement.reported, placement.load, sizeof placement.load);
-          memset (placement.own, 0, sizeof placement.own);
+          memset (placement.unreported, 0, sizeof placement.unreported);
         }
       for (int32_t i = 0; i < count; i++)
         start_request (&placement, tick);
-      if (tick >= PLACE_WARM_TICKS)
-        skew[tick - PLACE_WARM_TICKS] = measure_placement (&placement);
+      if (tick >= PLACE_WARM_UP_TICKS)
+        skew[tick - PLACE_WARM_UP_TICKS] = measure_placement (&placement);
     }
 }
 
--- a/bench/rounds.h
+++ b/bench/rounds.h
@@ -2,8 +2,8 @@
 #define BILBERRYTRAY_BENCH_ROUNDS_H
 
 /** @file
- * Map rounds without faults: the controller and the ranks' agents over a network with the delays of
- * a site, to see how many steps are held and how many rounds come too late.
+ * Simulates map rounds without faults: the controller and the agents of the ranks over a network
+ * with the delays of one site. Counts the held steps and the rounds that come too late.
  */
 
 #include <string.h>
@@ -19,14 +19,14 @@
   ROUND_MESSAGES = 4096,
   ROUND_STEP_MS = 6,
   ROUND_TICK_MS = 10,
-  ROUND_LINK_MS = 4,  /* most for a frame: a hop, and a hop through an entry */
-  ROUND_CALL_MS = 12, /* most for an order to an engine, the agent's own tick with it */
+  ROUND_LINK_MS = 4,  /* max. delay of a frame: one hop, and one hop through an entry */
+  ROUND_CALL_MS = 12, /* max. time of an order to an engine, including the agent's tick */
   ROUND_RUN_MS = 600000,
   ROUND_LEASE_MS = 1 << 30,
   ROUND_SEED = 11,
 };
 
-/** A frame or an engine's answer on its way. */
+/** A frame or an answer of an engine in flight. */
 typedef struct round_message
 {
   int64_t at_ms;
@@ -55,16 +55,15 @@
 } rounds_t;
 
 static void
-post_round (rounds_t *rounds, round_message_t message, int64_t most_ms)
+send_message (rounds_t *rounds, round_message_t message, int64_t max_ms)
 {
-  message.at_ms =
-      rounds->now_ms + 1 + (int64_t)bt_random_below (&rounds->random, (uint64_t)most_ms);
+  message.at_ms = rounds->now_ms + 1 + (int64_t)bt_random_below (&rounds->random, (uint64_t)max_ms);
   if (rounds->message_count < ROUND_MESSAGES)
     rounds->messages[rounds->message_count++] = message;
 }
 
 static void
-carry_out_rank (rounds_t *rounds, int32_t rank)
+execute_rank_actions (rounds_t *rounds, int32_t rank)
 {
   for (int32_t i = 0; i < rounds->actions.count; i++)
     {
@@ -76,19 +75,19 @@
       else if (message.action.kind == BT_MAP_ENGINE_ORDER)
         {
           message.answer = true;
-          post_round (rounds, message, ROUND_CALL_MS);
+          send_message (rounds, message, ROUND_CALL_MS);
         }
       else if (message.action.kind == BT_MAP_REPORT)
         {
           message.to_controller = true;
-          post_round (rounds, message, ROUND_LINK_MS);
+          send_message (rounds, message, ROUND_LINK_MS);
         }
     }
   rounds->actions.count = 0;
 }
 
 static void
-deliver_round (rounds_t *rounds, round_message_t *message)
+deliver_message (rounds_t *rounds, round_message_t *message)
 {
   const bt_map_action_t *action = &message->action;
   bt_map_rank_t *agent = rounds->agents[message->rank];
@@ -109,11 +108,11 @@
     }
   else
     bt_take_map_order (rounds->ctx, agent, &action->order, rounds->now_ms, &rounds->actions);
-  carry_out_rank (rounds, message->rank);
+  execute_rank_actions (rounds, message->rank);
 }
 
 static void
-deliver_rounds (rounds_t *rounds)
+deliver_due_messages (rounds_t *rounds)
 {
   for (int32_t i = 0; i < rounds->message_count; i++)
     if (rounds->messages[i].at_ms <= rounds->now_ms)
@@ -121,7 +120,7 @@
         round_message_t message = rounds->messages[i];
 
         rounds->messages[i--] = rounds->messages[--rounds->message_count];
-        deliver_round (rounds, &message);
+        deliver_message (rounds, &message);
       }
 }
 
@@ -136,7 +135,7 @@
       round_message_t message = { 0, rounds->actions.items[i].order.rank };
 
       message.action = rounds->actions.items[i];
-      post_round (rounds, message, ROUND_LINK_MS);
+      send_message (rounds, message, ROUND_LINK_MS);
     }
   rounds->actions.count = 0;
   if (running && bt_get_round_phase (rounds->controller) == BT_ROUND_NONE)
@@ -148,13 +147,13 @@
   for (int32_t rank = 0; rank < ROUND_RANKS; rank++)
     {
       bt_tick_map_rank (rounds->ctx, rounds->agents[rank], rounds->now_ms, &rounds->actions);
-      carry_out_rank (rounds, rank);
+      execute_rank_actions (rounds, rank);
     }
 }
 
-/** Plays rounds back to back, armed so many steps ahead. */
+/** Simulates rounds one after another, each armed @p arm_steps steps ahead. */
 static void
-play_rounds (bt_context_t *ctx, rounds_t *rounds, uint64_t arm_steps)
+simulate_rounds (bt_context_t *ctx, rounds_t *rounds, uint64_t arm_steps)
 {
   bt_map_controller_settings_t settings = {
     ROUND_RANKS, 100, 250, 1000, 2000, 2000, arm_steps, 1, 0
@@ -174,7 +173,7 @@
     }
   for (; rounds->now_ms < ROUND_RUN_MS; rounds->now_ms++)
     {
-      deliver_rounds (rounds);
+      deliver_due_messages (rounds);
       if (rounds->now_ms % ROUND_TICK_MS == 0)
         tick_rounds (rounds);
       if (rounds->now_ms % ROUND_STEP_MS == 0)
