--- a/bench/bench_capacity.c
+++ b/bench/bench_capacity.c
@@ -39,7 +39,7 @@
 typedef struct line
 {
   double slope;
-  double base;
+  double intercept;
 } line_t;
 
 /* Fits a straight line to the points by least squares. */
@@ -60,18 +60,18 @@
       sum_xy += x[i] * y[i];
     }
   line.slope = (count * sum_xy - sum_x * sum_y) / (count * sum_xx - sum_x * sum_x);
-  line.base = (sum_y - line.slope * sum_x) / count;
+  line.intercept = (sum_y - line.slope * sum_x) / count;
   return line;
 }
 
 static int64_t
-count_frame (const bt_frame_t *frame)
+get_frame_bytes (const bt_frame_t *frame)
 {
   return (int64_t)bilberry__frame__get_packed_size (frame) + BT_FRAME_PREFIX_BYTES + TCP_IP_BYTES;
 }
 
 static int64_t
-count_heartbeat (const bt_spread_heartbeat_t *source)
+get_heartbeat_bytes (const bt_spread_heartbeat_t *source)
 {
   Bilberry__Heartbeat heartbeat = BILBERRY__HEARTBEAT__INIT;
   bt_frame_t frame = BILBERRY__FRAME__INIT;
@@ -84,7 +84,7 @@
   heartbeat.max_revision = source->revision;
   frame.body_case = BILBERRY__FRAME__BODY_HEARTBEAT;
   frame.heartbeat = &heartbeat;
-  return count_frame (&frame);
+  return get_frame_bytes (&frame);
 }
 
 static int64_t
@@ -98,13 +98,13 @@
   int64_t bytes;
 
   if (kind == BT_TRIAL_HEARTBEAT)
-    return count_heartbeat (heartbeat);
+    return get_heartbeat_bytes (heartbeat);
   if (kind != BT_TRIAL_PUSH)
     return TCP_IP_BYTES + BT_FRAME_PREFIX_BYTES + (int64_t)sizeof (Bilberry__DocumentState) / 2;
   bt_make_push_frame (ctx, &push, documents);
   push.push.store_revision = 1 << 20;
   push.push.from_revision = 1 << 20;
-  bytes = count_frame (&push.frame);
+  bytes = get_frame_bytes (&push.frame);
   bt_clear_push_frame (ctx, &push);
   return bytes;
 }
@@ -289,7 +289,7 @@
   frame.heartbeat = &heartbeat;
   heartbeat.now_ms = 86400000;
   heartbeat.max_revision = 1 << 20;
-  to_agent = count_frame (&frame);
+  to_agent = get_frame_bytes (&frame);
   heartbeat.max_revision = 0;
   heartbeat.endpoint = "tw-north-draft-1234";
   heartbeat.app = "order-drafting";
@@ -301,8 +301,8 @@
   printf (
       "\n## Heartbeats, with %d B of TCP and IP\n\nentry to agent %lld B, agent to entry %lld B, "
       "entry to entry %lld B\n",
-      TCP_IP_BYTES, (long long)to_agent, (long long)count_frame (&frame),
-      (long long)count_heartbeat (&entry_heartbeat));
+      TCP_IP_BYTES, (long long)to_agent, (long long)get_frame_bytes (&frame),
+      (long long)get_heartbeat_bytes (&entry_heartbeat));
 }
 
 static pid_t
@@ -452,7 +452,7 @@
   free (rules);
   printf ("\nslope: %.0f us/s and %.0f kB a peer, above %.0f us/s and %.0f kB\n",
           fit_line (x, cpu, SIZES).slope, fit_line (x, memory, SIZES).slope,
-          fit_line (x, cpu, SIZES).base, fit_line (x, memory, SIZES).base);
+          fit_line (x, cpu, SIZES).intercept, fit_line (x, memory, SIZES).intercept);
 }
 
 static void
@@ -489,7 +489,7 @@
   free (rules);
   printf ("\nslope: %.0f us/s and %.0f kB an agent's link, above %.0f us/s and %.0f kB\n",
           fit_line (x, cpu, SIZES).slope, fit_line (x, memory, SIZES).slope,
-          fit_line (x, cpu, SIZES).base, fit_line (x, memory, SIZES).base);
+          fit_line (x, cpu, SIZES).intercept, fit_line (x, memory, SIZES).intercept);
 }
 
 static void
--- a/bench/bench_leader.c
+++ b/bench/bench_leader.c
@@ -431,8 +431,8 @@
 
       if (!start_group (&group))
         {
-          printf ("| %d x %d x %d | group too large to manage |\n", shapes[i].ranks, shapes[i].sets,
-                  shapes[i].experts);
+          printf ("| %d x %d x %d | dimensions outside the limits of a map |\n", shapes[i].ranks,
+                  shapes[i].sets, shapes[i].experts);
           free_group (&group);
           continue;
         }
--- a/bench/bench_maps.c
+++ b/bench/bench_maps.c
@@ -75,7 +75,7 @@
   double skew_sum;
   int64_t moved_bytes;
   int32_t changes;
-  double extra_ms;
+  double move_cost_ms;
   int64_t slowest_plan_us;
 } result_t;
 
@@ -219,7 +219,7 @@
       if (!run->variant->instant)
         run->ready_ms += plan->moved_bytes / ((int64_t)STORE_MB_PER_S * KB_PER_MB);
       result->moved_bytes += plan->moved_bytes;
-      result->extra_ms += plan->cost_ms;
+      result->move_cost_ms += plan->cost_ms;
     }
   bt_drop_map_plan (run->ctx, plan);
 }
@@ -289,7 +289,7 @@
 
   printf ("| %s | %.3f | %.3f | %.1f | %d | %.1f | %.1f | %.1f |\n", name,
           quantile (result->skew, TICKS, median), quantile (result->skew, TICKS, tail),
-          (double)result->moved_bytes / 1e9, result->changes, lost_s, result->extra_ms / 1000.0,
+          (double)result->moved_bytes / 1e9, result->changes, lost_s, result->move_cost_ms / 1000.0,
           (double)result->slowest_plan_us / 1000.0);
 }
 
--- a/bench/harness_group.c
+++ b/bench/harness_group.c
@@ -32,11 +32,11 @@
 /** One caller's request. */
 typedef struct request
 {
-  double arrived_ms;
+  double arrival_ms;
   double unread_tokens; /* prompt tokens that are still to be read */
-  int32_t events;
+  int32_t events_left;
   int32_t rank; /* -1 while it is queued */
-  double first_ms;
+  double first_event_ms;
   double max_pause_ms;
 } request_t;
 
@@ -56,13 +56,12 @@
   int32_t count;
   double *popularity; /* by set and expert; adds up to 1 in each set */
   double *picks;      /* of the current pass, by set and expert, as shares of the set */
-  double
-      *unreported; /* selection counts that ranks have not reported yet, by rank, set and expert */
+  double *unreported; /* counts that are not reported yet, by rank, set and expert */
   int32_t running[BT_MAX_RANKS];
   double reported_ms[BT_MAX_RANKS];
   bt_group_maps_t *maps;
   bt_expert_map_t *map;
-  bt_pass_pace_t *pace;
+  bt_pass_pace_t *limiter;
   int64_t version;
   int64_t step;
   double next_plan_ms;
@@ -199,7 +198,7 @@
 {
   const bt_group_load_t *load = group->load;
   bt_context_t *ctx = group->ctx;
-  bt_pass_pace_settings_t pace = {
+  bt_pass_pace_settings_t limiter_settings = {
     .ranks = load->ranks,
     .least_pass_ms = load->engine.step_ms * load->engine.stride,
     .aim_pass_ms = group->variant->pass_time_share * (double)load->pause_ms,
@@ -214,7 +213,7 @@
   group->unreported =
       bt_calloc (ctx, (size_t)count_cells (group) * (size_t)load->ranks, sizeof (double));
   group->maps = bt_new_group_maps (ctx, &load->engine, load->ranks, &group->variant->maps);
-  group->pace = bt_new_pass_pace (ctx, &pace);
+  group->limiter = bt_new_pass_pace (ctx, &limiter_settings);
   group->next_shift_ms = (double)load->shift_ms;
   for (int32_t rank = 0; rank < load->ranks; rank++)
     group->reported_ms[rank] = (double)(rank * REPORT_MS) / load->ranks;
@@ -231,7 +230,7 @@
   bt_free (group->ctx, group->unreported);
   bt_drop_group_maps (group->ctx, group->maps);
   bt_drop_expert_map (group->ctx, group->map);
-  bt_drop_pass_pace (group->ctx, group->pace);
+  bt_drop_pass_pace (group->ctx, group->limiter);
 }
 
 static void
@@ -244,9 +243,9 @@
     {
       request_t *request = &group->requests[group->count++];
 
-      *request = (request_t){ .arrived_ms = group->next_arrival_ms, .rank = -1 };
+      *request = (request_t){ .arrival_ms = group->next_arrival_ms, .rank = -1 };
       request->unread_tokens = draw_around (&group->random, load->prompt_tokens);
-      request->events = (int32_t)draw_around (&group->random, load->events) + 1;
+      request->events_left = (int32_t)draw_around (&group->random, load->events) + 1;
       group->result->asked++;
       group->next_arrival_ms -=
           log (1.0 - bt_random_unit (&group->random)) * MS_PER_S / load->requests_a_s;
@@ -265,7 +264,7 @@
 drop_abandoned_requests (group_t *group)
 {
   for (int32_t i = group->count - 1; i >= 0; i--)
-    if (group->requests[i].rank < 0 && group->now_ms - group->requests[i].arrived_ms > ABANDON_MS)
+    if (group->requests[i].rank < 0 && group->now_ms - group->requests[i].arrival_ms > ABANDON_MS)
       {
         remove_request (group, i);
         group->result->left++;
@@ -275,7 +274,7 @@
 /* Returns the next request to admit: the first that has waited for less than half of its target
  * time, else the first of all; NULL if none is queued. */
 static request_t *
-find_next_waiting (group_t *group)
+find_next_queued (group_t *group)
 {
   request_t *first = NULL;
 
@@ -285,7 +284,7 @@
 
       if (request->rank >= 0)
         continue;
-      if (group->now_ms - request->arrived_ms < (double)group->load->aim_ms / 2)
+      if (group->now_ms - request->arrival_ms < (double)group->load->aim_ms / 2)
         return request;
       if (first == NULL)
         first = request;
@@ -307,12 +306,12 @@
 static void
 admit_requests (group_t *group)
 {
-  int32_t limit = bt_get_pass_limit (group->pace);
+  int32_t limit = bt_get_pass_limit (group->limiter);
 
   while (true)
     {
       int32_t rank = find_least_loaded_rank (group);
-      request_t *request = find_next_waiting (group);
+      request_t *request = find_next_queued (group);
 
       if (request == NULL || group->running[rank] >= limit)
         return;
@@ -433,7 +432,7 @@
 end_request (group_t *group, int32_t index)
 {
   const request_t *request = &group->requests[index];
-  bool in_time = request->first_ms - request->arrived_ms <= (double)group->load->aim_ms
+  bool in_time = request->first_event_ms - request->arrival_ms <= (double)group->load->aim_ms
                  && request->max_pause_ms <= (double)group->load->pause_ms;
 
   group->result->in_time += in_time;
@@ -451,11 +450,11 @@
 
       if (request->rank < 0 || request->unread_tokens > 0)
         continue;
-      if (request->first_ms > 0)
+      if (request->first_event_ms > 0)
         request->max_pause_ms = fmax (request->max_pause_ms, pass_ms);
       else
-        request->first_ms = group->now_ms;
-      if (--request->events <= 0)
+        request->first_event_ms = group->now_ms;
+      if (--request->events_left <= 0)
         end_request (group, i);
     }
 }
@@ -464,7 +463,7 @@
 report_ranks (group_t *group)
 {
   int32_t cells = count_cells (group);
-  int32_t limit = bt_get_pass_limit (group->pace);
+  int32_t limit = bt_get_pass_limit (group->limiter);
   uint32_t *counts = bt_calloc (group->ctx, (size_t)cells, sizeof *counts);
 
   for (int32_t rank = 0; rank < group->load->ranks; rank++)
@@ -480,7 +479,7 @@
           counts[i] = (uint32_t)unreported[i];
           unreported[i] -= counts[i];
         }
-      bt_record_pass (group->pace, rank, group->step, group->running[rank], now_ms);
+      bt_record_pass (group->limiter, rank, group->step, group->running[rank], now_ms);
       bt_take_rank_running (group->maps, rank, group->running[rank], limit, now_ms);
       bt_take_rank_picks (group->maps, counts, cells, now_ms);
     }
--- a/bench/harness_group.h
+++ b/bench/harness_group.h
@@ -19,8 +19,7 @@
 {
   BT_SHIFT_NONE = 0,
   BT_SHIFT_JUMP,   /**< At each shift, the experts of some sets are shuffled. */
-  BT_SHIFT_DRIFT,  /**< A shift has ten steps, each of which swaps a part of the experts of every
-                      set. */
+  BT_SHIFT_DRIFT,  /**< In ten steps per shift, some experts of each set are swapped. */
   BT_SHIFT_RETURN, /**< The popularity alternates between two states. */
 } bt_shift_kind_t;
 
@@ -38,8 +37,7 @@
   int64_t run_ms;
   double skew; /**< Exponent of the power law of expert popularity. */
   bt_shift_kind_t shift;
-  double shift_share; /**< Share of the sets that a jump changes, or of the experts that a drift
-                         moves. */
+  double shift_share; /**< Share of sets that a jump, or of experts that a drift changes. */
   int64_t shift_ms;   /**< Time between two shifts. */
 } bt_group_load_t;
 
@@ -48,8 +46,7 @@
 {
   char name[BT_NAME_BYTES];
   bt_group_maps_settings_t maps;
-  double pass_time_share; /**< Duration of a pass that the limiter aims at, as a share of the
-                             longest accepted pause. */
+  double pass_time_share; /**< Target duration of a pass, as a share of pause_ms. */
   bool demand_known; /**< Demand is known in advance and copies take no time: the upper bound. */
 } bt_group_way_t;
 
--- a/bench/harness_spread.c
+++ b/bench/harness_spread.c
@@ -47,8 +47,8 @@
   int64_t due_ms;
   bt_spread_heartbeat_t heartbeat;
   bt_document_list_t documents;
-  int64_t low;
-  int64_t high;
+  int64_t from_revision;
+  int64_t to_revision;
   bool whole;
   uint64_t request;
   struct event *next;
@@ -57,7 +57,7 @@
 typedef struct node
 {
   bt_identity_t identity;
-  bt_config_spread_t *spread;
+  bt_config_spread_t *sync;
   int64_t dead_until_ms; /**< 0 while the node runs. */
   int64_t sent_bytes;
 } node_t;
@@ -137,8 +137,8 @@
     return;
   event = add_event (fleet, action->kind == BT_SPREAD_PUSH ? EVENT_PUSH : EVENT_PULL, from, to,
                      trial->latency_ms);
-  event->low = action->kind == BT_SPREAD_PULL ? action->since : action->from;
-  event->high = action->to;
+  event->from_revision = action->kind == BT_SPREAD_PULL ? action->since : action->from;
+  event->to_revision = action->to;
   event->whole = action->whole;
   for (int32_t i = 0; i < action->documents.count; i++)
     bt_add_document (fleet->ctx, &event->documents, action->documents.items[i]);
@@ -149,7 +149,7 @@
 {
   event_t *event = add_event (fleet, EVENT_READ, -1, to, 2 * fleet->trial->latency_ms);
 
-  event->high = fleet->revision;
+  event->to_revision = fleet->revision;
   for (int32_t i = 0; fleet->revision > since && i < fleet->trial->documents; i++)
     if (fleet->documents[i]->revision > since)
       bt_add_document (fleet->ctx, &event->documents, fleet->documents[i]);
@@ -177,15 +177,15 @@
 }
 
 static void
-deliver (fleet_t *fleet, const event_t *event)
+deliver_event (fleet_t *fleet, const event_t *event)
 {
-  bt_config_spread_t *spread = fleet->nodes[event->to].spread;
-  bt_spread_push_t push = { &event->documents, event->low, event->high, event->whole,
-                            event->request };
+  bt_config_spread_t *sync = fleet->nodes[event->to].sync;
+  bt_spread_push_t push = { &event->documents, event->from_revision, event->to_revision,
+                            event->whole, event->request };
   bt_identity_t source = { "operator", 1 };
   bt_spread_actions_t actions = { 0 };
 
-  if (spread == NULL || event->to_incarnation != fleet->nodes[event->to].identity.incarnation)
+  if (sync == NULL || event->to_incarnation != fleet->nodes[event->to].identity.incarnation)
     return;
   if (event->from >= 0)
     {
@@ -193,19 +193,19 @@
       source.incarnation = event->from_incarnation;
     }
   if (event->kind == EVENT_HEARTBEAT)
-    bt_take_spread_heartbeat (fleet->ctx, spread, &source, &event->heartbeat, fleet->now_ms,
+    bt_take_spread_heartbeat (fleet->ctx, sync, &source, &event->heartbeat, fleet->now_ms,
                               &actions);
   else if (event->kind == EVENT_PUSH)
-    bt_take_spread_push (fleet->ctx, spread, &source, &push, fleet->now_ms, &actions);
+    bt_take_spread_push (fleet->ctx, sync, &source, &push, fleet->now_ms, &actions);
   else if (event->kind == EVENT_PULL)
-    bt_take_spread_pull (fleet->ctx, spread, &source, event->low, &actions);
+    bt_take_spread_pull (fleet->ctx, sync, &source, event->from_revision, &actions);
   else if (event->kind == EVENT_READ)
-    bt_take_store_read (fleet->ctx, spread, event->high, &event->documents, fleet->now_ms,
+    bt_take_store_read (fleet->ctx, sync, event->to_revision, &event->documents, fleet->now_ms,
                         &actions);
   else if (event->kind == EVENT_FAILURE)
-    bt_take_store_failure (fleet->ctx, spread, fleet->now_ms);
+    bt_take_store_failure (fleet->ctx, sync, fleet->now_ms);
   else
-    bt_take_store_watch (fleet->ctx, spread, true, fleet->now_ms, &actions);
+    bt_take_store_watch (fleet->ctx, sync, true, fleet->now_ms, &actions);
   run_actions (fleet, event->to, &actions);
 }
 
@@ -218,9 +218,9 @@
     {
       bt_spread_heartbeat_t heartbeat;
 
-      if (!is_neighbor (fleet, node, peer) || fleet->nodes[peer].spread == NULL)
+      if (!is_neighbor (fleet, node, peer) || fleet->nodes[peer].sync == NULL)
         continue;
-      bt_make_spread_heartbeat (fleet->nodes[node].spread, &fleet->nodes[peer].identity,
+      bt_make_spread_heartbeat (fleet->nodes[node].sync, &fleet->nodes[peer].identity,
                                 fleet->now_ms, &heartbeat);
       fleet->nodes[node].sent_bytes +=
           trial->count_bytes (trial->count_data, BT_TRIAL_HEARTBEAT, &heartbeat, NULL);
@@ -236,12 +236,12 @@
     {
       bt_spread_actions_t actions = { 0 };
 
-      if (!is_neighbor (fleet, node, peer) || fleet->nodes[peer].spread == NULL)
+      if (!is_neighbor (fleet, node, peer) || fleet->nodes[peer].sync == NULL)
         continue;
-      bt_open_spread_link (fleet->ctx, fleet->nodes[node].spread, &fleet->nodes[peer].identity,
+      bt_open_spread_link (fleet->ctx, fleet->nodes[node].sync, &fleet->nodes[peer].identity,
                            fleet->now_ms, &actions);
       run_actions (fleet, node, &actions);
-      bt_open_spread_link (fleet->ctx, fleet->nodes[peer].spread, &fleet->nodes[node].identity,
+      bt_open_spread_link (fleet->ctx, fleet->nodes[peer].sync, &fleet->nodes[node].identity,
                            fleet->now_ms, &actions);
       run_actions (fleet, peer, &actions);
     }
@@ -256,11 +256,11 @@
   snprintf (node->identity.instance, BT_NAME_BYTES, "entry-%d", (int)index);
   node->identity.incarnation = ++fleet->last_incarnation;
   node->dead_until_ms = 0;
-  node->spread = bt_new_config_spread (fleet->ctx, &node->identity, &settings,
-                                       fleet->last_incarnation, fleet->now_ms);
+  node->sync = bt_new_config_spread (fleet->ctx, &node->identity, &settings,
+                                     fleet->last_incarnation, fleet->now_ms);
   for (int32_t i = 0; i < fleet->trial->entries; i++)
     fleet->members[i].near = is_neighbor (fleet, index, i);
-  bt_set_spread_members (fleet->ctx, node->spread, fleet->members, fleet->trial->entries);
+  bt_set_spread_members (fleet->ctx, node->sync, fleet->members, fleet->trial->entries);
   open_links (fleet, index);
 }
 
@@ -269,12 +269,12 @@
 {
   node_t *node = &fleet->nodes[index];
 
-  bt_drop_config_spread (fleet->ctx, node->spread);
-  node->spread = NULL;
+  bt_drop_config_spread (fleet->ctx, node->sync);
+  node->sync = NULL;
   node->dead_until_ms = fleet->now_ms + REPLACE_MS;
   for (int32_t peer = 0; peer < fleet->trial->entries; peer++)
-    if (is_neighbor (fleet, peer, index) && fleet->nodes[peer].spread != NULL)
-      bt_close_spread_link (fleet->ctx, fleet->nodes[peer].spread, &node->identity);
+    if (is_neighbor (fleet, peer, index) && fleet->nodes[peer].sync != NULL)
+      bt_close_spread_link (fleet->ctx, fleet->nodes[peer].sync, &node->identity);
 }
 
 static void
@@ -289,7 +289,7 @@
       event_t *event = *slot;
 
       *slot = event->next;
-      deliver (fleet, event);
+      deliver_event (fleet, event);
       bt_clear_documents (fleet->ctx, &event->documents);
       bt_free (fleet->ctx, event);
     }
@@ -298,12 +298,12 @@
       bt_spread_actions_t actions = { 0 };
       node_t *node = &fleet->nodes[i];
 
-      if (node->spread == NULL && fleet->now_ms >= node->dead_until_ms)
+      if (node->sync == NULL && fleet->now_ms >= node->dead_until_ms)
         start_node (fleet, i);
-      if (node->spread == NULL)
+      if (node->sync == NULL)
         continue;
       if ((fleet->now_ms + i) % TICK_MS == 0)
-        bt_tick_config_spread (fleet->ctx, node->spread, fleet->now_ms, &actions);
+        bt_tick_config_spread (fleet->ctx, node->sync, fleet->now_ms, &actions);
       run_actions (fleet, i, &actions);
       if ((fleet->now_ms + (int64_t)i * 7) % fleet->trial->heartbeat_interval_ms == 0)
         send_heartbeats (fleet, i);
@@ -379,7 +379,7 @@
     {
       event_t *event;
 
-      if (draw_frame_loss (fleet) || fleet->nodes[i].spread == NULL)
+      if (draw_frame_loss (fleet) || fleet->nodes[i].sync == NULL)
         continue;
       event = add_event (fleet, EVENT_PUSH, -1, i, 4 * fleet->trial->latency_ms);
       event->request = 1;
@@ -391,8 +391,8 @@
 is_in_force (const fleet_t *fleet)
 {
   for (int32_t i = 0; i < fleet->trial->entries; i++)
-    if (fleet->nodes[i].spread != NULL
-        && bt_get_table_revision (bt_get_spread_table (fleet->nodes[i].spread)) < fleet->revision)
+    if (fleet->nodes[i].sync != NULL
+        && bt_get_table_revision (bt_get_spread_table (fleet->nodes[i].sync)) < fleet->revision)
       return false;
   return true;
 }
@@ -546,7 +546,7 @@
   bt_context_t *ctx = fleet->ctx;
 
   for (int32_t i = 0; i < fleet->trial->entries; i++)
-    bt_drop_config_spread (ctx, fleet->nodes[i].spread);
+    bt_drop_config_spread (ctx, fleet->nodes[i].sync);
   for (int32_t i = 0; i < WHEEL_MS; i++)
     while (fleet->wheel[i] != NULL)
       {
--- a/bench/harness_world.c
+++ b/bench/harness_world.c
@@ -232,7 +232,7 @@
 }
 
 static void
-tick (simulation_t *sim, const event_t *event)
+handle_tick (simulation_t *sim, const event_t *event)
 {
   event_t next = *event;
 
@@ -242,7 +242,7 @@
 }
 
 static void
-arrive (simulation_t *sim, const event_t *event)
+handle_arrival (simulation_t *sim, const event_t *event)
 {
   event_t next = *event;
 
@@ -261,7 +261,7 @@
   switch (event->kind)
     {
     case EVENT_ARRIVAL:
-      arrive (sim, event);
+      handle_arrival (sim, event);
       break;
     case EVENT_REQUEST_AT_AGENT:
       bt_receive_request (sim, event);
@@ -282,7 +282,7 @@
       sim->policy->on_cache_event (sim, sim->state, event);
       break;
     case EVENT_TICK:
-      tick (sim, event);
+      handle_tick (sim, event);
       break;
     case EVENT_FAULT_BEGIN:
       bt_apply_fault (sim, event, true);
--- a/bench/harness_world.h
+++ b/bench/harness_world.h
@@ -181,8 +181,7 @@
 typedef struct policy
 {
   const char *name;
-  bool fair_agent;  /**< Agents use the core's run queue; otherwise they serve first come, first
-                       served. */
+  bool fair_agent;  /**< Agents use the core's run queue; otherwise a FIFO queue. */
   bool omniscient;  /**< The policy starts runs itself; agents queue nothing. */
   bool clairvoyant; /**< The policy also knows the length of each answer. */
   void *(*start) (simulation_t *sim);
