--- a/bench/bench_capacity.c
+++ b/bench/bench_capacity.c
@@ -306,11 +306,11 @@
 }
 
 static pid_t
-find_pid (const bt_stage_t *stage, const char *name)
+find_pid (const bt_stage_t *testbed, const char *name)
 {
-  for (int32_t i = 0; i < stage->process_count; i++)
-    if (strcmp (stage->processes[i].name, name) == 0)
-      return stage->processes[i].pid;
+  for (int32_t i = 0; i < testbed->process_count; i++)
+    if (strcmp (testbed->processes[i].name, name) == 0)
+      return testbed->processes[i].pid;
   return 0;
 }
 
@@ -372,30 +372,31 @@
 } process_metrics_t;
 
 static double
-count_calls (const bt_stage_t *stage)
+count_calls (const bt_stage_t *testbed)
 {
-  return (double)(bt_count_store_calls (stage, "range") + bt_count_store_calls (stage, "watch"));
+  return (double)(bt_count_store_calls (testbed, "range")
+                  + bt_count_store_calls (testbed, "watch"));
 }
 
 static void
-measure_idle (const bt_stage_t *stage, const char *name, process_metrics_t *metrics)
+measure_idle (const bt_stage_t *testbed, const char *name, process_metrics_t *metrics)
 {
-  pid_t pid = find_pid (stage, name);
-  double start_calls = count_calls (stage);
+  pid_t pid = find_pid (testbed, name);
+  double start_calls = count_calls (testbed);
   double start_us = read_process_cpu_us (pid);
 
   sleep (IDLE_S);
   metrics->idle_cpu_us_s = (read_process_cpu_us (pid) - start_us) / IDLE_S;
-  metrics->calls_s = (count_calls (stage) - start_calls) / IDLE_S;
+  metrics->calls_s = (count_calls (testbed) - start_calls) / IDLE_S;
   metrics->memory_kb = read_process_kb (pid);
 }
 
 /* Writes rules directly into the store, ten changes a second: a day's changes in 70 minutes. */
 static void
-measure_changes (const bt_stage_t *stage, const char *name, process_metrics_t *metrics)
+measure_changes (const bt_stage_t *testbed, const char *name, process_metrics_t *metrics)
 {
-  pid_t pid = find_pid (stage, name);
-  double start_calls = count_calls (stage);
+  pid_t pid = find_pid (testbed, name);
+  double start_calls = count_calls (testbed);
   double start_cpu_us = read_process_cpu_us (pid);
   int64_t start_time_us = bt_read_monotonic_us ();
   double seconds;
@@ -405,7 +406,7 @@
       char version[16];
 
       snprintf (version, sizeof version, "v%d", (int)i);
-      bt_put_version (stage, version);
+      bt_put_version (testbed, version);
       usleep (PROCESS_CHANGE_INTERVAL_US);
     }
   seconds = (double)(bt_read_monotonic_us () - start_time_us) / US_PER_S;
@@ -413,7 +414,7 @@
       (read_process_cpu_us (pid) - start_cpu_us - metrics->idle_cpu_us_s * seconds)
       / PROCESS_CHANGES;
   metrics->change_calls =
-      (count_calls (stage) - start_calls - metrics->calls_s * seconds) / PROCESS_CHANGES;
+      (count_calls (testbed) - start_calls - metrics->calls_s * seconds) / PROCESS_CHANGES;
 }
 
 static void
@@ -434,14 +435,14 @@
       HEARTBEAT_INTERVAL_MS);
   for (int32_t i = 0; i < SIZES; i++)
     {
-      bt_stage_t *stage = bt_new_stage (sizes[i], 0, 1, 1000, rules);
+      bt_stage_t *testbed = bt_new_stage (sizes[i], 0, 1, 1000, rules);
       process_metrics_t metrics = { 0 };
 
-      if (stage == NULL)
+      if (testbed == NULL)
         continue;
-      measure_idle (stage, "entry-1", &metrics);
-      measure_changes (stage, "entry-1", &metrics);
-      bt_drop_stage (stage, false);
+      measure_idle (testbed, "entry-1", &metrics);
+      measure_changes (testbed, "entry-1", &metrics);
+      bt_drop_stage (testbed, false);
       printf ("| %d | %.0f | %.0f | %.2f | %.0f | %.1f |\n", (int)sizes[i], metrics.idle_cpu_us_s,
               metrics.memory_kb, metrics.calls_s, metrics.change_cpu_us, metrics.change_calls);
       fflush (stdout);
@@ -470,15 +471,15 @@
           HEARTBEAT_INTERVAL_MS);
   for (int32_t i = 0; i < SIZES; i++)
     {
-      bt_stage_t *stage = bt_new_stage (1, 0, sizes[i], 1000, rules);
+      bt_stage_t *testbed = bt_new_stage (1, 0, sizes[i], 1000, rules);
       process_metrics_t entry = { 0 };
       process_metrics_t agent = { 0 };
 
-      if (stage == NULL)
+      if (testbed == NULL)
         continue;
-      measure_idle (stage, "entry-0", &entry);
-      measure_idle (stage, "agent-0", &agent);
-      bt_drop_stage (stage, false);
+      measure_idle (testbed, "entry-0", &entry);
+      measure_idle (testbed, "agent-0", &agent);
+      bt_drop_stage (testbed, false);
       printf ("| %d | %.0f | %.0f | %.0f | %.0f |\n", (int)sizes[i], entry.idle_cpu_us_s,
               entry.memory_kb, agent.idle_cpu_us_s, agent.memory_kb);
       fflush (stdout);
@@ -493,7 +494,7 @@
 }
 
 static void
-measure_publishes (const bt_stage_t *stage, int32_t entries)
+measure_publishes (const bt_stage_t *testbed, int32_t entries)
 {
   double times_ms[PUBLISHES];
   int32_t accepted = 0;
@@ -506,7 +507,7 @@
 
       snprintf (version, sizeof version, "p%d", (int)i);
       start_us = bt_read_monotonic_us ();
-      accepted += bt_publish_version (stage, version, NULL, output) == 0 ? 1 : 0;
+      accepted += bt_publish_version (testbed, version, NULL, output) == 0 ? 1 : 0;
       times_ms[i] = (double)(bt_read_monotonic_us () - start_us) / MS_PER_S;
     }
   qsort (times_ms, PUBLISHES, sizeof times_ms[0], compare_times);
@@ -524,12 +525,12 @@
           "| entries | accepted | p50 ms | worst ms |\n|--:|--:|--:|--:|\n");
   for (int32_t i = 0; i < SIZES; i++)
     {
-      bt_stage_t *stage = bt_new_stage (sizes[i], 0, 1, 1000, rules);
+      bt_stage_t *testbed = bt_new_stage (sizes[i], 0, 1, 1000, rules);
 
-      if (stage == NULL)
+      if (testbed == NULL)
         continue;
-      measure_publishes (stage, sizes[i]);
-      bt_drop_stage (stage, false);
+      measure_publishes (testbed, sizes[i]);
+      bt_drop_stage (testbed, false);
     }
   free (rules);
 }
--- a/bench/bench_log.c
+++ b/bench/bench_log.c
@@ -42,7 +42,7 @@
   BASE_TEN = 10,
 };
 
-/** The gateways, by their index in the field. */
+/** The gateways, by their index in the testbed. */
 typedef enum log_mode
 {
   LOG_ON = 0,
@@ -69,7 +69,7 @@
   double bytes;   /* log bytes per request */
 } cost_t;
 
-static bt_field_t *field;
+static bt_field_t *testbed;
 static int32_t failed_requests;
 
 /* Returns the CPU time of all threads of a process, in microseconds. */
@@ -108,7 +108,7 @@
   char path[PATH_BYTES];
   struct stat file_status;
 
-  snprintf (path, sizeof path, "%s/instance=gateway-%d.log", field->folder, (int)gateway);
+  snprintf (path, sizeof path, "%s/instance=gateway-%d.log", testbed->folder, (int)gateway);
   return stat (path, &file_status) == 0 ? (double)file_status.st_size : 0;
 }
 
@@ -123,7 +123,7 @@
     {
       bt_reply_t reply;
 
-      bt_ask_gateway (field, gateway, "/a/lookup", headers, "shrimp", &reply);
+      bt_ask_gateway (testbed, gateway, "/a/lookup", headers, "shrimp", &reply);
       failed_requests += reply.curl_code != 0 || reply.status != 200;
       bt_clear_reply (&reply);
     }
@@ -132,14 +132,14 @@
 static cost_t
 measure (int32_t gateway, int32_t count)
 {
-  double cpu_us = read_cpu_us (field->gateways[gateway]);
+  double cpu_us = read_cpu_us (testbed->gateways[gateway]);
   double bytes = read_log_bytes (gateway);
   int64_t start_us = bt_read_monotonic_us ();
   cost_t cost;
 
   send_requests (gateway, count);
   cost.wall_us = (double)(bt_read_monotonic_us () - start_us) / count;
-  cost.cpu_us = (read_cpu_us (field->gateways[gateway]) - cpu_us) / count;
+  cost.cpu_us = (read_cpu_us (testbed->gateways[gateway]) - cpu_us) / count;
   cost.bytes = (read_log_bytes (gateway) - bytes) / count;
   return cost;
 }
@@ -164,9 +164,9 @@
 static void
 restart_gateway (int32_t gateway)
 {
-  kill (field->gateways[gateway], SIGKILL);
-  waitpid (field->gateways[gateway], NULL, 0);
-  bt_start_gateway_process (field, gateway);
+  kill (testbed->gateways[gateway], SIGKILL);
+  waitpid (testbed->gateways[gateway], NULL, 0);
+  bt_start_gateway_process (testbed, gateway);
 }
 
 /* Starts the gateways. One has its log off, and one writes its log to a pipe that nobody reads. */
@@ -175,8 +175,8 @@
 {
   static int pipe_ends[2];
 
-  field = bt_new_field (MODES, configuration);
-  if (field == NULL || pipe2 (pipe_ends, O_CLOEXEC) != 0)
+  testbed = bt_new_field (MODES, configuration);
+  if (testbed == NULL || pipe2 (pipe_ends, O_CLOEXEC) != 0)
     return false;
   fcntl (pipe_ends[1], F_SETPIPE_SZ, PIPE_BYTES);
   setenv ("BILBERRY_LOG_LEVEL", "error", 1);
@@ -187,7 +187,7 @@
   bt_set_program_output (-1);
   for (int32_t i = 0; i < MODES; i++)
     {
-      if (!bt_wait_gateway_ready (field, i))
+      if (!bt_wait_gateway_ready (testbed, i))
         return false;
       send_requests (i, WARM_UP);
     }
@@ -246,7 +246,7 @@
 {
   bt_context_t *ctx = bt_new_context ();
   bt_fake_clock_t clock;
-  double start_us;
+  double cpu_us;
   int saved;
 
   bt_init_fake_clock (&clock, 0);
@@ -254,7 +254,7 @@
   fflush (stdout);
   saved = dup (STDOUT_FILENO);
   dup2 (out, STDOUT_FILENO);
-  start_us = read_own_cpu_us ();
+  cpu_us = read_own_cpu_us ();
   for (int32_t i = 0; i < LINES; i++)
     {
       clock.now_ms += pause_ms;
@@ -263,11 +263,11 @@
                     "outcome", "answered", "status", 200, "queue_ms", (json_int_t)0, "total_ms",
                     (json_int_t)39, "revision", (json_int_t)33);
     }
-  start_us = read_own_cpu_us () - start_us;
+  cpu_us = read_own_cpu_us () - cpu_us;
   dup2 (saved, STDOUT_FILENO);
   close (saved);
   bt_drop_context (ctx);
-  return start_us / LINES;
+  return cpu_us / LINES;
 }
 
 static void
@@ -325,6 +325,6 @@
   printf ("\n");
   print_lines (rounds);
   printf ("\nrequests that failed: %d\n", failed_requests);
-  bt_drop_field (field, false);
+  bt_drop_field (testbed, false);
   return failed_requests == 0 ? 0 : 1;
 }
--- a/bench/bench_maps.c
+++ b/bench/bench_maps.c
@@ -65,7 +65,7 @@
   bt_map_weights_t weights;
   int64_t half_life_ms;
   int64_t interval_ms;
-  bool instant; /**< Weights arrive without delay: an upper bound, not a real system. */
+  bool instant; /**< Weights arrive without delay: the best case, not a real system. */
 } variant_t;
 
 /** Totals and samples of one run. */
--- a/bench/bench_path.c
+++ b/bench/bench_path.c
@@ -126,13 +126,13 @@
 }
 
 static double
-read_cpu_seconds (const bt_stage_t *stage)
+read_cpu_seconds (const bt_stage_t *testbed)
 {
   double ticks = 0;
 
-  for (int32_t i = 0; i < stage->process_count; i++)
+  for (int32_t i = 0; i < testbed->process_count; i++)
     {
-      const bt_process_t *process = &stage->processes[i];
+      const bt_process_t *process = &testbed->processes[i];
       char path[URL_BYTES];
       char text[STAT_BYTES];
       char *at;
@@ -183,7 +183,7 @@
 }
 
 static void
-run_load (const bt_stage_t *stage,
+run_load (const bt_stage_t *testbed,
           const char *const *targets,
           int32_t target_count,
           const char *path,
@@ -195,7 +195,7 @@
 {
   client_t clients[MAX_CLIENTS] = { 0 };
   int64_t start_us = bt_read_monotonic_us () + US_PER_MS;
-  double start_cpu_seconds = read_cpu_seconds (stage);
+  double start_cpu_seconds = read_cpu_seconds (testbed);
 
   memset (result, 0, sizeof *result);
   for (int32_t i = 0; i < client_count; i++)
@@ -203,7 +203,7 @@
       client_t *client = &clients[i];
 
       snprintf (client->url, sizeof client->url, "http://127.0.0.1:%d%s",
-                bt_get_stage_port (stage, targets[i % target_count]), path);
+                bt_get_stage_port (testbed, targets[i % target_count]), path);
       client->body = body;
       client->requests = requests / client_count;
       client->interval_us = rate == 0 ? 0 : (int64_t)US_PER_S * client_count / rate;
@@ -214,7 +214,7 @@
   for (int32_t i = 0; i < client_count; i++)
     pthread_join (clients[i].thread, NULL);
   result->seconds = (double)(bt_read_monotonic_us () - start_us) / US_PER_S;
-  result->cpu_seconds = read_cpu_seconds (stage) - start_cpu_seconds;
+  result->cpu_seconds = read_cpu_seconds (testbed) - start_cpu_seconds;
   collect (clients, client_count, result);
 }
 
@@ -229,7 +229,7 @@
 }
 
 static void
-compare_paths (const bt_stage_t *stage,
+compare_paths (const bt_stage_t *testbed,
                const char *name,
                const char *standin,
                const char *path,
@@ -244,12 +244,12 @@
   result_t direct;
   result_t proxied;
 
-  run_load (stage, direct_targets, 1, path, body, 0, (int64_t)WARM_UP_REQUESTS * clients, clients,
+  run_load (testbed, direct_targets, 1, path, body, 0, (int64_t)WARM_UP_REQUESTS * clients, clients,
             &direct);
-  run_load (stage, entry_targets, 2, path, body, 0, (int64_t)WARM_UP_REQUESTS * clients, clients,
+  run_load (testbed, entry_targets, 2, path, body, 0, (int64_t)WARM_UP_REQUESTS * clients, clients,
             &proxied);
-  run_load (stage, direct_targets, 1, path, body, rate, requests, clients, &direct);
-  run_load (stage, entry_targets, 2, path, body, rate, requests, clients, &proxied);
+  run_load (testbed, direct_targets, 1, path, body, rate, requests, clients, &direct);
+  run_load (testbed, entry_targets, 2, path, body, rate, requests, clients, &proxied);
   direct.cpu_seconds = 0;
   snprintf (label, sizeof label, "%s, straight", name);
   print_row (label, &direct);
@@ -277,7 +277,7 @@
   int32_t clients = (int32_t)read_option (argc, argv, "--clients", DEFAULT_CLIENTS);
   int64_t requests = rate * seconds;
   static const char *const agent_arguments[] = { "--slots", "256", "--queue", "256", NULL };
-  bt_stage_t *stage;
+  bt_stage_t *testbed;
 
   if (clients < 1 || clients > MAX_CLIENTS || rate < 1 || seconds < 1)
     {
@@ -287,20 +287,20 @@
       return 2;
     }
   bt_set_stage_arguments (NULL, agent_arguments);
-  stage = bt_new_stage (2, 2, 1, 0, rules);
-  if (stage == NULL)
+  testbed = bt_new_stage (2, 2, 1, 0, rules);
+  if (testbed == NULL)
     return 1;
   printf ("%lld requests a second for %lld s, %d keep-alive clients; times to the first byte\n\n",
           (long long)rate, (long long)seconds, clients);
   printf ("| %-26s | %8s | %6s | %8s | %8s | %8s | %8s | %10s |\n", "load", "answers", "failed",
           "per s", "p50 ms", "p99 ms", "max ms", "per core-s");
   printf ("|---|---|---|---|---|---|---|---|\n");
-  compare_paths (stage, "plain service", "plain-0", "/lookup/x", "stock of shrimp?", rate, requests,
-                 clients);
-  compare_paths (stage, "model, 4 tokens", "engine-0", "/v1/completions",
+  compare_paths (testbed, "plain service", "plain-0", "/lookup/x", "stock of shrimp?", rate,
+                 requests, clients);
+  compare_paths (testbed, "model, 4 tokens", "engine-0", "/v1/completions",
                  "{\"prompt\":\"ten kilos\",\"max_tokens\":4}", rate, requests, clients);
-  compare_paths (stage, "plain service, unpaced", "plain-0", "/lookup/x", "stock of shrimp?", 0,
+  compare_paths (testbed, "plain service, unpaced", "plain-0", "/lookup/x", "stock of shrimp?", 0,
                  requests, clients);
-  bt_drop_stage (stage, false);
+  bt_drop_stage (testbed, false);
   return 0;
 }
--- a/bench/bench_policy_path.c
+++ b/bench/bench_policy_path.c
@@ -80,7 +80,7 @@
 /** A load in progress. */
 typedef struct load
 {
-  const bt_stage_t *stage;
+  const bt_stage_t *testbed;
   variant_t variant;
   CURLM *multi;
   bt_random_t random;
@@ -123,7 +123,7 @@
   snprintf (name, sizeof name, "%s-%d",
             load->variant == VARIANT_THROUGH_SYSTEM ? "entry" : "engine", caller->target);
   snprintf (url, sizeof url, "http://127.0.0.1:%d/v1/completions",
-            bt_get_stage_port (load->stage, name));
+            bt_get_stage_port (load->testbed, name));
   snprintf (body, sizeof body, "{\"prompt\":\"ten kilos\",\"max_tokens\":%d}", TOKENS);
   caller->lines = curl_slist_append (NULL, caller->small ? "Authorization: Bearer token-small"
                                                          : "Authorization: Bearer token-large");
@@ -186,13 +186,13 @@
 }
 
 static void
-run_load (const bt_stage_t *stage,
+run_load (const bt_stage_t *testbed,
           variant_t variant,
           double per_second,
           int64_t requests,
           result_t *result)
 {
-  load_t load = { .stage = stage, .variant = variant, .result = result };
+  load_t load = { .testbed = testbed, .variant = variant, .result = result };
   const int64_t start_us = bt_read_monotonic_us ();
 
   memset (result, 0, sizeof *result);
@@ -255,7 +255,7 @@
 
 /* Prints the refusals and retries of the entries, by reason. */
 static void
-print_counters (const bt_stage_t *stage)
+print_counters (const bt_stage_t *testbed)
 {
   for (int32_t i = 0; i < ENTRIES; i++)
     {
@@ -264,7 +264,7 @@
       char *text;
 
       snprintf (name, sizeof name, "entry-%d", i);
-      text = bt_read_stage_metrics (stage, name);
+      text = bt_read_stage_metrics (testbed, name);
       if (text == NULL)
         continue;
       for (char *line = strtok_r (text, "\n", &rest); line != NULL;
@@ -283,18 +283,18 @@
 {
   static const char *const names[] = { "through the system", "straight, round robin",
                                        "straight, two choices" };
-  bt_stage_t *stage = bt_new_stage (ENTRIES, ENGINES, 0, STEP_US, rules);
+  bt_stage_t *testbed = bt_new_stage (ENTRIES, ENGINES, 0, STEP_US, rules);
   result_t result;
 
-  if (stage == NULL)
+  if (testbed == NULL)
     return false;
   if (fault != NULL)
-    json_decref (bt_call_standin (stage, "engine-0", "/fault", fault));
-  run_load (stage, variant, per_second, (int64_t)(per_second * (double)seconds), &result);
+    json_decref (bt_call_standin (testbed, "engine-0", "/fault", fault));
+  run_load (testbed, variant, per_second, (int64_t)(per_second * (double)seconds), &result);
   print_row (names[variant], &result);
   if (variant == VARIANT_THROUGH_SYSTEM)
-    print_counters (stage);
-  bt_drop_stage (stage, false);
+    print_counters (testbed);
+  bt_drop_stage (testbed, false);
   return true;
 }
 
--- a/bench/bench_requests.c
+++ b/bench/bench_requests.c
@@ -122,18 +122,18 @@
   bt_ticket_ring_t *ring = bt_new_ticket_ring (ctx);
   bt_ticket_t ticket = make_dispatch (1, true).ticket;
   char text[BT_TICKET_TEXT_BYTES];
-  int64_t start_us;
+  int64_t elapsed_us;
 
   bt_derive_ticket_key (ring, "secret");
   bt_sign_ticket (ring, &ticket, text, NULL);
-  start_us = bt_read_monotonic_us ();
+  elapsed_us = bt_read_monotonic_us ();
   for (int32_t i = 0; i < ROUNDS; i++)
     if (!(parse ? bt_parse_ticket (ring, text, &ticket, NULL)
                 : bt_sign_ticket (ring, &ticket, text, NULL)))
       return -1;
-  start_us = bt_read_monotonic_us () - start_us;
+  elapsed_us = bt_read_monotonic_us () - elapsed_us;
   bt_drop_ticket_ring (ctx, ring);
-  return (double)start_us / ROUNDS;
+  return (double)elapsed_us / ROUNDS;
 }
 
 int
--- a/bench/harness_spread.h
+++ b/bench/harness_spread.h
@@ -58,8 +58,7 @@
   int64_t p50_ms;       /**< From the write until in force on the last entry, median. */
   int64_t p99_ms;
   int64_t worst_ms;
-  double
-      outage_calls_s; /**< Store calls of all entries in an outage, after its first ten seconds. */
+  double outage_calls_s; /**< Calls of all entries in an outage, after its first ten seconds. */
   double recovery_calls; /**< Store calls of all entries in the busiest second after an outage. */
 } bt_sync_metrics_t;
 
--- a/bench/placement.h
+++ b/bench/placement.h
@@ -20,7 +20,7 @@
   PLACE_ROUND_ROBIN,
   PLACE_TWO_CHOICES, /**< The less loaded of two random ranks. */
   PLACE_LEAST,       /**< The least loaded rank. */
-  PLACE_LEAST_EXACT, /**< The least loaded rank by loads without delay: an upper bound. */
+  PLACE_LEAST_EXACT, /**< The least loaded rank by loads without delay: the best case. */
   PLACE_COUNT,
 } placement_kind_t;
 
