--- a/bench/harness_group.c
+++ b/bench/harness_group.c
@@ -37,7 +37,7 @@
   int32_t events_left;
   int32_t rank; /* -1 while it is queued */
   double first_event_ms;
-  double max_pause_ms;
+  double longest_pause_ms;
 } request_t;
 
 /** State of one simulation. */
@@ -125,7 +125,8 @@
     swap_repeatedly (group, set, (int32_t)(swaps + 0.5));
 }
 
-/* Sets the popularity by rank in a power law; the order of the experts is drawn for each set. */
+/* Sets the popularity of experts to a power law of their position in a random order, which is drawn
+ * for each set. */
 static void
 draw_popularity (group_t *group)
 {
@@ -433,7 +434,7 @@
 {
   const request_t *request = &group->requests[index];
   bool in_time = request->first_event_ms - request->arrival_ms <= (double)group->load->aim_ms
-                 && request->max_pause_ms <= (double)group->load->pause_ms;
+                 && request->longest_pause_ms <= (double)group->load->pause_ms;
 
   group->result->in_time += in_time;
   group->result->late += !in_time;
@@ -451,7 +452,7 @@
       if (request->rank < 0 || request->unread_tokens > 0)
         continue;
       if (request->first_event_ms > 0)
-        request->max_pause_ms = fmax (request->max_pause_ms, pass_ms);
+        request->longest_pause_ms = fmax (request->longest_pause_ms, pass_ms);
       else
         request->first_event_ms = group->now_ms;
       if (--request->events_left <= 0)
--- a/bench/harness_spread.c
+++ b/bench/harness_spread.c
@@ -339,7 +339,7 @@
 static void
 complete_watches (fleet_t *fleet)
 {
-  event_t *woken = NULL;
+  event_t *completed = NULL;
 
   if (fleet->trial->fault == BT_TRIAL_SILENT_WATCH)
     return;
@@ -354,14 +354,14 @@
             continue;
           }
         *link = event->next;
-        event->next = woken;
-        woken = event;
+        event->next = completed;
+        completed = event;
       }
-  while (woken != NULL)
+  while (completed != NULL)
     {
-      event_t *event = woken;
+      event_t *event = completed;
 
-      woken = event->next;
+      completed = event->next;
       add_event (fleet, EVENT_WATCH, -1, event->to, fleet->trial->latency_ms)->to_incarnation =
           event->to_incarnation;
       bt_free (fleet->ctx, event);
