--- a/test/soak/caller.c
+++ b/test/soak/caller.c
@@ -11,19 +11,19 @@
 enum
 {
   EVENTS = 8,
-  LIMIT_MS = 4000,
-  LIMIT_MARGIN_MS = 2000,
-  LONGEST_PAUSE_MS = 60,
+  DEADLINE_MS = 4000,
+  TIMEOUT_MARGIN_MS = 2000,
+  MAX_PAUSE_MS = 60,
   PERCENT = 100,
-  /* Of the requests, those with a key that may have been taken away. */
-  KEY_PERCENT = 25,
-  /* Of the newest keys, how many are drawn from: one is taken away after two, so that the oldest of
-   * these has been gone for 4 s. */
+  /* Share of the requests that use a numbered key, which may have been removed. */
+  NUMBERED_KEY_PERCENT = 25,
+  /* Numbered keys are chosen among this many newest ones. A key is removed when the second one
+   * after it is added, so the oldest of these was removed about 4 s ago. */
   NEWEST_KEYS = 8,
   URL_BYTES = 128,
 };
 
-/** One caller: it keeps its connection to a gateway until the gateway is gone. */
+/** One caller. It keeps its connection to one gateway and changes the gateway after failures. */
 typedef struct caller
 {
   const bt_soak_t *soak;
@@ -35,24 +35,24 @@
   int32_t sent;
 } caller_t;
 
-/** What became of a request. */
+/** The result of a request. */
 typedef struct outcome
 {
   bt_reply_t reply;
-  bool marked; /* it bears a runner's mark of origin */
+  bool stamped; /* the answer has the server stamp of a runner */
   int64_t began_ms;
 } outcome_t;
 
 static const char *const paths[] = { "/a/x", "/a/once/x", "/a/stream/x" };
 
 static size_t
-take_header (char *data, size_t size, size_t count, void *argument)
+check_header (char *data, size_t size, size_t count, void *argument)
 {
-  static const char *const mark = "Bilberrytray-Server-Stamp: i-";
+  static const char *const stamp = "Bilberrytray-Server-Stamp: i-";
   outcome_t *outcome = argument;
 
-  if (size * count > strlen (mark) && strncasecmp (data, mark, strlen (mark)) == 0)
-    outcome->marked = true;
+  if (size * count > strlen (stamp) && strncasecmp (data, stamp, strlen (stamp)) == 0)
+    outcome->stamped = true;
   return size * count;
 }
 
@@ -64,13 +64,14 @@
   curl_easy_setopt (easy, CURLOPT_URL, url);
   curl_easy_setopt (easy, CURLOPT_PROXY, "");
   curl_easy_setopt (easy, CURLOPT_NOSIGNAL, 1L);
-  curl_easy_setopt (easy, CURLOPT_TIMEOUT_MS, (long)LIMIT_MS + LIMIT_MARGIN_MS);
+  curl_easy_setopt (easy, CURLOPT_TIMEOUT_MS, (long)DEADLINE_MS + TIMEOUT_MARGIN_MS);
   curl_easy_setopt (easy, CURLOPT_POSTFIELDS, "shrimp");
   curl_easy_setopt (easy, CURLOPT_WRITEFUNCTION, bt_take_reply_bytes);
   curl_easy_setopt (easy, CURLOPT_WRITEDATA, &outcome->reply);
-  curl_easy_setopt (easy, CURLOPT_HEADERFUNCTION, take_header);
+  curl_easy_setopt (easy, CURLOPT_HEADERFUNCTION, check_header);
   curl_easy_setopt (easy, CURLOPT_HEADERDATA, outcome);
-  /* The library sends again by itself on a kept connection that turns out closed. */
+  /* libcurl resends a request by itself when a reused connection turns out to be closed. A fresh
+   * connection avoids this for requests that must run at most once. */
   curl_easy_setopt (easy, CURLOPT_FRESH_CONNECT, kind == BT_SOAK_ONCE ? 1L : 0L);
 }
 
@@ -88,7 +89,7 @@
   lines = curl_slist_append (lines, "Host: shop.example");
   snprintf (line, sizeof line, "Bilberrytray-Attempt-Id: %s", id);
   lines = curl_slist_append (lines, line);
-  snprintf (line, sizeof line, "Bilberrytray-Deadline-Ms: %d", LIMIT_MS);
+  snprintf (line, sizeof line, "Bilberrytray-Deadline-Ms: %d", DEADLINE_MS);
   lines = curl_slist_append (lines, line);
   snprintf (line, sizeof line, "Authorization: Bearer %s", key);
   lines = curl_slist_append (lines, line);
@@ -102,7 +103,7 @@
 }
 
 static bool
-is_whole_plain (const char *body, const char *id)
+is_complete_text (const char *body, const char *id)
 {
   const char *to = strstr (body, " to ");
 
@@ -110,9 +111,9 @@
          && strcmp (to + strlen (" to "), id) == 0;
 }
 
-/* Every event once, in order, and the last one too. */
+/* Checks that the body has every event exactly once and in order, including the last one. */
 static bool
-is_whole_stream (const char *body)
+is_complete_stream (const char *body)
 {
   for (int32_t i = 1; i <= EVENTS; i++)
     {
@@ -126,7 +127,7 @@
   return body[0] == '\0';
 }
 
-/* Turns to another gateway. */
+/* Chooses a random gateway, which may be the same one. */
 static void
 choose_gateway (caller_t *caller)
 {
@@ -134,50 +135,51 @@
       (int32_t)bt_random_below (&caller->random, (uint64_t)caller->soak->settings.gateways);
 }
 
-/* A key that is good now, or was until a moment ago, or will be; "k-good" always is. */
+/* Chooses the key "k-good", which is always valid, or a numbered key that is valid now, was removed
+ * recently or will be added soon. */
 static void
-draw_key (caller_t *caller, char *key, size_t room)
+draw_key (caller_t *caller, char *key, size_t capacity)
 {
   int64_t age_ms = bt_read_clock_ms (bt_system_clock ()) - caller->soak->start_ms;
-  int64_t newest = age_ms / BT_SOAK_KEY_MS;
+  int64_t newest = age_ms / BT_SOAK_KEY_INTERVAL_MS;
 
-  snprintf (key, room, "k-good");
-  if ((int32_t)bt_random_below (&caller->random, PERCENT) < KEY_PERCENT)
-    snprintf (key, room, "k-%lld",
+  snprintf (key, capacity, "k-good");
+  if ((int32_t)bt_random_below (&caller->random, PERCENT) < NUMBERED_KEY_PERCENT)
+    snprintf (key, capacity, "k-%lld",
               (long long)(newest - (int64_t)bt_random_below (&caller->random, NEWEST_KEYS)));
 }
 
-/* Some callers turn away from a gateway that did not serve; the others hold on to its address until
- * nobody listens there. */
+/* Callers with an even number leave a gateway that did not serve the request. The others stay until
+ * the gateway refuses connections. */
 static bool
-is_done_with_gateway (const caller_t *caller, const outcome_t *outcome)
+should_change_gateway (const caller_t *caller, const outcome_t *outcome)
 {
   if (caller->number % 2 == 1)
     return outcome->reply.curl_code == CURLE_COULDNT_CONNECT;
-  return outcome->reply.curl_code != 0 || outcome->reply.status != BT_SOAK_OK;
+  return outcome->reply.curl_code != 0 || outcome->reply.status != BT_SOAK_STATUS_OK;
 }
 
 static void
-send_one (caller_t *caller)
+send_request (caller_t *caller)
 {
   bt_soak_kind_t kind = (bt_soak_kind_t)bt_random_below (&caller->random, BT_SOAK_KINDS);
   char id[BT_SOAK_TEXT_BYTES / 4];
   char key[BT_SOAK_TEXT_BYTES / 4];
   outcome_t outcome;
   const char *body;
-  bool whole;
+  bool complete;
 
   snprintf (id, sizeof id, "c%d-%d", caller->number, caller->sent++);
   draw_key (caller, key, sizeof key);
   perform (caller, kind, id, key, &outcome);
   body = bt_get_reply_text (&outcome.reply);
-  whole = kind == BT_SOAK_STREAM ? is_whole_stream (body) : is_whole_plain (body, id);
-  whole = whole && outcome.marked;
+  complete = kind == BT_SOAK_STREAM ? is_complete_stream (body) : is_complete_text (body, id);
+  complete = complete && outcome.stamped;
   fprintf (caller->log, "end %s %d %s %d %d %d %d %lld %lld\n", id, kind, key, caller->gateway,
-           outcome.reply.status, outcome.reply.curl_code, whole ? 1 : 0,
+           outcome.reply.status, outcome.reply.curl_code, complete ? 1 : 0,
            (long long)outcome.began_ms, (long long)bt_read_clock_ms (bt_system_clock ()));
   fflush (caller->log);
-  if (is_done_with_gateway (caller, &outcome))
+  if (should_change_gateway (caller, &outcome))
     choose_gateway (caller);
   bt_clear_reply (&outcome.reply);
 }
@@ -195,7 +197,7 @@
   choose_gateway (&caller);
   while (caller.log != NULL)
     {
-      send_one (&caller);
-      bt_sleep_ms ((int64_t)bt_random_below (&caller.random, LONGEST_PAUSE_MS));
+      send_request (&caller);
+      bt_sleep_ms ((int64_t)bt_random_below (&caller.random, MAX_PAUSE_MS));
     }
 }
--- a/test/soak/faults.c
+++ b/test/soak/faults.c
@@ -9,29 +9,30 @@
 
 enum
 {
-  MOST_ACTIVE = 64,
-  /* Some seeds are dense, so that faults overlap; some leave room in which entries are in touch,
-   * and what must hold within seconds is judged. */
-  LEAST_PAUSE_MS = 400,
-  LONGEST_PAUSE_MS = 4000,
-  LONGEST_FAULT_MS = 5000,
-  LONGEST_DELAY_MS = 400,
-  KEEP_KEYS = 2,
-  HERD_CHANCE = 12,
-  POLL_MS = 20,
+  MAX_ACTIVE = 64,
+  /* Each seed has its own longest pause between these two. With short pauses faults overlap. With
+   * long pauses gateways are undisturbed for a while, so guarantees that must hold within seconds
+   * can be checked. */
+  MIN_PAUSE_MS = 400,
+  MAX_PAUSE_MS = 4000,
+  MAX_FAULT_MS = 5000,
+  MAX_DELAY_MS = 400,
+  VALID_KEYS = 2,
+  KILL_ALL_ODDS = 12,
+  STOP_POLL_MS = 20,
   NO_TARGET = -1,
   HEX_BASE = 16,
 };
 
-/** What may be done. Each lasts a drawn time, and several overlap. */
+/** Kinds of faults. Each fault lasts a random time, and several may overlap. */
 typedef enum fault_kind
 {
-  FAULT_FREEZE = 0,
+  FAULT_FREEZE = 0, /* SIGSTOP, later SIGCONT */
   FAULT_KILL,
-  FAULT_STOP, /* SIGTERM, and a start once it has ended */
-  FAULT_HERD, /* all gateways are killed at once */
-  FAULT_STORE_WAY,
-  FAULT_RUNNER_WAY,
+  FAULT_STOP,        /* SIGTERM, and a restart after the process has exited */
+  FAULT_KILL_ALL,    /* all gateways are killed at once */
+  FAULT_STORE_LINK,  /* on the hop between a gateway and the store */
+  FAULT_RUNNER_LINK, /* on the hop before a runner */
   FAULT_RUNNER,
   FAULT_RUNNER_REPLACED,
   FAULT_STORE,
@@ -49,16 +50,16 @@
 typedef struct active
 {
   fault_kind_t kind;
-  int32_t target;
+  int32_t target; /* index of the gateway or runner, or NO_TARGET */
   int64_t until_ms;
-} active_t;
+} active_fault_t;
 
 struct bt_soak_faults
 {
   bt_soak_t *soak;
-  active_t active[MOST_ACTIVE];
+  active_fault_t active[MAX_ACTIVE];
   int32_t count;
-  int32_t pause_ms; /* longest between two faults of this seed */
+  int32_t max_pause_ms; /* longest pause between two faults for this seed */
   int64_t next_ms;
   int64_t next_key_ms;
 };
@@ -70,7 +71,7 @@
 }
 
 static int32_t
-draw (bt_soak_faults_t *faults, int32_t below)
+draw_below (bt_soak_faults_t *faults, int32_t below)
 {
   return (int32_t)bt_random_below (&faults->soak->random, (uint64_t)below);
 }
@@ -109,19 +110,20 @@
   soak->version++;
   text = bt_write_soak_configuration (soak);
   if (!bt_put_field_item (soak->field, "op/config", text))
-    bt_tell_soak (soak, "the operator's configuration was not taken");
+    bt_print_soak_event (soak, "the store did not accept the operator's configuration");
   free (text);
 }
 
-/* Each key comes with one version and goes with a later one; none comes back. */
+/* Adds the next key and removes the oldest valid one in one new version of the configuration. A
+ * removed key is never added again. */
 static void
-turn_keys (bt_soak_faults_t *faults)
+rotate_keys (bt_soak_faults_t *faults)
 {
   bt_soak_t *soak = faults->soak;
   int32_t added = soak->key_count;
-  int32_t removed = added - KEEP_KEYS;
+  int32_t removed = added - VALID_KEYS;
 
-  faults->next_key_ms += BT_SOAK_KEY_MS;
+  faults->next_key_ms += BT_SOAK_KEY_INTERVAL_MS;
   if (added >= BT_SOAK_KEYS)
     return;
   soak->key_count++;
@@ -134,16 +136,18 @@
     soak->keys[removed].removed_ms = now ();
 }
 
+/* Marks a gateway as disturbed until the given time plus the time to settle. */
 static void
-disturb (bt_soak_t *soak, int32_t gateway, int64_t until_ms)
+extend_disturbance (bt_soak_t *soak, int32_t gateway, int64_t until_ms)
 {
-  if (soak->disturbed_ms[gateway] < until_ms + BT_SOAK_STABLE_MS)
-    soak->disturbed_ms[gateway] = until_ms + BT_SOAK_STABLE_MS;
+  if (soak->disturbed_ms[gateway] < until_ms + BT_SOAK_SETTLE_MS)
+    soak->disturbed_ms[gateway] = until_ms + BT_SOAK_SETTLE_MS;
 }
 
-/* True when a process takes SIGTERM itself. One that has only just been started does not yet, has
- * let nobody in, and dies of the signal. While it is being forked all signals may be blocked: a
- * gateway blocks those that it waits for, and SIGUSR1 is none of them. */
+/* Returns true when a process handles SIGTERM itself: a gateway blocks the signals that it waits
+ * for. A gateway that has only just been started does not block SIGTERM yet, has accepted no
+ * connection, and is killed by the signal. All signals may be blocked during fork, so SIGUSR1,
+ * which a gateway does not block, must be unblocked. */
 static bool
 is_sigterm_blocked (pid_t pid)
 {
@@ -167,25 +171,26 @@
 {
   pid_t pid = soak->field->gateways[gateway];
 
-  soak->stopped_early[gateway] = !is_sigterm_blocked (pid);
+  soak->stopped_before_ready[gateway] = !is_sigterm_blocked (pid);
   kill (pid, SIGTERM);
 }
 
-/* A process that is told to stop ends by itself and well, whatever lies on it meanwhile. */
+/* A gateway that receives SIGTERM must exit with status 0, whatever other faults are in force. */
 static void
-check_stopped (bt_soak_t *soak, int32_t gateway, int status)
+check_exit_status (bt_soak_t *soak, int32_t gateway, int status)
 {
   if (WIFEXITED (status) && WEXITSTATUS (status) == 0)
     return;
-  if (soak->stopped_early[gateway] && WIFSIGNALED (status) && WTERMSIG (status) == SIGTERM)
+  if (soak->stopped_before_ready[gateway] && WIFSIGNALED (status) && WTERMSIG (status) == SIGTERM)
     return;
-  soak->bad_stops++;
-  bt_tell_soak (soak, "BROKEN LOST gateway %d did not end well when it was stopped: status %d",
-                gateway, status);
+  soak->failed_stops++;
+  bt_print_soak_event (soak,
+                       "BROKEN LOST gateway %d did not exit cleanly after SIGTERM: wait status %d",
+                       gateway, status);
 }
 
 static void
-reap (bt_soak_t *soak, int32_t gateway, bool stopped)
+reap_gateway (bt_soak_t *soak, int32_t gateway, bool stopped)
 {
   int status;
 
@@ -193,7 +198,7 @@
     return;
   waitpid (soak->field->gateways[gateway], &status, 0);
   if (stopped)
-    check_stopped (soak, gateway, status);
+    check_exit_status (soak, gateway, status);
   soak->field->gateways[gateway] = 0;
 }
 
@@ -203,7 +208,7 @@
   if (soak->field->gateways[gateway] == 0)
     return;
   kill (soak->field->gateways[gateway], SIGKILL);
-  reap (soak, gateway, false);
+  reap_gateway (soak, gateway, false);
 }
 
 static bool
@@ -215,21 +220,22 @@
   return bt_set_field_fault (port, fault);
 }
 
-/* A runner leaves: it says so, serves on for a while, and another one comes at its address. */
+/* Announces that a runner is draining. The runner goes on serving; when the fault ends, another one
+ * replaces it at the same address. */
 static void
 replace_runner (bt_soak_t *soak, int32_t runner)
 {
   if (!bt_list_field_runner (soak->field, runner, "draining"))
-    bt_tell_soak (soak, "runner %d could not say that it leaves", runner);
+    bt_print_soak_event (soak, "runner %d could not be listed as draining", runner);
 }
 
 static void
-start_fault (bt_soak_faults_t *faults, active_t *fault)
+start_fault (bt_soak_faults_t *faults, active_fault_t *fault)
 {
   bt_soak_t *soak = faults->soak;
   bt_field_t *field = soak->field;
-  bt_hop_fault_t hop_fault = (bt_hop_fault_t)(1 + draw (faults, BT_HOP_FAULTS - 1));
-  int32_t delay_ms = 1 + draw (faults, LONGEST_DELAY_MS);
+  bt_hop_fault_t hop_fault = (bt_hop_fault_t)(1 + draw_below (faults, BT_HOP_FAULTS - 1));
+  int32_t delay_ms = 1 + draw_below (faults, MAX_DELAY_MS);
   const char *detail = "";
 
   switch (fault->kind)
@@ -243,35 +249,35 @@
     case FAULT_STOP:
       stop_gateway (soak, fault->target);
       break;
-    case FAULT_HERD:
+    case FAULT_KILL_ALL:
       for (int32_t i = 0; i < field->gateway_count; i++)
         kill_gateway (soak, i);
       break;
-    case FAULT_STORE_WAY:
+    case FAULT_STORE_LINK:
       bt_set_hop_fault (field->hop_ports[fault->target], hop_fault, delay_ms);
       break;
-    case FAULT_RUNNER_WAY:
+    case FAULT_RUNNER_LINK:
       bt_set_hop_fault (field->runner_hop_ports[fault->target], hop_fault, delay_ms);
       break;
     case FAULT_RUNNER:
-      detail = runner_faults[draw (faults, sizeof runner_faults / sizeof runner_faults[0])];
+      detail = runner_faults[draw_below (faults, sizeof runner_faults / sizeof runner_faults[0])];
       set_standin_fault (field->runner_ports[fault->target], detail, delay_ms);
       break;
     case FAULT_RUNNER_REPLACED:
       replace_runner (soak, fault->target);
       break;
     default:
-      detail = store_faults[draw (faults, sizeof store_faults / sizeof store_faults[0])];
+      detail = store_faults[draw_below (faults, sizeof store_faults / sizeof store_faults[0])];
       set_standin_fault (field->store_port, detail, delay_ms);
       break;
     }
-  bt_tell_soak (soak, "%s %d for %lld ms %s %d", fault_names[fault->kind], fault->target,
-                (long long)(fault->until_ms - now ()), detail, (int)hop_fault);
+  bt_print_soak_event (soak, "%s %d for %lld ms %s %d", fault_names[fault->kind], fault->target,
+                       (long long)(fault->until_ms - now ()), detail, (int)hop_fault);
 }
 
-/* Starts again what has ended, and lifts what lay on the rest. */
+/* Restarts processes that have exited and lifts faults that are still in force. */
 static void
-end_fault (bt_soak_faults_t *faults, const active_t *fault)
+end_fault (bt_soak_faults_t *faults, const active_fault_t *fault)
 {
   bt_soak_t *soak = faults->soak;
   bt_field_t *field = soak->field;
@@ -282,20 +288,20 @@
       kill (field->gateways[fault->target], SIGCONT);
       break;
     case FAULT_STOP:
-      reap (soak, fault->target, true);
+      reap_gateway (soak, fault->target, true);
       bt_start_gateway_process (field, fault->target);
       break;
     case FAULT_KILL:
       bt_start_gateway_process (field, fault->target);
       break;
-    case FAULT_HERD:
+    case FAULT_KILL_ALL:
       for (int32_t i = 0; i < field->gateway_count; i++)
         bt_start_gateway_process (field, i);
       break;
-    case FAULT_STORE_WAY:
+    case FAULT_STORE_LINK:
       bt_set_hop_fault (field->hop_ports[fault->target], BT_HOP_NONE, 0);
       break;
-    case FAULT_RUNNER_WAY:
+    case FAULT_RUNNER_LINK:
       bt_set_hop_fault (field->runner_hop_ports[fault->target], BT_HOP_NONE, 0);
       break;
     case FAULT_RUNNER:
@@ -321,26 +327,26 @@
 static bool
 is_gateway_fault (fault_kind_t kind)
 {
-  return kind <= FAULT_HERD;
+  return kind <= FAULT_KILL_ALL;
 }
 
-/* True when something lies on the same process or way already. */
+/* Returns true when a fault is already in force on the same process or link. */
 static bool
-is_taken (const bt_soak_faults_t *faults, const active_t *wanted)
+conflicts_with_active (const bt_soak_faults_t *faults, const active_fault_t *wanted)
 {
   for (int32_t i = 0; i < faults->count; i++)
     {
-      const active_t *fault = &faults->active[i];
+      const active_fault_t *fault = &faults->active[i];
       bool both = is_gateway_fault (fault->kind) && is_gateway_fault (wanted->kind);
 
       if (both
-          && (fault->kind == FAULT_HERD || wanted->kind == FAULT_HERD
+          && (fault->kind == FAULT_KILL_ALL || wanted->kind == FAULT_KILL_ALL
               || fault->target == wanted->target))
         return true;
       if (!both && fault->kind == wanted->kind && fault->target == wanted->target)
         return true;
-      /* A fault set at a stand-in takes the place of the one before, and a replaced runner has
-       * none. */
+      /* A runner stand-in has one fault at a time, and a replaced runner starts without one. So
+       * both kinds exclude each other on the same runner. */
       if (fault->target == wanted->target && fault->kind >= FAULT_RUNNER
           && fault->kind <= FAULT_RUNNER_REPLACED && wanted->kind >= FAULT_RUNNER
           && wanted->kind <= FAULT_RUNNER_REPLACED)
@@ -352,45 +358,46 @@
 static int32_t
 draw_target (bt_soak_faults_t *faults, fault_kind_t kind)
 {
-  if (kind == FAULT_STORE || kind == FAULT_HERD)
+  if (kind == FAULT_STORE || kind == FAULT_KILL_ALL)
     return NO_TARGET;
-  if (kind >= FAULT_RUNNER_WAY)
-    return draw (faults, faults->soak->field->runner_count);
-  return draw (faults, faults->soak->field->gateway_count);
+  if (kind >= FAULT_RUNNER_LINK)
+    return draw_below (faults, faults->soak->field->runner_count);
+  return draw_below (faults, faults->soak->field->gateway_count);
 }
 
+/* Records until when a fault disturbs gateways, the store or the links to the runners. */
 static void
-note_disturbance (bt_soak_faults_t *faults, const active_t *fault)
+record_disturbance (bt_soak_faults_t *faults, const active_fault_t *fault)
 {
   bt_soak_t *soak = faults->soak;
 
   for (int32_t i = 0; i < soak->field->gateway_count; i++)
-    if (fault->kind == FAULT_HERD
+    if (fault->kind == FAULT_KILL_ALL
         || (fault->target == i && (fault->kind == FAULT_FREEZE || fault->kind == FAULT_KILL)))
-      soak->hurt_ms[i] = fault->until_ms;
+      soak->halted_ms[i] = fault->until_ms;
   if (fault->kind == FAULT_STORE)
-    soak->store_disturbed_ms = fault->until_ms + BT_SOAK_STABLE_MS;
-  else if (fault->kind == FAULT_RUNNER_WAY)
-    soak->runner_way_disturbed_ms = fault->until_ms + BT_SOAK_STABLE_MS;
-  else if (fault->kind == FAULT_HERD)
+    soak->store_disturbed_ms = fault->until_ms + BT_SOAK_SETTLE_MS;
+  else if (fault->kind == FAULT_RUNNER_LINK)
+    soak->runner_link_disturbed_ms = fault->until_ms + BT_SOAK_SETTLE_MS;
+  else if (fault->kind == FAULT_KILL_ALL)
     for (int32_t i = 0; i < soak->field->gateway_count; i++)
-      disturb (soak, i, fault->until_ms);
-  else if (fault->kind <= FAULT_STORE_WAY)
-    disturb (soak, fault->target, fault->until_ms);
+      extend_disturbance (soak, i, fault->until_ms);
+  else if (fault->kind <= FAULT_STORE_LINK)
+    extend_disturbance (soak, fault->target, fault->until_ms);
 }
 
 static void
-draw_fault (bt_soak_faults_t *faults)
+start_random_fault (bt_soak_faults_t *faults)
 {
-  active_t fault = { (fault_kind_t)draw (faults, FAULT_KINDS), NO_TARGET,
-                     now () + 1 + draw (faults, LONGEST_FAULT_MS) };
+  active_fault_t fault = { (fault_kind_t)draw_below (faults, FAULT_KINDS), NO_TARGET,
+                           now () + 1 + draw_below (faults, MAX_FAULT_MS) };
 
-  faults->next_ms = now () + draw (faults, faults->pause_ms);
+  faults->next_ms = now () + draw_below (faults, faults->max_pause_ms);
   fault.target = draw_target (faults, fault.kind);
-  if (faults->count == MOST_ACTIVE || is_taken (faults, &fault)
-      || (fault.kind == FAULT_HERD && draw (faults, HERD_CHANCE) != 0))
+  if (faults->count == MAX_ACTIVE || conflicts_with_active (faults, &fault)
+      || (fault.kind == FAULT_KILL_ALL && draw_below (faults, KILL_ALL_ODDS) != 0))
     return;
-  note_disturbance (faults, &fault);
+  record_disturbance (faults, &fault);
   start_fault (faults, &fault);
   faults->active[faults->count++] = fault;
 }
@@ -401,16 +408,16 @@
   bt_soak_faults_t *faults = calloc (1, sizeof *faults);
 
   faults->soak = soak;
-  faults->pause_ms = LEAST_PAUSE_MS + draw (faults, LONGEST_PAUSE_MS - LEAST_PAUSE_MS);
+  faults->max_pause_ms = MIN_PAUSE_MS + draw_below (faults, MAX_PAUSE_MS - MIN_PAUSE_MS);
   faults->next_ms = now ();
   faults->next_key_ms = soak->start_ms;
   return faults;
 }
 
-/* A stop lasts as long as the process takes to end; it is waited for without holding the rest up.
- */
+/* Returns true when a fault's time is over. A stop also lasts until the process has exited, which
+ * is polled so that other faults go on. The time INT64_MAX ends every fault. */
 static bool
-is_over (bt_soak_faults_t *faults, active_t *fault, int64_t now_ms)
+has_ended (bt_soak_faults_t *faults, active_fault_t *fault, int64_t now_ms)
 {
   pid_t *pid = &faults->soak->field->gateways[fault->target < 0 ? 0 : fault->target];
   int status;
@@ -421,26 +428,26 @@
     return true;
   if (waitpid (*pid, &status, WNOHANG) == *pid)
     {
-      check_stopped (faults->soak, fault->target, status);
+      check_exit_status (faults->soak, fault->target, status);
       *pid = 0;
     }
   else
-    fault->until_ms = now_ms + POLL_MS;
+    fault->until_ms = now_ms + STOP_POLL_MS;
   return *pid == 0;
 }
 
 static void
-end_due (bt_soak_faults_t *faults, int64_t now_ms)
+end_due_faults (bt_soak_faults_t *faults, int64_t now_ms)
 {
   for (int32_t i = faults->count - 1; i >= 0; i--)
-    if (is_over (faults, &faults->active[i], now_ms))
+    if (has_ended (faults, &faults->active[i], now_ms))
       {
-        active_t fault = faults->active[i];
+        active_fault_t fault = faults->active[i];
 
         faults->active[i] = faults->active[--faults->count];
         end_fault (faults, &fault);
         fault.until_ms = now ();
-        note_disturbance (faults, &fault);
+        record_disturbance (faults, &fault);
       }
 }
 
@@ -448,23 +455,23 @@
 bt_run_soak_faults (bt_soak_faults_t *faults)
 {
   if (now () >= faults->next_key_ms)
-    turn_keys (faults);
-  end_due (faults, now ());
+    rotate_keys (faults);
+  end_due_faults (faults, now ());
   if (now () >= faults->next_ms)
-    draw_fault (faults);
+    start_random_fault (faults);
 }
 
 bool
-bt_heal_soak (bt_soak_faults_t *faults)
+bt_end_soak_faults (bt_soak_faults_t *faults)
 {
   bt_soak_t *soak = faults->soak;
   bool ready = true;
 
-  end_due (faults, INT64_MAX);
+  end_due_faults (faults, INT64_MAX);
   for (int32_t i = 0; i < soak->field->gateway_count; i++)
     if (!bt_wait_gateway_ready (soak->field, i))
       {
-        bt_tell_soak (soak, "BROKEN RECOVER gateway %d is not ready", i);
+        bt_print_soak_event (soak, "BROKEN RECOVER gateway %d is not ready", i);
         ready = false;
       }
   return ready;
--- a/test/soak/main.c
+++ b/test/soak/main.c
@@ -14,19 +14,19 @@
 
 enum
 {
-  TICK_MS = 20,
-  JUDGE_MS = 500,
+  LOOP_MS = 20,
+  CHECK_MS = 500,
   MS_PER_S = 1000,
-  /* From the last fault healed to serving as before. */
-  RECOVER_MS = 6000,
-  CALM_MS = 3000,
-  LEAST_SERVED_PERCENT = 95,
+  /* After the last fault has ended, the gateways get this long to recover. */
+  RECOVERY_MS = 6000,
+  MEASURE_MS = 3000, /* then the share of served requests is measured */
+  MIN_SERVED_PERCENT = 95,
   PERCENT = 100,
   BASE_TEN = 10,
 };
 
 void
-bt_tell_soak (const bt_soak_t *soak, const char *format, ...)
+bt_print_soak_event (const bt_soak_t *soak, const char *format, ...)
 {
   va_list arguments;
 
@@ -38,9 +38,9 @@
   fflush (stdout);
 }
 
-/* Gateways that start during the soak may take so long to stop: enough for all requests, for most
- * of them, or for few. */
-static const int32_t drains_ms[] = { 8000, 2500, 1300 };
+/* Drain times of gateways that are restarted during the soak; the seed chooses one. They are long
+ * enough for all requests, for most, or for few of them. */
+static const int32_t drain_times_ms[] = { 8000, 2500, 1300 };
 
 static bool
 start_soak (bt_soak_t *soak)
@@ -59,7 +59,8 @@
   for (int32_t i = 0; i < soak->settings.gateways; i++)
     if (!bt_wait_gateway_ready (soak->field, i))
       return false;
-  soak->field->drain_ms = drains_ms[soak->settings.seed % (sizeof drains_ms / sizeof drains_ms[0])];
+  soak->field->drain_ms =
+      drain_times_ms[soak->settings.seed % (sizeof drain_times_ms / sizeof drain_times_ms[0])];
   soak->start_ms = bt_read_clock_ms (bt_system_clock ());
   return true;
 }
@@ -107,44 +108,45 @@
     }
 }
 
-/* Judges as it goes, with faults or without, until a time. */
+/* Runs the soak until a time and checks the logs regularly. Faults are injected unless they are
+ * NULL. Returns the number of violations so far. */
 static int32_t
 run_until (bt_soak_t *soak,
            bt_soak_faults_t *faults,
            bt_soak_poison_t *poison,
-           bt_soak_judge_t *judge,
+           bt_soak_checker_t *checker,
            int64_t until_ms)
 {
-  int64_t judged_ms = 0;
-  int32_t broken = 0;
+  int64_t checked_ms = 0;
+  int32_t violations = 0;
 
   while (bt_read_clock_ms (bt_system_clock ()) < until_ms)
     {
       if (faults != NULL)
         bt_run_soak_faults (faults);
-      bt_revive_soak_runners (poison);
-      if (bt_read_clock_ms (bt_system_clock ()) - judged_ms > JUDGE_MS)
+      bt_restart_crashed_runners (poison);
+      if (bt_read_clock_ms (bt_system_clock ()) - checked_ms > CHECK_MS)
         {
-          judged_ms = bt_read_clock_ms (bt_system_clock ());
-          broken = bt_judge_soak (judge);
+          checked_ms = bt_read_clock_ms (bt_system_clock ());
+          violations = bt_check_soak_logs (checker);
         }
-      bt_sleep_ms (TICK_MS);
+      bt_sleep_ms (LOOP_MS);
     }
-  return broken;
+  return violations;
 }
 
-/* After the last fault nearly all is served again. */
+/* Checks that nearly all requests are served again after the faults. */
 static bool
-is_recovered (bt_soak_t *soak, bt_soak_judge_t *judge, int64_t since_ms)
+is_recovered (bt_soak_t *soak, bt_soak_checker_t *checker, int64_t since_ms)
 {
   int32_t ended;
   int32_t served;
 
-  bt_count_soak_since (judge, since_ms, &ended, &served);
-  bt_tell_soak (soak, "at the end %d of %d served", served, ended);
-  if (ended > 0 && served * PERCENT >= ended * LEAST_SERVED_PERCENT)
+  bt_count_soak_requests (checker, since_ms, &ended, &served);
+  bt_print_soak_event (soak, "at the end %d of %d served", served, ended);
+  if (ended > 0 && served * PERCENT >= ended * MIN_SERVED_PERCENT)
     return true;
-  bt_tell_soak (soak, "BROKEN RECOVER too little is served after the faults");
+  bt_print_soak_event (soak, "BROKEN RECOVER too few requests are served after the faults");
   return false;
 }
 
@@ -153,38 +155,39 @@
 {
   bt_soak_faults_t *faults = bt_new_soak_faults (soak);
   bt_soak_poison_t *poison = bt_new_soak_poison (soak);
-  bt_soak_judge_t *judge = bt_new_soak_judge (soak, poison);
-  int64_t healed_ms;
+  bt_soak_checker_t *checker = bt_new_soak_checker (soak, poison);
+  int64_t faults_ended_ms;
   int32_t ended;
   int32_t served;
-  bool good;
+  bool passed;
 
   start_callers (soak);
-  run_until (soak, faults, poison, judge, soak->start_ms + soak->settings.length_ms);
-  good = bt_heal_soak (faults);
-  healed_ms = bt_read_clock_ms (bt_system_clock ());
-  run_until (soak, NULL, poison, judge, healed_ms + RECOVER_MS + CALM_MS);
+  run_until (soak, faults, poison, checker, soak->start_ms + soak->settings.fault_phase_ms);
+  passed = bt_end_soak_faults (faults);
+  faults_ended_ms = bt_read_clock_ms (bt_system_clock ());
+  run_until (soak, NULL, poison, checker, faults_ended_ms + RECOVERY_MS + MEASURE_MS);
   end_callers (soak);
-  good = bt_judge_soak (judge) == 0 && good;
-  good = is_recovered (soak, judge, healed_ms + RECOVER_MS) && good;
-  bt_count_soak_since (judge, 0, &ended, &served);
-  bt_tell_soak (soak, "seed %llu: %s, %d of %d served", (unsigned long long)soak->settings.seed,
-                good ? "kept" : "BROKEN", served, ended);
+  passed = bt_check_soak_logs (checker) == 0 && passed;
+  passed = is_recovered (soak, checker, faults_ended_ms + RECOVERY_MS) && passed;
+  bt_count_soak_requests (checker, 0, &ended, &served);
+  bt_print_soak_event (soak, "seed %llu: %s, %d of %d served",
+                       (unsigned long long)soak->settings.seed, passed ? "kept" : "BROKEN", served,
+                       ended);
   if (soak->settings.poison)
-    bt_tell_soak (soak, "%d runners crashed", bt_count_poison_runs (poison));
-  bt_drop_soak_judge (judge);
+    bt_print_soak_event (soak, "%d runners crashed", bt_count_poison_runs (poison));
+  bt_drop_soak_checker (checker);
   bt_drop_soak_poison (poison);
   bt_drop_soak_faults (faults);
-  return good;
+  return passed;
 }
 
 static int64_t
-read_flag (int argc, char **argv, const char *name, int64_t otherwise)
+read_flag (int argc, char **argv, const char *name, int64_t fallback)
 {
   for (int i = 1; i + 1 < argc; i++)
     if (strcmp (argv[i], name) == 0)
       return strtoll (argv[i + 1], NULL, BASE_TEN);
-  return otherwise;
+  return fallback;
 }
 
 /* soak [--seed N] [--seconds N] [--gateways N] [--runners N] [--callers N] [--poison 1] */
@@ -192,10 +195,10 @@
 main (int argc, char **argv)
 {
   static bt_soak_t soak;
-  bool good;
+  bool passed;
 
   soak.settings.seed = (uint64_t)read_flag (argc, argv, "--seed", 1);
-  soak.settings.length_ms = read_flag (argc, argv, "--seconds", 20) * MS_PER_S;
+  soak.settings.fault_phase_ms = read_flag (argc, argv, "--seconds", 20) * MS_PER_S;
   soak.settings.gateways = (int32_t)read_flag (argc, argv, "--gateways", 4);
   soak.settings.runners = (int32_t)read_flag (argc, argv, "--runners", 5);
   soak.settings.callers = (int32_t)read_flag (argc, argv, "--callers", 8);
@@ -209,7 +212,7 @@
       return 2;
     }
   curl_global_init (CURL_GLOBAL_DEFAULT);
-  good = start_soak (&soak) && run_soak (&soak);
+  passed = start_soak (&soak) && run_soak (&soak);
   bt_drop_field (soak.field, false);
-  return good ? 0 : 1;
+  return passed ? 0 : 1;
 }
--- a/test/soak/soak.h
+++ b/test/soak/soak.h
@@ -2,42 +2,42 @@
 #define BILBERRYTRAY_TEST_SOAK_H
 
 /** @file
- * A randomized soak: real gateways against stand-ins on loopback, callers that keep their
- * connections, and faults from outside. A seed decides all that is drawn. What callers and runners
- * saw is judged while it runs.
+ * Randomized soak test. Real gateways run against stand-ins on loopback while callers send requests
+ * over kept connections and faults are injected. A seed determines all random choices. The results
+ * are checked while the test runs.
  *
- * The callers are processes of their own, which write what became of each request to a file; so do
- * the runners for each run. The judge reads both.
+ * Each caller is a separate process that logs the result of each request to a file. Each runner
+ * logs every run to a file. The checker reads both.
  */
 
 #include "bilberrytray/base/random.h"
 #include "harness_gateway.h"
 
-/** What a caller may repeat. */
+/** Whether and how a request may be repeated. */
 typedef enum bt_soak_kind
 {
-  BT_SOAK_PLAIN = 0, /**< Idempotent. */
-  BT_SOAK_ONCE,      /**< Runs once at most. */
-  BT_SOAK_STREAM,    /**< May be resumed. */
+  BT_SOAK_PLAIN = 0, /**< Idempotent: may run more than once. */
+  BT_SOAK_ONCE,      /**< Not idempotent: runs at most once. */
+  BT_SOAK_STREAM,    /**< Stream that may be resumed. */
   BT_SOAK_KINDS,
 } bt_soak_kind_t;
 
-/** Settings of a run. */
+/** Settings of a soak run, from the command line. */
 typedef struct bt_soak_settings
 {
   uint64_t seed;
-  int64_t length_ms; /**< Of the time with faults. */
+  int64_t fault_phase_ms; /**< Length of the phase with faults. */
   int32_t gateways;
   int32_t runners;
   int32_t callers;
-  bool poison; /**< One more caller sends a request that crashes runners. */
+  bool poison; /**< An additional caller sends a request that crashes runners. */
 } bt_soak_settings_t;
 
-/** A key that one configuration adds and a later one takes away; none comes back. */
+/** An API key that one configuration version adds and a later one removes for good. */
 typedef struct bt_soak_key
 {
   bool added;
-  int64_t added_ms; /**< When the store had accepted it. */
+  int64_t added_ms; /**< When the store had accepted the version with the key. */
   bool removed;
   int64_t removed_ms;
 } bt_soak_key_t;
@@ -46,12 +46,12 @@
 {
   BT_SOAK_KEYS = 512,
   BT_SOAK_TEXT_BYTES = 256,
-  BT_SOAK_OK = 200,
-  BT_SOAK_STABLE_MS = 3000, /* a gateway is in touch this long after its last disturbance */
-  BT_SOAK_KEY_MS = 700,     /* from one key to the next, which has the next number */
+  BT_SOAK_STATUS_OK = 200,
+  BT_SOAK_SETTLE_MS = 3000,      /* a gateway counts as disturbed this long after a fault ended */
+  BT_SOAK_KEY_INTERVAL_MS = 700, /* between two new keys; keys are numbered in this order */
 };
 
-/** The deployment under test, and what was done to it. */
+/** The deployment under test and the faults that it went through. */
 typedef struct bt_soak
 {
   bt_soak_settings_t settings;
@@ -60,68 +60,75 @@
   int64_t start_ms;
   pid_t callers[BT_FIELD_GATEWAYS * 4];
   pid_t poison_caller;
-  int32_t version; /**< Of the configuration. */
+  int32_t version; /**< Of the configuration in the store. */
   bt_soak_key_t keys[BT_SOAK_KEYS];
   int32_t key_count;
-  /** Until when each gateway is disturbed, or its way to the store, and when it last was not yet.
-   */
+  /** End of the disturbance of each gateway or of its link to the store, including
+   * BT_SOAK_SETTLE_MS after the fault. */
   int64_t disturbed_ms[BT_FIELD_GATEWAYS];
-  int64_t store_disturbed_ms;
-  int64_t runner_way_disturbed_ms;
-  /** Until when each gateway was killed or stood still: what breaks then is not its own doing. */
-  int64_t hurt_ms[BT_FIELD_GATEWAYS];
-  bool stopped_early[BT_FIELD_GATEWAYS]; /**< Told to stop before it could take the signal. */
-  int32_t bad_stops; /**< Gateways that were told to stop and did not end well. */
+  int64_t store_disturbed_ms;       /**< The same for the store. */
+  int64_t runner_link_disturbed_ms; /**< The same for the links to the runners. */
+  /** Until when each gateway was killed or frozen. A request that fails before then is not the
+   * gateway's fault. */
+  int64_t halted_ms[BT_FIELD_GATEWAYS];
+  /** SIGTERM was sent before the gateway was able to handle it. */
+  bool stopped_before_ready[BT_FIELD_GATEWAYS];
+  int32_t failed_stops; /**< Gateways that exited with an error after SIGTERM. */
 } bt_soak_t;
 
-/** Text of the configuration with the keys that are good now; freed by the caller. */
+/** Returns the text of the configuration with the keys that are valid now. The caller frees it. */
 char *bt_write_soak_configuration (const bt_soak_t *soak);
 
-/** In a child process: sends requests until it is killed, and writes each one's end to a file of
- * the field's folder. */
+/** Runs in a child process: sends requests until the process is killed, and logs the result of each
+ * to a file in the folder of soak->field. */
 void bt_run_soak_caller (const bt_soak_t *soak, int32_t index);
 
-/** Injects what is due, and heals what has lasted long enough. */
+/** Fault injection: the faults in force and the time of the next one. */
 typedef struct bt_soak_faults bt_soak_faults_t;
 bt_soak_faults_t *bt_new_soak_faults (bt_soak_t *soak);
+
+/** Starts the faults that are due, ends those whose time is over, and replaces keys. */
 void bt_run_soak_faults (bt_soak_faults_t *faults);
 
-/** Heals all, and waits until every gateway is ready; false when one does not get there. */
-bool bt_heal_soak (bt_soak_faults_t *faults);
+/** Ends all faults and waits until every gateway is ready. Returns false when one does not become
+ * ready. */
+bool bt_end_soak_faults (bt_soak_faults_t *faults);
 void bt_drop_soak_faults (bt_soak_faults_t *faults);
 
-/** A request that crashes each runner that begins to run it, and comes again and again. */
+/** State of a request that crashes every runner that runs it and is sent repeatedly. */
 typedef struct bt_soak_poison bt_soak_poison_t;
 bt_soak_poison_t *bt_new_soak_poison (bt_soak_t *soak);
 void bt_drop_soak_poison (bt_soak_poison_t *poison);
 
-/** In a child process: sends it until the process is killed. */
+/** Runs in a child process: sends the poison request until the process is killed. */
 void bt_run_soak_poison_caller (const bt_soak_t *soak);
 
-/** Starts runners again that crashed, after a while. */
-void bt_revive_soak_runners (bt_soak_poison_t *poison);
+/** Restarts crashed runners after a random delay. */
+void bt_restart_crashed_runners (bt_soak_poison_t *poison);
 
-/** Takes a run of it; false when instances in touch have sent it too often. */
-bool bt_judge_poison_run (bt_soak_poison_t *poison, const char *id, int64_t at_ms);
+/** Records a run of the poison request at @p at_ms; its @p id names the gateway. Returns false when
+ * undisturbed gateways sent the request too often. */
+bool bt_check_poison_run (bt_soak_poison_t *poison, const char *id, int64_t at_ms);
 
 int32_t bt_count_poison_runs (const bt_soak_poison_t *poison);
 
-/** Judges what callers and runners have written. */
-typedef struct bt_soak_judge bt_soak_judge_t;
-bt_soak_judge_t *bt_new_soak_judge (bt_soak_t *soak, bt_soak_poison_t *poison);
+/** Checks the logs of callers and runners against what the gateways guarantee. */
+typedef struct bt_soak_checker bt_soak_checker_t;
+bt_soak_checker_t *bt_new_soak_checker (bt_soak_t *soak, bt_soak_poison_t *poison);
 
-/** Reads what is new; returns the number of broken promises so far, each of which was printed. */
-int32_t bt_judge_soak (bt_soak_judge_t *judge);
+/** Reads new log lines and prints each violation. Returns the number of violations so far. */
+int32_t bt_check_soak_logs (bt_soak_checker_t *checker);
 
-/** Requests that ended since a time, and those of them that were served. */
-void bt_count_soak_since (const bt_soak_judge_t *judge,
-                          int64_t since_ms,
-                          int32_t *ended,
-                          int32_t *served);
-void bt_drop_soak_judge (bt_soak_judge_t *judge);
+/** Counts the requests that began at @p since_ms or later and have ended, and those of them that
+ * were served. */
+void bt_count_soak_requests (const bt_soak_checker_t *checker,
+                             int64_t since_ms,
+                             int32_t *ended,
+                             int32_t *served);
+void bt_drop_soak_checker (bt_soak_checker_t *checker);
 
-/** Prints a line with the time since the start. */
-void bt_tell_soak (const bt_soak_t *soak, const char *format, ...)
+/** Prints a line that begins with the milliseconds since the start. */
+void bt_print_soak_event (const bt_soak_t *soak, const char *format, ...)
     __attribute__ ((format (printf, 2, 3)));
 
 #endif
