--- a/test/standin/common/standin_http.c
+++ b/test/standin/common/standin_http.c
@@ -12,23 +12,24 @@
 
 enum
 {
-  DEFAULT_LIFE_S = 600,
+  DEFAULT_LIFETIME_S = 600,
   MS_PER_S = 1000,
   NS_PER_MS = 1000000,
-  DECIMAL = 10,
+  BASE_TEN = 10,
 };
 
 struct bt_standin
 {
-  bt_standin_routes_t routes;
+  bt_standin_routes_t callbacks;
   struct MHD_Daemon *daemon;
-  pthread_mutex_t lock; /**< Guards the fault. */
-  char kind[BT_FAULT_BYTES];
+  pthread_mutex_t lock;      /**< Guards the fields below. */
+  char kind[BT_FAULT_BYTES]; /**< Of the fault in force. */
   char match[BT_FAULT_BYTES];
-  json_int_t count;
+  json_int_t count; /**< Calls that the fault still applies to; -1: all. */
   json_int_t delay_ms;
 };
 
+/** Body of a request as received so far. */
 typedef struct upload
 {
   char *body;
@@ -36,10 +37,10 @@
 } upload_t;
 
 static void
-copy_text (char target[BT_FAULT_BYTES], const json_t *text, const char *otherwise)
+copy_text (char target[BT_FAULT_BYTES], const json_t *text, const char *fallback)
 {
   snprintf (target, BT_FAULT_BYTES, "%s",
-            json_is_string (text) ? json_string_value (text) : otherwise);
+            json_is_string (text) ? json_string_value (text) : fallback);
 }
 
 static void
@@ -59,14 +60,14 @@
   standin->count = count == NULL ? -1 : json_integer_value (count);
   standin->delay_ms = json_integer_value (json_object_get (fault, "delay_ms"));
   pthread_mutex_unlock (&standin->lock);
-  if (standin->routes.on_fault != NULL)
-    standin->routes.on_fault (standin->routes.data, standin->kind);
+  if (standin->callbacks.on_fault != NULL)
+    standin->callbacks.on_fault (standin->callbacks.data, standin->kind);
   json_decref (fault);
   answer->body = strdup ("{}");
 }
 
 void
-bt_take_standin_fault (bt_standin_t *standin, const char *name, char kind[BT_FAULT_BYTES])
+bt_consume_standin_fault (bt_standin_t *standin, const char *name, char kind[BT_FAULT_BYTES])
 {
   struct timespec delay = { 0 };
 
@@ -107,14 +108,14 @@
 }
 
 static enum MHD_Result
-take_request (void *data,
-              struct MHD_Connection *connection,
-              const char *url,
-              const char *method,
-              const char *version,
-              const char *piece,
-              size_t *piece_bytes,
-              void **state)
+handle_request (void *data,
+                struct MHD_Connection *connection,
+                const char *url,
+                const char *method,
+                const char *version,
+                const char *piece,
+                size_t *piece_bytes,
+                void **state)
 {
   bt_standin_t *standin = data;
   upload_t *upload = *state;
@@ -145,12 +146,12 @@
   if (strcmp (url, "/fault") == 0)
     set_fault (standin, &request, &answer);
   else
-    standin->routes.answer (standin->routes.data, standin, &request, &answer);
+    standin->callbacks.answer (standin->callbacks.data, standin, &request, &answer);
   return send_answer (connection, &answer);
 }
 
 static void
-end_request (void *data,
+free_upload (void *data,
              struct MHD_Connection *connection,
              void **state,
              enum MHD_RequestTerminationCode code)
@@ -165,7 +166,7 @@
 }
 
 bt_standin_t *
-bt_start_standin (uint16_t port, const bt_standin_routes_t *routes)
+bt_start_standin (uint16_t port, const bt_standin_routes_t *callbacks)
 {
   bt_standin_t *standin = calloc (1, sizeof *standin);
   struct sockaddr_in address = { .sin_family = AF_INET };
@@ -174,13 +175,13 @@
     return NULL;
   address.sin_port = htons (port);
   address.sin_addr.s_addr = htonl (INADDR_LOOPBACK);
-  standin->routes = *routes;
+  standin->callbacks = *callbacks;
   snprintf (standin->kind, BT_FAULT_BYTES, "none");
   pthread_mutex_init (&standin->lock, NULL);
   standin->daemon =
       MHD_start_daemon (MHD_USE_THREAD_PER_CONNECTION | MHD_USE_INTERNAL_POLLING_THREAD, port, NULL,
-                        NULL, take_request, standin, MHD_OPTION_SOCK_ADDR,
-                        (struct sockaddr *)&address, MHD_OPTION_NOTIFY_COMPLETED, end_request, NULL,
+                        NULL, handle_request, standin, MHD_OPTION_SOCK_ADDR,
+                        (struct sockaddr *)&address, MHD_OPTION_NOTIFY_COMPLETED, free_upload, NULL,
                         MHD_OPTION_LISTENING_ADDRESS_REUSE, 1U, MHD_OPTION_END);
   if (standin->daemon != NULL)
     return standin;
@@ -204,16 +205,16 @@
 }
 
 static long
-read_flag (int argc, char **argv, const char *name, long otherwise)
+read_flag (int argc, char **argv, const char *name, long fallback)
 {
   for (int i = 1; i + 1 < argc; i++)
     if (strcmp (argv[i], name) == 0)
-      return strtol (argv[i + 1], NULL, DECIMAL);
-  return otherwise;
+      return strtol (argv[i + 1], NULL, BASE_TEN);
+  return fallback;
 }
 
 int
-bt_run_standin (int argc, char **argv, const bt_standin_routes_t *routes)
+bt_run_standin (int argc, char **argv, const bt_standin_routes_t *callbacks)
 {
   bt_standin_t *standin;
   sigset_t signals;
@@ -225,16 +226,16 @@
   sigaddset (&signals, SIGALRM);
   pthread_sigmask (SIG_BLOCK, &signals, NULL);
   signal (SIGPIPE, SIG_IGN);
-  standin = bt_start_standin ((uint16_t)read_flag (argc, argv, "--port", 0), routes);
+  standin = bt_start_standin ((uint16_t)read_flag (argc, argv, "--port", 0), callbacks);
   if (standin == NULL)
     {
-      fprintf (stderr, "%s: the port cannot be had\n", argv[0]);
+      fprintf (stderr, "%s: cannot listen on the port\n", argv[0]);
       return 1;
     }
   printf ("listening %u\n", (unsigned int)bt_get_standin_port (standin));
   fflush (stdout);
-  alarm ((unsigned int)read_flag (argc, argv, "--life-s", DEFAULT_LIFE_S));
+  alarm ((unsigned int)read_flag (argc, argv, "--life-s", DEFAULT_LIFETIME_S));
   sigwait (&signals, &received);
-  /* Streams and delays still running are cut off: a stand-in has nothing to lose. */
+  /* Exits without waiting for open streams and delays. A stand-in has no state to save. */
   _exit (0);
 }
--- a/test/standin/common/standin_http.h
+++ b/test/standin/common/standin_http.h
@@ -2,11 +2,12 @@
 #define STANDIN_HTTP_H
 
 /** @file
- * An HTTP server on 127.0.0.1 for stand-ins, which answers by a callback and fails on command.
+ * HTTP server on 127.0.0.1 for stand-ins. A callback answers requests, and faults are injected by
+ * command.
  *
- * POST /fault {"kind":KIND,"count":N,"delay_ms":N,"match":TEXT} sets the one fault in force. It
- * strikes the next N calls (-1: all) whose name contains TEXT. KIND is "none", "lost-answer",
- * "slow", "down" or a word of the stand-in's own.
+ * POST /fault {"kind":KIND,"count":N,"delay_ms":N,"match":TEXT} replaces the fault in force. It
+ * applies to the next N calls (-1: all) whose name contains TEXT. KIND is "none", "lost-answer",
+ * "slow", "down" or a kind that the stand-in defines.
  */
 
 #include <microhttpd.h>
@@ -14,7 +15,7 @@
 #include <stddef.h>
 #include <stdint.h>
 
-/** Longest word of a fault, with its zero, in bytes. */
+/** Maximum length of a fault's kind with the terminating zero, in bytes. */
 #define BT_FAULT_BYTES 32
 
 typedef struct bt_standin bt_standin_t;
@@ -23,47 +24,48 @@
 {
   const char *method;
   const char *url;  /**< The path without the query. */
-  const char *body; /**< Followed by a zero byte. */
+  const char *body; /**< Zero-terminated; body_bytes doesn't count the zero. */
   size_t body_bytes;
   struct MHD_Connection *connection; /**< For headers and query arguments. */
 } bt_standin_request_t;
 
-/** What the callback answers with. It comes zeroed, which is an empty answer of status 200. */
+/** Answer that the callback fills in. Initially an empty answer with status 200. */
 typedef struct bt_standin_answer
 {
   uint32_t status;
-  char *body;                    /**< From malloc; freed by the server. Not for a stream. */
+  char *body;                    /**< From malloc; the server frees it. Not used for a stream. */
   const char *type;              /**< Content-Type; NULL is JSON. */
   bool drop;                     /**< Close the connection without an answer. */
-  struct MHD_Response *response; /**< Instead of body: a response, say a stream, of one's own. */
+  struct MHD_Response *response; /**< Used instead of body, for example for a stream. */
 } bt_standin_answer_t;
 
+/** Callbacks of a stand-in. */
 typedef struct bt_standin_routes
 {
-  void *data;
-  /** Answers a request; runs in a thread of the connection and may block. */
+  void *data; /**< Passed to the callbacks. */
+  /** Answers a request. Runs in the connection's own thread and may block. */
   void (*answer) (void *data,
                   bt_standin_t *standin,
                   const bt_standin_request_t *request,
                   bt_standin_answer_t *answer);
-  /** Told of each POST /fault; may be NULL. */
+  /** Called after each POST /fault; may be NULL. */
   void (*on_fault) (void *data, const char *kind);
 } bt_standin_routes_t;
 
-/** Starts a server; @p port 0 chooses one. NULL when the port cannot be had. */
-bt_standin_t *bt_start_standin (uint16_t port, const bt_standin_routes_t *routes);
+/** Starts a server on @p port, or on a free port if it is 0. Returns NULL when it cannot listen. */
+bt_standin_t *bt_start_standin (uint16_t port, const bt_standin_routes_t *callbacks);
 
 uint16_t bt_get_standin_port (const bt_standin_t *standin);
 
-/** Ends the server; streams must end by themselves. */
+/** Stops the server. The callbacks of open streams must return by themselves. */
 void bt_stop_standin (bt_standin_t *standin);
 
-/** Says which fault strikes the call named @p name, and counts it: "none" mostly. A "slow" one has
- * then passed its delay already. The text is copied to @p kind. */
-void bt_take_standin_fault (bt_standin_t *standin, const char *name, char kind[BT_FAULT_BYTES]);
+/** Copies the kind of the fault that applies to the call named @p name to @p kind, or "none", and
+ * counts the call against the fault's limit. Sleeps for the delay of a "slow" fault. */
+void bt_consume_standin_fault (bt_standin_t *standin, const char *name, char kind[BT_FAULT_BYTES]);
 
-/** The main function of a stand-in: reads --port and --life-s, prints "listening PORT", serves
- * until SIGTERM or the end of its life, and exits. */
-int bt_run_standin (int argc, char **argv, const bt_standin_routes_t *routes);
+/** Main function of a stand-in: reads --port and --life-s, prints "listening PORT", serves until
+ * SIGTERM or SIGINT, or for --life-s seconds, and exits. Returns 1 when it cannot listen. */
+int bt_run_standin (int argc, char **argv, const bt_standin_routes_t *callbacks);
 
 #endif
--- a/test/standin/engine/engine.c
+++ b/test/standin/engine/engine.c
@@ -23,8 +23,9 @@
   engine->faults.slow_factor = 1;
 }
 
+/* FNV-1a */
 uint64_t
-engine_hash (const char *text, size_t bytes)
+engine_hash_text (const char *text, size_t bytes)
 {
   uint64_t hash = 14695981039346656037U;
 
@@ -33,6 +34,7 @@
   return hash;
 }
 
+/* Admits a run if the batch has a free slot, and makes one token if the run is admitted. */
 static void
 step_run (engine_t *engine, engine_run_t *run)
 {
@@ -42,19 +44,19 @@
     {
       run->admitted = true;
       engine->running++;
-      engine->waiting--;
+      engine->queued--;
     }
   if (run->admitted && !run->cancelled)
-    run->tokens_made = engine->step_us == 0 ? run->tokens_wanted : run->tokens_made + 1;
-  if (run->cancelled || run->tokens_made >= run->tokens_wanted)
+    run->tokens_made = engine->step_us == 0 ? run->max_tokens : run->tokens_made + 1;
+  if (run->cancelled || run->tokens_made >= run->max_tokens)
     {
       run->ended = true;
       engine->running--;
     }
 }
 
-/* Runs are kept newest first for the log, so the oldest waiting run is admitted by walking to the
- * end first. */
+/* Steps the open runs from the oldest to the newest, so that the oldest queued run is admitted
+ * first. The list of runs is newest first. */
 static void
 step_oldest_first (engine_t *engine, engine_run_t *run)
 {
@@ -85,7 +87,7 @@
       pthread_mutex_unlock (&engine->lock);
       nanosleep (&pause, NULL);
       pthread_mutex_lock (&engine->lock);
-      if (engine->running + engine->waiting == 0)
+      if (engine->running + engine->queued == 0)
         continue;
       engine->steps++;
       step_oldest_first (engine, engine->runs);
@@ -104,13 +106,13 @@
     abort ();
   snprintf (run->id, sizeof run->id, "%s", id);
   snprintf (run->prompt, sizeof run->prompt, "%s", prompt);
-  run->prompt_hash = engine_hash (prompt, strlen (prompt));
-  run->tokens_wanted = tokens;
+  run->prompt_hash = engine_hash_text (prompt, strlen (prompt));
+  run->max_tokens = tokens;
   pthread_mutex_lock (&engine->lock);
   run->next = engine->runs;
   engine->runs = run;
   engine->started_runs++;
-  engine->waiting++;
+  engine->queued++;
   if (engine->step_us == 0)
     step_run (engine, run);
   pthread_mutex_unlock (&engine->lock);
@@ -129,7 +131,7 @@
 int32_t
 engine_format_token (const engine_run_t *run, int32_t index, char *text, int32_t bytes)
 {
-  if (index >= run->tokens_wanted)
+  if (index >= run->max_tokens)
     return snprintf (text, (size_t)bytes, "data: [DONE]\n\n");
   return snprintf (text, (size_t)bytes, "data: {\"index\":%d,\"text\":\"%04x-%d \"}\n\n", index,
                    (unsigned int)(run->prompt_hash & 0xffffU), index);
--- a/test/standin/engine/engine.h
+++ b/test/standin/engine/engine.h
@@ -2,7 +2,8 @@
 #define BILBERRYTRAY_TEST_STANDIN_ENGINE_H
 
 /** @file
- * The batching half of the model-engine stand-in: runs that advance one token a step, in lock-step.
+ * Continuous batching of the model-engine stand-in: in each step, every admitted run makes one
+ * token.
  */
 
 #include <pthread.h>
@@ -16,40 +17,42 @@
   ENGINE_PROMPT_BYTES = 64,
 };
 
-/** One run as the log keeps it; never freed while the stand-in lives. */
+/** One run. It is kept for the run log until the process exits. */
 typedef struct engine_run
 {
   char id[ENGINE_ID_BYTES];
-  char prompt[ENGINE_PROMPT_BYTES]; /**< Its beginning, by which tests know their requests. */
+  char prompt[ENGINE_PROMPT_BYTES]; /**< Start of the prompt, by which tests identify requests. */
   uint64_t prompt_hash;
-  int32_t tokens_wanted;
+  int32_t max_tokens;
   int32_t tokens_made;
-  bool admitted;
+  bool admitted; /**< Part of the batch. */
   bool cancelled;
   bool ended;
   struct engine_run *next;
 } engine_run_t;
 
-/** Faults that a test has asked for. */
+/** Faults set by a test. */
 typedef struct engine_faults
 {
-  int32_t fail_count;   /**< Next runs answer 500 before they start. */
-  int32_t silent_count; /**< Next streams go silent behind silent_after tokens; the run goes on. */
+  int32_t fail_count; /**< How many next completions are answered with 500 and not run. */
+  /** How many next streams stall after silent_after tokens; the run goes on. */
+  int32_t silent_count;
   int32_t silent_after;
-  int32_t cut_count; /**< Next streams are closed behind cut_after tokens. */
+  int32_t cut_count; /**< How many next streams are closed after cut_after tokens. */
   int32_t cut_after;
-  int32_t slow_factor; /**< Steps take this many times as long. */
+  int32_t slow_factor; /**< Multiplies the duration of steps. */
 } engine_faults_t;
 
+/** The engine. */
 typedef struct engine
 {
-  pthread_mutex_t lock;
-  pthread_cond_t stepped;
-  engine_run_t *runs; /**< Newest first. */
-  int32_t running;
-  int32_t waiting;
-  int32_t capacity;
-  int32_t step_us;
+  pthread_mutex_t lock;   /**< Guards the fields below. */
+  pthread_cond_t stepped; /**< Signaled after each step. */
+  engine_run_t *runs;     /**< Newest first. */
+  int32_t running;        /**< Admitted runs. */
+  int32_t queued;         /**< Runs that are not admitted yet. */
+  int32_t capacity;       /**< Maximum size of the batch. */
+  int32_t step_us;        /**< Duration of a step; 0: a run makes all tokens once admitted. */
   int64_t steps;
   int64_t started_runs;
   engine_faults_t faults;
@@ -58,18 +61,19 @@
 
 void engine_init (engine_t *engine, int32_t capacity, int32_t step_us);
 
-/** Body of the thread that makes the steps. */
+/** Start routine of the thread that makes the steps; @p argument is the engine. */
 void *engine_step_loop (void *argument);
 
-/** Starts a run; the caller does not hold the lock. */
+/** Adds a run that makes @p tokens tokens. Takes the lock. */
 engine_run_t *engine_start (engine_t *engine, const char *id, const char *prompt, int32_t tokens);
 
-/** Finds the newest run of an id; the caller holds the lock. */
+/** Returns the newest run with an id, or NULL. The caller holds the lock. */
 engine_run_t *engine_find (engine_t *engine, const char *id);
 
-/** Writes token @p index of a run; returns its length in bytes. */
+/** Writes the event of token @p index of a run, or the last event of the stream when there are no
+ * more tokens. Returns its length in bytes. */
 int32_t engine_format_token (const engine_run_t *run, int32_t index, char *text, int32_t bytes);
 
-uint64_t engine_hash (const char *text, size_t bytes);
+uint64_t engine_hash_text (const char *text, size_t bytes);
 
 #endif
--- a/test/standin/engine/main.c
+++ b/test/standin/engine/main.c
@@ -1,11 +1,16 @@
 /** @file
- * A stand-in for a model engine: completions with server-sent events, continuous batching, load
- * report, list, cancel and resume of runs, a run log, and faults on command.
+ * Stand-in for a model engine: completions as server-sent events, continuous batching, a load
+ * report, a run log, cancelling and resuming of runs, and faults on command.
  *
- *   POST /v1/completions  {"prompt": "...", "max_tokens": N}   header Bilberry-Run names the run
- *   GET  /v1/runs         the run log     GET /v1/runs/ID/stream?from=N   the rest of a run's
- * stream POST /v1/runs/ID/cancel               GET /load               POST /fault {"kind": ...,
- * "count": N}
+ *   POST /v1/completions          {"prompt": "...", "max_tokens": N}; header Bilberry-Run is the id
+ *   GET  /v1/runs                 the run log
+ *   GET  /v1/runs/ID/stream       the stream of a run; with ?from=N from token N on
+ *   POST /v1/runs/ID/cancel       cancels a run
+ *   GET  /load                    the load report
+ *   POST /fault                   {"kind": "fail"|"silent"|"cut"|"slow", "count": N, "after": N};
+ *                                 for "slow", count is the factor for the duration of steps
+ *
+ * Flags: --capacity N, --step-us N, --port N, --life-s N.
  */
 
 #include <arpa/inet.h>
@@ -25,27 +30,27 @@
   MAX_BODY_BYTES = 1 << 20,
   DEFAULT_TOKENS = 8,
   DEFAULT_CAPACITY = 64,
-  DEFAULT_LIFE_S = 600,
+  DEFAULT_LIFETIME_S = 600,
   BASE_TEN = 10,
   MS_PER_S = 1000,
   SILENCE_TICK_MS = 100,
 };
 
-/** One request's upload. */
+/** Body of a request as received so far. */
 typedef struct upload
 {
   char *data;
   size_t bytes;
 } upload_t;
 
-/** One stream of a run's tokens. */
+/** A stream of a run's tokens to one client. */
 typedef struct stream
 {
   engine_t *engine;
   engine_run_t *run;
-  int32_t next;
-  int32_t silent_after; /**< -1: never. */
-  int32_t cut_after;
+  int32_t next;         /**< Index of the next token. */
+  int32_t silent_after; /**< Stalls after this many tokens; -1: never. */
+  int32_t cut_after;    /**< Is closed after this many tokens; -1: never. */
   char text[ENGINE_TEXT_BYTES];
   int32_t text_bytes;
   int32_t text_sent;
@@ -69,7 +74,7 @@
 }
 
 static void
-wait_step (void)
+wait_for_step (void)
 {
   struct timespec until;
 
@@ -78,16 +83,17 @@
   pthread_cond_timedwait (&engine.stepped, &engine.lock, &until);
 }
 
+/* Waits until the next token is made. Returns false when the stream must be closed. */
 static bool
-prepare_token (stream_t *stream)
+wait_for_token (stream_t *stream)
 {
   bool ready;
 
   pthread_mutex_lock (&engine.lock);
   while (!engine.stopping && !stream->run->ended && stream->next >= stream->run->tokens_made)
-    wait_step ();
+    wait_for_step ();
   while (!engine.stopping && stream->silent_after >= 0 && stream->next >= stream->silent_after)
-    wait_step ();
+    wait_for_step ();
   ready = !engine.stopping && !stream->run->cancelled
           && (stream->cut_after < 0 || stream->next < stream->cut_after);
   pthread_mutex_unlock (&engine.lock);
@@ -102,9 +108,9 @@
 
   if (stream->text_sent == stream->text_bytes)
     {
-      if (stream->next > stream->run->tokens_wanted)
+      if (stream->next > stream->run->max_tokens)
         return MHD_CONTENT_READER_END_OF_STREAM;
-      if (!prepare_token (stream))
+      if (!wait_for_token (stream))
         return MHD_CONTENT_READER_END_WITH_ERROR;
       stream->text_bytes =
           engine_format_token (stream->run, stream->next, stream->text, sizeof stream->text);
@@ -119,8 +125,9 @@
   return (ssize_t)bytes;
 }
 
+/* Returns after and decrements the count if the fault applies to this call, else -1. */
 static int32_t
-take_fault (int32_t *count, int32_t after)
+consume_fault (int32_t *count, int32_t after)
 {
   if (*count <= 0)
     return -1;
@@ -128,6 +135,7 @@
   return after;
 }
 
+/* Answers with the stream of a run from a token on; faults apply only if faulty is set. */
 static enum MHD_Result
 send_stream (struct MHD_Connection *connection, engine_run_t *run, int32_t from, bool faulty)
 {
@@ -144,8 +152,9 @@
   pthread_mutex_lock (&engine.lock);
   if (faulty)
     {
-      stream->silent_after = take_fault (&engine.faults.silent_count, engine.faults.silent_after);
-      stream->cut_after = take_fault (&engine.faults.cut_count, engine.faults.cut_after);
+      stream->silent_after =
+          consume_fault (&engine.faults.silent_count, engine.faults.silent_after);
+      stream->cut_after = consume_fault (&engine.faults.cut_count, engine.faults.cut_after);
     }
   pthread_mutex_unlock (&engine.lock);
   response = MHD_create_response_from_callback (MHD_SIZE_UNKNOWN, ENGINE_TEXT_BYTES, read_stream,
@@ -157,7 +166,7 @@
 }
 
 static enum MHD_Result
-complete (struct MHD_Connection *connection, const upload_t *upload)
+answer_completion (struct MHD_Connection *connection, const upload_t *upload)
 {
   json_t *body = json_loadb (upload->data, upload->bytes, 0, NULL);
   const char *prompt = json_string_value (json_object_get (body, "prompt"));
@@ -173,7 +182,7 @@
                         json_pack ("{s:s}", "error", "prompt is missing"));
     }
   pthread_mutex_lock (&engine.lock);
-  fail = take_fault (&engine.faults.fail_count, 0) == 0;
+  fail = consume_fault (&engine.faults.fail_count, 0) == 0;
   pthread_mutex_unlock (&engine.lock);
   if (fail)
     {
@@ -189,7 +198,7 @@
 }
 
 static enum MHD_Result
-list_runs (struct MHD_Connection *connection)
+answer_runs (struct MHD_Connection *connection)
 {
   json_t *runs = json_array ();
 
@@ -197,20 +206,20 @@
   for (engine_run_t *run = engine.runs; run != NULL; run = run->next)
     json_array_append_new (runs, json_pack ("{s:s,s:s,s:i,s:i,s:b,s:b}", "run", run->id, "prompt",
                                             run->prompt, "tokens", run->tokens_made, "wanted",
-                                            run->tokens_wanted, "ended", run->ended, "cancelled",
+                                            run->max_tokens, "ended", run->ended, "cancelled",
                                             run->cancelled));
   pthread_mutex_unlock (&engine.lock);
   return send_json (connection, MHD_HTTP_OK, json_pack ("{s:o}", "runs", runs));
 }
 
 static enum MHD_Result
-report_load (struct MHD_Connection *connection)
+answer_load (struct MHD_Connection *connection)
 {
   json_t *load;
 
   pthread_mutex_lock (&engine.lock);
   load =
-      json_pack ("{s:i,s:i,s:i,s:i,s:I,s:I}", "running", engine.running, "queued", engine.waiting,
+      json_pack ("{s:i,s:i,s:i,s:i,s:I,s:I}", "running", engine.running, "queued", engine.queued,
                  "capacity", engine.capacity, "step_us", engine.step_us * engine.faults.slow_factor,
                  "steps", (json_int_t)engine.steps, "started", (json_int_t)engine.started_runs);
   pthread_mutex_unlock (&engine.lock);
@@ -250,15 +259,15 @@
 }
 
 static enum MHD_Result
-serve_run (struct MHD_Connection *connection, const char *method, const char *rest)
+answer_run (struct MHD_Connection *connection, const char *method, const char *path)
 {
   char id[ENGINE_ID_BYTES] = "";
-  const char *slash = strchr (rest, '/');
+  const char *slash = strchr (path, '/');
   const char *from = MHD_lookup_connection_value (connection, MHD_GET_ARGUMENT_KIND, "from");
   engine_run_t *run;
 
-  if (slash != NULL && (size_t)(slash - rest) < sizeof id)
-    memcpy (id, rest, (size_t)(slash - rest));
+  if (slash != NULL && (size_t)(slash - path) < sizeof id)
+    memcpy (id, path, (size_t)(slash - path));
   pthread_mutex_lock (&engine.lock);
   run = engine_find (&engine, id);
   if (run != NULL && strcmp (method, "POST") == 0)
@@ -281,27 +290,27 @@
   static const char *const runs_prefix = "/v1/runs/";
 
   if (strcmp (url, "/v1/completions") == 0 && strcmp (method, "POST") == 0)
-    return complete (connection, upload);
+    return answer_completion (connection, upload);
   if (strcmp (url, "/v1/runs") == 0)
-    return list_runs (connection);
+    return answer_runs (connection);
   if (strncmp (url, runs_prefix, strlen (runs_prefix)) == 0)
-    return serve_run (connection, method, url + strlen (runs_prefix));
+    return answer_run (connection, method, url + strlen (runs_prefix));
   if (strcmp (url, "/load") == 0)
-    return report_load (connection);
+    return answer_load (connection);
   if (strcmp (url, "/fault") == 0)
     return set_fault (connection, upload);
   return send_json (connection, MHD_HTTP_NOT_FOUND, json_pack ("{s:s}", "error", "no such path"));
 }
 
 static enum MHD_Result
-handle (void *argument,
-        struct MHD_Connection *connection,
-        const char *url,
-        const char *method,
-        const char *version,
-        const char *data,
-        size_t *bytes,
-        void **state)
+handle_request (void *argument,
+                struct MHD_Connection *connection,
+                const char *url,
+                const char *method,
+                const char *version,
+                const char *data,
+                size_t *bytes,
+                void **state)
 {
   upload_t *upload = *state;
 
@@ -324,10 +333,10 @@
 }
 
 static void
-complete_request (void *argument,
-                  struct MHD_Connection *connection,
-                  void **state,
-                  enum MHD_RequestTerminationCode code)
+free_upload (void *argument,
+             struct MHD_Connection *connection,
+             void **state,
+             enum MHD_RequestTerminationCode code)
 {
   upload_t *upload = *state;
 
@@ -338,12 +347,12 @@
 }
 
 static int64_t
-read_option (int argc, char **argv, const char *name, int64_t otherwise)
+read_flag (int argc, char **argv, const char *name, int64_t fallback)
 {
   for (int i = 1; i + 1 < argc; i++)
     if (strcmp (argv[i], name) == 0)
       return strtoll (argv[i + 1], NULL, BASE_TEN);
-  return otherwise;
+  return fallback;
 }
 
 int
@@ -351,7 +360,7 @@
 {
   struct sockaddr_in address = { .sin_family = AF_INET };
   sigset_t signals;
-  struct timespec life = { .tv_sec = read_option (argc, argv, "--life-s", DEFAULT_LIFE_S) };
+  struct timespec life = { .tv_sec = read_flag (argc, argv, "--life-s", DEFAULT_LIFETIME_S) };
   struct MHD_Daemon *daemon;
   pthread_t stepper;
 
@@ -360,17 +369,17 @@
   sigaddset (&signals, SIGINT);
   pthread_sigmask (SIG_BLOCK, &signals, NULL);
   signal (SIGPIPE, SIG_IGN);
-  engine_init (&engine, (int32_t)read_option (argc, argv, "--capacity", DEFAULT_CAPACITY),
-               (int32_t)read_option (argc, argv, "--step-us", 0));
-  address.sin_port = htons ((uint16_t)read_option (argc, argv, "--port", 0));
+  engine_init (&engine, (int32_t)read_flag (argc, argv, "--capacity", DEFAULT_CAPACITY),
+               (int32_t)read_flag (argc, argv, "--step-us", 0));
+  address.sin_port = htons ((uint16_t)read_flag (argc, argv, "--port", 0));
   address.sin_addr.s_addr = htonl (INADDR_LOOPBACK);
-  daemon = MHD_start_daemon (
-      MHD_USE_THREAD_PER_CONNECTION | MHD_USE_INTERNAL_POLLING_THREAD, 0, NULL, NULL, handle, NULL,
-      MHD_OPTION_SOCK_ADDR, (struct sockaddr *)&address, MHD_OPTION_NOTIFY_COMPLETED,
-      complete_request, NULL, MHD_OPTION_LISTENING_ADDRESS_REUSE, 1U, MHD_OPTION_END);
+  daemon = MHD_start_daemon (MHD_USE_THREAD_PER_CONNECTION | MHD_USE_INTERNAL_POLLING_THREAD, 0,
+                             NULL, NULL, handle_request, NULL, MHD_OPTION_SOCK_ADDR,
+                             (struct sockaddr *)&address, MHD_OPTION_NOTIFY_COMPLETED, free_upload,
+                             NULL, MHD_OPTION_LISTENING_ADDRESS_REUSE, 1U, MHD_OPTION_END);
   if (daemon == NULL)
     {
-      fprintf (stderr, "standin-engine: can't listen\n");
+      fprintf (stderr, "standin-engine: cannot listen on the port\n");
       return 1;
     }
   pthread_create (&stepper, NULL, engine_step_loop, &engine);
--- a/test/standin/group/main.c
+++ b/test/standin/group/main.c
@@ -1,16 +1,18 @@
 /** @file
- * A stand-in for a lock-step rank group: one HTTP server for the engines of all ranks.
+ * Stand-in for a lock-step rank group: one HTTP server for the engines of all ranks.
  *
  *   GET  /ranks/R/state   the engine's state
  *   POST /ranks/R/orders  {"kind","fence","round":[F,S],"step","digest","apply","hold"}; the answer
  *                         is {"accepted":B,"state":{...}}
- *   GET  /ranks/R/loads   {"layers","experts","tokens":[...]}: in each layer one expert is hot
+ *   GET  /ranks/R/loads   {"layers","experts","tokens":[...]}; one expert of each layer is hot
  *   GET  /group           {"steps","held","violation"}
- *   POST /fault           "down" and "lost-answer" match "R/KIND"; also "stall-R", "run-R" and
- *                         "replace-R"
+ *   POST /fault           see standin_http.h: "down" and "lost-answer", matched against "R/KIND";
+ *                         also "stall-R", "run-R" and "replace-R" for the engine of rank R
  *
- * It aborts, naming step and rank, the moment two ranks use different maps in one step. Flags:
- * --ranks N, --step-ms N, --layers N, --experts N, --ignore-fences, --port N, --life-s N.
+ * The process aborts with a message that names step and rank when two ranks use different maps in
+ * one step.
+ *
+ * Flags: --ranks N, --step-ms N, --layers N, --experts N, --ignore-fences, --port N, --life-s N.
  */
 
 #include <jansson.h>
@@ -29,7 +31,7 @@
   DEFAULT_STEP_MS = 6,
   DEFAULT_LAYERS = 4,
   DEFAULT_EXPERTS = 12,
-  COOL_TOKENS = 100,
+  COLD_TOKENS = 100,
   HOT_TOKENS = 1500,
   HOT_STRIDE = 5,
   NS_PER_MS = 1000000,
@@ -40,17 +42,18 @@
   NAME_BYTES = 64,
 };
 
-/** The group and its pace. */
-typedef struct pace
+/** The group, the duration of its steps and the size of its loads. */
+typedef struct group_server
 {
   pthread_mutex_t lock; /**< Guards the group. */
   lockstep_t group;
   int64_t step_ms;
   int64_t layers;
   int64_t experts;
-} pace_t;
+} group_server_t;
 
-/* The core's function is not linked here; the stand-in shares no decision with it. */
+/* Replaces the function of the core, which is not linked, so that the stand-in shares no logic with
+ * the code under test. */
 const char *
 bt_name_map_order (bt_map_order_kind_t kind)
 {
@@ -73,7 +76,7 @@
   return false;
 }
 
-/* Numbers of 64 bits travel as hexadecimal text: JSON's are signed or inexact. */
+/* 64-bit numbers are sent as hexadecimal text, because JSON numbers are signed or inexact. */
 static uint64_t
 read_hex (const json_t *body, const char *name)
 {
@@ -143,7 +146,7 @@
 }
 
 static void
-check_group (const lockstep_t *group)
+abort_on_violation (const lockstep_t *group)
 {
   if (group->violation[0] == '\0')
     return;
@@ -152,11 +155,11 @@
 }
 
 static void
-take_order (pace_t *pace,
-            bt_standin_t *standin,
-            int32_t rank,
-            const bt_standin_request_t *request,
-            bt_standin_answer_t *answer)
+answer_order (group_server_t *server,
+              bt_standin_t *standin,
+              int32_t rank,
+              const bt_standin_request_t *request,
+              bt_standin_answer_t *answer)
 {
   bt_map_order_t order = { 0 };
   char name[NAME_BYTES];
@@ -170,58 +173,58 @@
       return;
     }
   snprintf (name, sizeof name, "%d/%s", rank, bt_name_map_order (order.kind));
-  bt_take_standin_fault (standin, name, fault);
+  bt_consume_standin_fault (standin, name, fault);
   answer->drop = strcmp (fault, "down") == 0 || strcmp (fault, "lost-answer") == 0;
   if (strcmp (fault, "down") == 0)
     return;
-  pthread_mutex_lock (&pace->lock);
-  accepted = lockstep_order (&pace->group, rank, &order);
-  check_group (&pace->group);
+  pthread_mutex_lock (&server->lock);
+  accepted = lockstep_order (&server->group, rank, &order);
+  abort_on_violation (&server->group);
   body = json_pack ("{s:b,s:o}", "accepted", accepted, "state",
-                    make_state (&pace->group.ranks[rank].state));
-  pthread_mutex_unlock (&pace->lock);
+                    make_state (&server->group.ranks[rank].state));
+  pthread_mutex_unlock (&server->lock);
   answer->body = json_dumps (body, JSON_COMPACT);
   json_decref (body);
 }
 
 static void
-show_group (pace_t *pace, bt_standin_answer_t *answer)
+answer_group (group_server_t *server, bt_standin_answer_t *answer)
 {
   json_t *body;
 
-  pthread_mutex_lock (&pace->lock);
-  body = json_pack ("{s:I,s:I,s:s}", "steps", (json_int_t)pace->group.steps, "held",
-                    (json_int_t)pace->group.held, "violation", pace->group.violation);
-  pthread_mutex_unlock (&pace->lock);
+  pthread_mutex_lock (&server->lock);
+  body = json_pack ("{s:I,s:I,s:s}", "steps", (json_int_t)server->group.steps, "held",
+                    (json_int_t)server->group.held, "violation", server->group.violation);
+  pthread_mutex_unlock (&server->lock);
   answer->body = json_dumps (body, JSON_COMPACT);
   json_decref (body);
 }
 
 static void
-show_rank (pace_t *pace, int32_t rank, bt_standin_answer_t *answer)
+answer_state (group_server_t *server, int32_t rank, bt_standin_answer_t *answer)
 {
   json_t *body;
 
-  pthread_mutex_lock (&pace->lock);
-  body = make_state (&pace->group.ranks[rank].state);
-  pthread_mutex_unlock (&pace->lock);
+  pthread_mutex_lock (&server->lock);
+  body = make_state (&server->group.ranks[rank].state);
+  pthread_mutex_unlock (&server->lock);
   answer->body = json_dumps (body, JSON_COMPACT);
   json_decref (body);
 }
 
 static void
-show_loads (const pace_t *pace, bt_standin_answer_t *answer)
+answer_loads (const group_server_t *server, bt_standin_answer_t *answer)
 {
   json_t *tokens = json_array ();
   json_t *body;
 
-  for (int64_t layer = 0; layer < pace->layers; layer++)
-    for (int64_t expert = 0; expert < pace->experts; expert++)
+  for (int64_t layer = 0; layer < server->layers; layer++)
+    for (int64_t expert = 0; expert < server->experts; expert++)
       json_array_append_new (
           tokens,
-          json_integer (expert == layer * HOT_STRIDE % pace->experts ? HOT_TOKENS : COOL_TOKENS));
-  body = json_pack ("{s:I,s:I,s:o}", "layers", (json_int_t)pace->layers, "experts",
-                    (json_int_t)pace->experts, "tokens", tokens);
+          json_integer (expert == layer * HOT_STRIDE % server->experts ? HOT_TOKENS : COLD_TOKENS));
+  body = json_pack ("{s:I,s:I,s:o}", "layers", (json_int_t)server->layers, "experts",
+                    (json_int_t)server->experts, "tokens", tokens);
   answer->body = json_dumps (body, JSON_COMPACT);
   json_decref (body);
 }
@@ -232,71 +235,72 @@
                 const bt_standin_request_t *request,
                 bt_standin_answer_t *answer)
 {
-  pace_t *pace = data;
-  char *rest = NULL;
+  group_server_t *server = data;
+  char *path = NULL;
   long rank = -1;
 
   if (strcmp (request->url, "/group") == 0)
     {
-      show_group (pace, answer);
+      answer_group (server, answer);
       return;
     }
   if (strncmp (request->url, "/ranks/", strlen ("/ranks/")) == 0)
-    rank = strtol (request->url + strlen ("/ranks/"), &rest, BASE_TEN);
-  if (rank < 0 || rank >= pace->group.count)
+    rank = strtol (request->url + strlen ("/ranks/"), &path, BASE_TEN);
+  if (rank < 0 || rank >= server->group.count)
     answer->status = MHD_HTTP_NOT_FOUND;
-  else if (strcmp (rest, "/state") == 0)
-    show_rank (pace, (int32_t)rank, answer);
-  else if (strcmp (rest, "/loads") == 0)
-    show_loads (pace, answer);
-  else if (strcmp (rest, "/orders") == 0 && strcmp (request->method, "POST") == 0)
-    take_order (pace, standin, (int32_t)rank, request, answer);
+  else if (strcmp (path, "/state") == 0)
+    answer_state (server, (int32_t)rank, answer);
+  else if (strcmp (path, "/loads") == 0)
+    answer_loads (server, answer);
+  else if (strcmp (path, "/orders") == 0 && strcmp (request->method, "POST") == 0)
+    answer_order (server, standin, (int32_t)rank, request, answer);
   else
     answer->status = MHD_HTTP_NOT_FOUND;
 }
 
+/* Applies the faults that act on a rank's engine at once: stall, run and replace. */
 static void
-take_fault (void *data, const char *kind)
+apply_fault (void *data, const char *kind)
 {
-  pace_t *pace = data;
+  group_server_t *server = data;
   const char *dash = strchr (kind, '-');
   long rank = dash == NULL ? -1 : strtol (dash + 1, NULL, BASE_TEN);
 
-  if (rank < 0 || rank >= pace->group.count)
+  if (rank < 0 || rank >= server->group.count)
     return;
-  pthread_mutex_lock (&pace->lock);
+  pthread_mutex_lock (&server->lock);
   if (strncmp (kind, "stall-", strlen ("stall-")) == 0)
-    pace->group.ranks[rank].stalled = true;
+    server->group.ranks[rank].stalled = true;
   else if (strncmp (kind, "run-", strlen ("run-")) == 0)
-    pace->group.ranks[rank].stalled = false;
+    server->group.ranks[rank].stalled = false;
   else if (strncmp (kind, "replace-", strlen ("replace-")) == 0)
-    lockstep_replace (&pace->group, (int32_t)rank);
-  pthread_mutex_unlock (&pace->lock);
+    lockstep_replace (&server->group, (int32_t)rank);
+  pthread_mutex_unlock (&server->lock);
 }
 
 static void *
-make_steps (void *data)
+run_steps (void *data)
 {
-  pace_t *pace = data;
-  struct timespec pause = { pace->step_ms / MS_PER_S,
-                            pace->step_ms % MS_PER_S * (int64_t)NS_PER_MS };
+  group_server_t *server = data;
+  struct timespec pause = { server->step_ms / MS_PER_S,
+                            server->step_ms % MS_PER_S * (int64_t)NS_PER_MS };
 
   for (;;)
     {
       nanosleep (&pause, NULL);
-      pthread_mutex_lock (&pace->lock);
-      lockstep_step (&pace->group);
-      check_group (&pace->group);
-      pthread_mutex_unlock (&pace->lock);
+      pthread_mutex_lock (&server->lock);
+      lockstep_step (&server->group);
+      abort_on_violation (&server->group);
+      pthread_mutex_unlock (&server->lock);
     }
   return NULL;
 }
 
 static int64_t
-read_number (int argc, char **argv, const char *flag, int64_t value)
+read_flag (int argc, char **argv, const char *name, int64_t value)
 {
   for (int i = 1; i + 1 < argc; i++)
-    if (strcmp (argv[i], flag) == 0)
+    if (strcmp (argv[i], name) == 0)
       value = strtoll (argv[i + 1], NULL, BASE_TEN);
   return value;
 }
@@ -304,9 +308,9 @@
 int
 main (int argc, char **argv)
 {
-  static pace_t pace = { .lock = PTHREAD_MUTEX_INITIALIZER };
-  bt_standin_routes_t routes = { &pace, answer_request, take_fault };
-  int64_t ranks = read_number (argc, argv, "--ranks", DEFAULT_RANKS);
+  static group_server_t server = { .lock = PTHREAD_MUTEX_INITIALIZER };
+  bt_standin_routes_t callbacks = { &server, answer_request, apply_fault };
+  int64_t ranks = read_flag (argc, argv, "--ranks", DEFAULT_RANKS);
   bool ignore_fences = false;
   pthread_t thread;
 
@@ -314,11 +318,11 @@
     ignore_fences = ignore_fences || strcmp (argv[i], "--ignore-fences") == 0;
   if (ranks < 1 || ranks > LOCKSTEP_MAX_RANKS)
     return 1;
-  pace.step_ms = read_number (argc, argv, "--step-ms", DEFAULT_STEP_MS);
-  pace.layers = read_number (argc, argv, "--layers", DEFAULT_LAYERS);
-  pace.experts = read_number (argc, argv, "--experts", DEFAULT_EXPERTS);
-  lockstep_start (&pace.group, (int32_t)ranks, ignore_fences);
-  if (pthread_create (&thread, NULL, make_steps, &pace) != 0)
+  server.step_ms = read_flag (argc, argv, "--step-ms", DEFAULT_STEP_MS);
+  server.layers = read_flag (argc, argv, "--layers", DEFAULT_LAYERS);
+  server.experts = read_flag (argc, argv, "--experts", DEFAULT_EXPERTS);
+  lockstep_start (&server.group, (int32_t)ranks, ignore_fences);
+  if (pthread_create (&thread, NULL, run_steps, &server) != 0)
     return 1;
-  return bt_run_standin (argc, argv, &routes);
+  return bt_run_standin (argc, argv, &callbacks);
 }
--- a/test/standin/haiyun_runner/main.c
+++ b/test/standin/haiyun_runner/main.c
@@ -1,14 +1,20 @@
 /** @file
- * A stand-in for a runner of the users' platform, named by the variable RUNNER_ID and started at
- * the Unix millisecond in RUNNER_BORN. A path with
- * "/stream/" is answered with EVENTS numbered events, any other with one line; each run is logged.
+ * Stand-in for a runner of the users' platform. The environment variable RUNNER_ID is its id, and
+ * RUNNER_BORN its start time in Unix milliseconds. A path with "/stream/" is answered with EVENTS
+ * numbered events, any other with one line. Each run is logged.
  *
- * A path that ends in "/poison" ends the process as it begins to run.
+ * A request whose path ends in "/poison" ends the process when it begins to run.
  *
- *   GET /v1/report  what it says of itself
- *   GET /log      {"runs":[{"request":..., "path":..., "account":..., "deadline":..., "last":...}]}
- *   POST /fault   see standin_http.h: "full", "fail", "cut" (after some events, or before any
- * answer), "unmarked", "slow", "late" (it runs, and answers only after seconds)
+ *   GET /v1/report  the runner's report
+ *   GET /log        {"runs":[{"request":..., "path":..., "account":..., "deadline":...,
+ *                   "last":..., "token":...}]}
+ *   POST /fault     see standin_http.h, and:
+ *                   "full"       refuses requests and does not run them
+ *                   "fail"       answers with status 500
+ *                   "cut"        cuts a stream off within an event; drops any other request
+ *                   "cut-first"  like "cut", but not for resumed streams
+ *                   "unmarked"   leaves out the server stamp
+ *                   "late"       runs the request, but answers only after LATE_ANSWER_S seconds
  */
 
 #include <jansson.h>
@@ -28,22 +34,23 @@
   EVENTS_BEFORE_CUT = 3,
   EVENT_BYTES = 192,
   BLOCK_BYTES = 256,
-  PAUSE_NS = 15000000,
+  EVENT_INTERVAL_NS = 15000000,
   BASE_TEN = 10,
-  LATE_S = 4,
+  LATE_ANSWER_S = 4,
 };
 
 typedef struct runner
 {
   const char *id;
-  long long born;
+  long long started_ms; /**< Unix milliseconds. */
   pthread_mutex_t lock; /**< Guards runs. */
   json_t *runs;
 } runner_t;
 
+/** A stream of events. */
 typedef struct stream
 {
-  long next;
+  long next; /**< Number of the next event. */
   bool cut;
 } stream_t;
 
@@ -56,7 +63,7 @@
 }
 
 static void
-note_run (runner_t *runner, const bt_standin_request_t *request)
+log_run (runner_t *runner, const bt_standin_request_t *request)
 {
   json_t *run = json_pack (
       "{s:s, s:s, s:s, s:s, s:s, s:s}", "request", get_header (request, "Bilberrytray-Attempt-Id"),
@@ -66,7 +73,7 @@
 
   pthread_mutex_lock (&runner->lock);
   json_array_append_new (runner->runs, run);
-  /* Outlives the process, for whoever reads what it wrote. */
+  /* The output of the process is kept after it has ended, so that tests can count its runs. */
   printf ("run %s %s %lld\n", get_header (request, "Bilberrytray-Attempt-Id"), runner->id,
           (long long)bt_read_clock_ms (bt_system_clock ()));
   fflush (stdout);
@@ -74,10 +81,10 @@
 }
 
 static ssize_t
-read_stream (void *data, uint64_t position, char *buffer, size_t room)
+read_stream (void *data, uint64_t position, char *buffer, size_t max)
 {
   stream_t *stream = data;
-  struct timespec pause = { 0, PAUSE_NS };
+  struct timespec pause = { 0, EVENT_INTERVAL_NS };
 
   (void)position;
   if (stream->next > EVENTS)
@@ -86,11 +93,10 @@
     return MHD_CONTENT_READER_END_WITH_ERROR;
   nanosleep (&pause, NULL);
   stream->next++;
-  /* The cut falls into the middle of an event. */
+  /* Cuts the stream off in the middle of an event. */
   if (stream->cut && stream->next > EVENTS_BEFORE_CUT)
-    return snprintf (buffer, room, "id: %ld\nda", stream->next - 1);
-  return snprintf (buffer, room, "id: %ld\ndata: piece-%ld\n\n", stream->next - 1,
-                   stream->next - 1);
+    return snprintf (buffer, max, "id: %ld\nda", stream->next - 1);
+  return snprintf (buffer, max, "id: %ld\ndata: piece-%ld\n\n", stream->next - 1, stream->next - 1);
 }
 
 static struct MHD_Response *
@@ -127,10 +133,10 @@
   bool stream = strstr (request->url, "/stream/") != NULL;
   bool resumed = get_header (request, "Last-Event-Id")[0] != '\0';
   bool cut = strcmp (fault, "cut") == 0 || (strcmp (fault, "cut-first") == 0 && !resumed);
-  struct timespec late = { LATE_S, 0 };
+  struct timespec late = { LATE_ANSWER_S, 0 };
   char text[EVENT_BYTES];
 
-  note_run (runner, request);
+  log_run (runner, request);
   if (is_poison (request->url))
     _exit (EXIT_FAILURE);
   if (strcmp (fault, "late") == 0)
@@ -153,6 +159,7 @@
   MHD_add_response_header (answer->response, "Bilberrytray-Instance-Load", "1,0,8");
 }
 
+/* Refuses a request with the header that says that it was not run. */
 static void
 refuse (bt_standin_answer_t *answer, uint32_t status)
 {
@@ -164,7 +171,7 @@
 static char *
 write_report (const runner_t *runner)
 {
-  json_t *report = json_pack ("{s:I, s:s, s:i, s:i, s:i}", "born", (json_int_t)runner->born,
+  json_t *report = json_pack ("{s:I, s:s, s:i, s:i, s:i}", "born", (json_int_t)runner->started_ms,
                               "stage", "unified", "sequence", 0, "queued", 0, "running", 0);
   char *text = json_dumps (report, JSON_COMPACT);
 
@@ -179,7 +186,7 @@
                 bt_standin_answer_t *answer)
 {
   runner_t *runner = data;
-  const char *wanted = get_header (request, "Bilberrytray-Expect-Instance");
+  const char *expected_id = get_header (request, "Bilberrytray-Expect-Instance");
   char fault[BT_FAULT_BYTES];
   json_t *log;
 
@@ -198,8 +205,8 @@
       answer->body = write_report (runner);
       return;
     }
-  bt_take_standin_fault (standin, request->url, fault);
-  if (strcmp (wanted, runner->id) != 0)
+  bt_consume_standin_fault (standin, request->url, fault);
+  if (strcmp (expected_id, runner->id) != 0)
     refuse (answer, MHD_HTTP_MISDIRECTED_REQUEST);
   else if (strcmp (fault, "full") == 0)
     refuse (answer, MHD_HTTP_SERVICE_UNAVAILABLE);
@@ -210,15 +217,16 @@
 int
 main (int argc, char **argv)
 {
-  const char *born = getenv ("RUNNER_BORN");
-  runner_t runner = { getenv ("RUNNER_ID"), born == NULL ? 0 : strtoll (born, NULL, BASE_TEN),
+  const char *start_time = getenv ("RUNNER_BORN");
+  runner_t runner = { getenv ("RUNNER_ID"),
+                      start_time == NULL ? 0 : strtoll (start_time, NULL, BASE_TEN),
                       PTHREAD_MUTEX_INITIALIZER, json_array () };
-  bt_standin_routes_t routes = { &runner, answer_request, NULL };
+  bt_standin_routes_t callbacks = { &runner, answer_request, NULL };
   int status;
 
   if (runner.id == NULL)
     runner.id = "i-nameless";
-  status = bt_run_standin (argc, argv, &routes);
+  status = bt_run_standin (argc, argv, &callbacks);
   json_decref (runner.runs);
   return status;
 }
--- a/test/standin/haiyun_store/main.c
+++ b/test/standin/haiyun_store/main.c
@@ -1,11 +1,13 @@
 /** @file
- * A stand-in for the store of the users' platform: items, ranges, watches, transactions and leases.
- * Leases lapse by time only where the variable STORE_LAPSES is set; a test ends them otherwise.
+ * Stand-in for the store of the users' platform: items, ranges, watches, transactions and leases.
+ * Leases expire by time only if the environment variable STORE_LAPSES is set; otherwise only a
+ * request ends them.
  *
- *   POST /control/put?key=KEY      writes the body as an item, as the operator or a server does
- *   POST /control/remove?key=KEY   removes it
- *   POST /fault                    see standin_http.h: "down", "refuse", "lost-answer", "slow",
- * "compact" (the history is dropped)
+ *   POST /control/put?key=KEY      writes the body as an item, like the operator or a server
+ *   POST /control/remove?key=KEY   removes the item
+ *   POST /fault                    see standin_http.h: "down", "lost-answer" and "slow"; also
+ *                                  "refuse" (status 503) and "compact" (watches from an older
+ *                                  revision get status 410)
  */
 
 #include <jansson.h>
@@ -23,21 +25,21 @@
 {
   MS_PER_S = 1000,
   NS_PER_MS = 1000000,
-  POLL_MS = 10,
+  WATCH_POLL_MS = 10,
   BASE_TEN = 10,
-  LEASE_MS = 4000,
+  LEASE_TTL_MS = 4000,
 };
 
 typedef struct store
 {
-  pthread_mutex_t lock; /**< Guards what stands below. */
+  pthread_mutex_t lock; /**< Guards the fields below. */
   json_t *items;        /**< By key. */
   json_t *history;      /**< Events, oldest first. */
   json_int_t revision;
   json_int_t last_lease;
-  json_t *leases;     /**< When each lapses, by its id as text. */
-  json_int_t dropped; /**< History up to this revision is gone. */
-  bool lapses;
+  json_t *leases;                /**< When each expires in milliseconds, by its id as text. */
+  json_int_t compacted_revision; /**< A watch from before this revision is refused. */
+  bool leases_expire;            /**< Leases expire by time. */
 } store_t;
 
 static const char *
@@ -79,7 +81,7 @@
 static void
 remove_item (store_t *store, const char *key)
 {
-  /* The key may belong to the item that goes. */
+  /* The event copies the key first: the key may belong to the item, which is freed here. */
   json_t *event =
       json_pack ("{s:s, s:I, s:b}", "key", key, "revision", store->revision, "deleted", 1);
 
@@ -88,14 +90,15 @@
   json_decref (event);
 }
 
+/* Writes or removes an item on behalf of a test. */
 static void
-control (store_t *store, const bt_standin_request_t *request)
+apply_control (store_t *store, const bt_standin_request_t *request)
 {
   const char *key = get_argument (request, "key");
-  size_t room = sodium_base64_ENCODED_LEN (request->body_bytes, sodium_base64_VARIANT_ORIGINAL);
-  char *encoded = calloc (room, 1);
+  size_t capacity = sodium_base64_ENCODED_LEN (request->body_bytes, sodium_base64_VARIANT_ORIGINAL);
+  char *encoded = calloc (capacity, 1);
 
-  sodium_bin2base64 (encoded, room, (const unsigned char *)request->body, request->body_bytes,
+  sodium_bin2base64 (encoded, capacity, (const unsigned char *)request->body, request->body_bytes,
                      sodium_base64_VARIANT_ORIGINAL);
   store->revision++;
   if (strcmp (request->url, "/control/put") == 0)
@@ -147,24 +150,25 @@
   return events;
 }
 
+/* Answers with the events after a revision. Waits for one, without the lock, for up to wait_ms. */
 static void
 answer_watch (store_t *store, const bt_standin_request_t *request, bt_standin_answer_t *answer)
 {
   json_int_t after = strtoll (get_argument (request, "after"), NULL, BASE_TEN);
   long left_ms = strtol (get_argument (request, "wait_ms"), NULL, BASE_TEN);
-  struct timespec nap = { 0, (long)POLL_MS * NS_PER_MS };
+  struct timespec pause = { 0, (long)WATCH_POLL_MS * NS_PER_MS };
   json_t *events = collect_events (store, get_argument (request, "prefix"), after);
 
   while (json_array_size (events) == 0 && left_ms > 0)
     {
       json_decref (events);
       pthread_mutex_unlock (&store->lock);
-      nanosleep (&nap, NULL);
+      nanosleep (&pause, NULL);
       pthread_mutex_lock (&store->lock);
-      left_ms -= POLL_MS;
+      left_ms -= WATCH_POLL_MS;
       events = collect_events (store, get_argument (request, "prefix"), after);
     }
-  if (after < store->dropped)
+  if (after < store->compacted_revision)
     {
       json_decref (events);
       answer->status = MHD_HTTP_GONE;
@@ -175,7 +179,7 @@
 }
 
 static bool
-holds (const store_t *store, const json_t *conditions)
+precondition_holds (const store_t *store, const json_t *conditions)
 {
   const json_t *condition;
   size_t i;
@@ -199,7 +203,7 @@
   const json_t *entry;
   size_t i;
 
-  if (!holds (store, json_object_get (body, "precondition")))
+  if (!precondition_holds (store, json_object_get (body, "precondition")))
     {
       json_decref (body);
       answer_json (answer, MHD_HTTP_PRECONDITION_FAILED, json_pack ("{s:[]}", "items"));
@@ -232,28 +236,29 @@
 }
 
 static json_int_t
-get_lapse_ms (void)
+get_lease_expiry_ms (void)
 {
-  return bt_read_clock_ms (bt_system_clock ()) + LEASE_MS;
+  return bt_read_clock_ms (bt_system_clock ()) + LEASE_TTL_MS;
 }
 
 static void
-end_lapsed_leases (store_t *store)
+end_expired_leases (store_t *store)
 {
   json_int_t now_ms = bt_read_clock_ms (bt_system_clock ());
   const char *id;
-  json_t *lapse;
+  json_t *expiry;
   void *next;
 
   json_object_foreach_safe (store->leases, next, id,
-                            lapse) if (store->lapses && json_integer_value (lapse) < now_ms)
+                            expiry) if (store->leases_expire
+                                        && json_integer_value (expiry) < now_ms)
       end_lease (store, id);
 }
 
 static void
 answer_lease (store_t *store, const bt_standin_request_t *request, bt_standin_answer_t *answer)
 {
-  static const char *const keep = "/v1/kv-keep/";
+  static const char *const renew_prefix = "/v1/kv-keep/";
   static const char *const end = "/v1/kv-lease-end/";
   char id[BT_FAULT_BYTES];
 
@@ -262,23 +267,23 @@
       end_lease (store, request->url + strlen (end));
       answer_json (answer, MHD_HTTP_OK, json_object ());
     }
-  else if (starts_with (request->url, keep))
+  else if (starts_with (request->url, renew_prefix))
     {
-      const char *lease = request->url + strlen (keep);
-      bool lives = json_object_get (store->leases, lease) != NULL;
+      const char *lease = request->url + strlen (renew_prefix);
+      bool exists = json_object_get (store->leases, lease) != NULL;
 
-      if (lives)
-        json_object_set_new (store->leases, lease, json_integer (get_lapse_ms ()));
+      if (exists)
+        json_object_set_new (store->leases, lease, json_integer (get_lease_expiry_ms ()));
 
-      answer_json (answer, lives ? MHD_HTTP_OK : MHD_HTTP_NOT_FOUND,
-                   json_pack ("{s:i}", "ttl_ms", LEASE_MS));
+      answer_json (answer, exists ? MHD_HTTP_OK : MHD_HTTP_NOT_FOUND,
+                   json_pack ("{s:i}", "ttl_ms", LEASE_TTL_MS));
     }
   else
     {
       snprintf (id, sizeof id, "%lld", (long long)++store->last_lease);
-      json_object_set_new (store->leases, id, json_integer (get_lapse_ms ()));
+      json_object_set_new (store->leases, id, json_integer (get_lease_expiry_ms ()));
       answer_json (answer, MHD_HTTP_OK,
-                   json_pack ("{s:I, s:i}", "lease_id", store->last_lease, "ttl_ms", LEASE_MS));
+                   json_pack ("{s:I, s:i}", "lease_id", store->last_lease, "ttl_ms", LEASE_TTL_MS));
     }
 }
 
@@ -287,7 +292,7 @@
 {
   if (starts_with (request->url, "/control/"))
     {
-      control (store, request);
+      apply_control (store, request);
       answer_json (answer, MHD_HTTP_OK, json_object ());
     }
   else if (strcmp (request->url, "/v1/kv-range") == 0)
@@ -313,7 +318,7 @@
 
   answer->status = MHD_HTTP_OK;
   if (!starts_with (request->url, "/control/"))
-    bt_take_standin_fault (standin, request->url, fault);
+    bt_consume_standin_fault (standin, request->url, fault);
   if (strcmp (fault, "down") == 0)
     {
       answer->drop = true;
@@ -326,8 +331,8 @@
     }
   pthread_mutex_lock (&store->lock);
   if (strcmp (fault, "compact") == 0)
-    store->dropped = store->revision;
-  end_lapsed_leases (store);
+    store->compacted_revision = store->revision;
+  end_expired_leases (store);
   answer_locked (store, request, answer);
   pthread_mutex_unlock (&store->lock);
   answer->drop = strcmp (fault, "lost-answer") == 0;
@@ -341,9 +346,9 @@
                     .history = json_array (),
                     .leases = json_object (),
                     .revision = 1,
-                    .lapses = getenv ("STORE_LAPSES") != NULL };
-  bt_standin_routes_t routes = { &store, answer_request, NULL };
-  int status = bt_run_standin (argc, argv, &routes);
+                    .leases_expire = getenv ("STORE_LAPSES") != NULL };
+  bt_standin_routes_t callbacks = { &store, answer_request, NULL };
+  int status = bt_run_standin (argc, argv, &callbacks);
 
   json_decref (store.items);
   json_decref (store.history);
--- a/test/standin/hop/main.c
+++ b/test/standin/hop/main.c
@@ -1,6 +1,6 @@
 /** @file
- * A TCP hop on loopback that passes bytes on and does harm to connections on command. Commands come
- * as datagrams to the same port, see hop.h.
+ * TCP proxy on loopback that injects faults into the connections that it forwards. Commands are UDP
+ * datagrams to the same port, see hop.h.
  */
 
 #include "hop.h"
@@ -19,28 +19,28 @@
 
 enum
 {
-  MAX_PAIRS = 256,
-  ENDS = 2,
+  MAX_CONNECTIONS = 256,
+  SIDES = 2,
   POLL_MS = 5,
   BLOCK_BYTES = 16384,
   BASE_TEN = 10,
 };
 
-/* Bytes of one direction on their way. */
-typedef struct way
+/* Bytes received in one direction and not yet forwarded. */
+typedef struct buffer
 {
   uint8_t data[BLOCK_BYTES];
   size_t bytes;
-  int64_t due_ms; /* when they may pass */
-} way_t;
+  int64_t due_ms; /* when they may be forwarded */
+} buffer_t;
 
-/* One connection and its continuation; ways[i] carries what ends[i] has sent. */
-typedef struct pair
+/* A client's connection and the one to the target. buffers[i] holds what sockets[i] received. */
+typedef struct connection
 {
-  int ends[ENDS];
-  way_t *ways[ENDS];
-  bool silent;
-} pair_t;
+  int sockets[SIDES]; /* 0: to the client, 1: to the target */
+  buffer_t *buffers[SIDES];
+  bool stalled; /* nothing is forwarded any more */
+} connection_t;
 
 typedef struct hop
 {
@@ -49,7 +49,7 @@
   int32_t target_port;
   bt_hop_fault_t fault;
   int32_t delay_ms;
-  pair_t pairs[MAX_PAIRS];
+  connection_t connections[MAX_CONNECTIONS];
   int32_t count;
 } hop_t;
 
@@ -64,137 +64,141 @@
 }
 
 static void
-close_pair (hop_t *hop, int32_t index, bool reset)
+close_connection (hop_t *hop, int32_t index, bool reset)
 {
   struct linger linger = { 1, 0 };
-  pair_t *pair = &hop->pairs[index];
+  connection_t *connection = &hop->connections[index];
 
-  for (int32_t end = 0; end < ENDS; end++)
+  for (int32_t side = 0; side < SIDES; side++)
     {
       if (reset)
-        setsockopt (pair->ends[end], SOL_SOCKET, SO_LINGER, &linger, sizeof linger);
-      close (pair->ends[end]);
-      free (pair->ways[end]);
+        setsockopt (connection->sockets[side], SOL_SOCKET, SO_LINGER, &linger, sizeof linger);
+      close (connection->sockets[side]);
+      free (connection->buffers[side]);
     }
-  *pair = hop->pairs[--hop->count];
+  *connection = hop->connections[--hop->count];
 }
 
 static void
-accept_pair (hop_t *hop)
+accept_connection (hop_t *hop)
 {
   struct sockaddr_in target = get_address (hop->target_port);
-  pair_t pair = { { accept4 (hop->listener, NULL, NULL, SOCK_CLOEXEC),
-                    socket (AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0) },
-                  { calloc (1, sizeof (way_t)), calloc (1, sizeof (way_t)) },
-                  false };
+  connection_t connection = { { accept4 (hop->listener, NULL, NULL, SOCK_CLOEXEC),
+                                socket (AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0) },
+                              { calloc (1, sizeof (buffer_t)), calloc (1, sizeof (buffer_t)) },
+                              false };
   bool refused = hop->fault == BT_HOP_REFUSE;
 
-  refused = refused || pair.ends[0] < 0
-            || connect (pair.ends[1], (struct sockaddr *)&target, sizeof target) != 0;
-  hop->pairs[hop->count++] = pair;
+  refused = refused || connection.sockets[0] < 0
+            || connect (connection.sockets[1], (struct sockaddr *)&target, sizeof target) != 0;
+  hop->connections[hop->count++] = connection;
   if (refused)
-    close_pair (hop, hop->count - 1, true);
+    close_connection (hop, hop->count - 1, true);
 }
 
-/* Passes on what is due; false when the connection is over. */
+/* Forwards the bytes that are due. Returns false when the connection must be closed. */
 static bool
-send_due (pair_t *pair, int32_t end)
+forward_due (connection_t *connection, int32_t side)
 {
-  way_t *way = pair->ways[end];
+  buffer_t *buffer = connection->buffers[side];
   ssize_t sent;
 
-  if (way->bytes == 0 || bt_read_clock_ms (bt_system_clock ()) < way->due_ms)
+  if (buffer->bytes == 0 || bt_read_clock_ms (bt_system_clock ()) < buffer->due_ms)
     return true;
-  sent = send (pair->ends[1 - end], way->data, way->bytes, MSG_NOSIGNAL | MSG_DONTWAIT);
+  sent = send (connection->sockets[1 - side], buffer->data, buffer->bytes,
+               MSG_NOSIGNAL | MSG_DONTWAIT);
   if (sent <= 0)
     return false;
-  way->bytes -= (size_t)sent;
-  memmove (way->data, way->data + sent, way->bytes);
+  buffer->bytes -= (size_t)sent;
+  memmove (buffer->data, buffer->data + sent, buffer->bytes);
   return true;
 }
 
+/* Receives bytes into an empty buffer. Returns false when the connection must be closed. */
 static bool
-receive (hop_t *hop, pair_t *pair, int32_t end)
+receive (hop_t *hop, connection_t *connection, int32_t side)
 {
-  way_t *way = pair->ways[end];
-  ssize_t bytes = recv (pair->ends[end], way->data, BLOCK_BYTES, MSG_DONTWAIT);
+  buffer_t *buffer = connection->buffers[side];
+  ssize_t bytes = recv (connection->sockets[side], buffer->data, BLOCK_BYTES, MSG_DONTWAIT);
 
   if (bytes <= 0)
     return false;
-  way->bytes = (size_t)bytes;
-  way->due_ms = bt_read_clock_ms (bt_system_clock ());
+  buffer->bytes = (size_t)bytes;
+  buffer->due_ms = bt_read_clock_ms (bt_system_clock ());
   if (hop->fault == BT_HOP_DELAY)
-    way->due_ms += hop->delay_ms;
+    buffer->due_ms += hop->delay_ms;
   return true;
 }
 
+/* Returns true when the fault stops what one side sends. */
 static bool
-is_cut (bt_hop_fault_t fault, int32_t end)
+is_blocked (bt_hop_fault_t fault, int32_t side)
 {
-  return fault == BT_HOP_CUT || (fault == BT_HOP_CUT_BACK && end == 1);
+  return fault == BT_HOP_CUT || (fault == BT_HOP_CUT_BACK && side == 1);
 }
 
-/* What strikes once is taken from the hop. */
+/* Applies a new fault to the open connections. A fault that applies once is cleared. */
 static void
-strike (hop_t *hop)
+apply_fault (hop_t *hop)
 {
   bt_hop_fault_t fault = hop->fault;
 
   if (fault == BT_HOP_RESET || fault == BT_HOP_REFUSE)
     while (hop->count > 0)
-      close_pair (hop, 0, true);
+      close_connection (hop, 0, true);
   if (fault == BT_HOP_SILENCE)
     for (int32_t i = 0; i < hop->count; i++)
-      hop->pairs[i].silent = true;
+      hop->connections[i].stalled = true;
   if (fault == BT_HOP_RESET || fault == BT_HOP_SILENCE)
     hop->fault = BT_HOP_NONE;
 }
 
 static void
-list_polls (hop_t *hop, struct pollfd *polls)
+prepare_polls (hop_t *hop, struct pollfd *polls)
 {
-  int32_t count = hop->count * ENDS;
+  int32_t count = hop->count * SIDES;
 
   for (int32_t i = 0; i < count; i++)
     {
-      const pair_t *pair = &hop->pairs[i / ENDS];
-      int32_t end = i % ENDS;
-      bool open = !pair->silent && !is_cut (hop->fault, end) && pair->ways[end]->bytes == 0;
+      const connection_t *connection = &hop->connections[i / SIDES];
+      int32_t side = i % SIDES;
+      bool open = !connection->stalled && !is_blocked (hop->fault, side)
+                  && connection->buffers[side]->bytes == 0;
 
-      polls[i].fd = open ? pair->ends[end] : -1;
+      polls[i].fd = open ? connection->sockets[side] : -1;
       polls[i].events = POLLIN;
     }
-  polls[count].fd = hop->count < MAX_PAIRS ? hop->listener : -1;
+  polls[count].fd = hop->count < MAX_CONNECTIONS ? hop->listener : -1;
   polls[count].events = POLLIN;
   polls[count + 1].fd = hop->control;
   polls[count + 1].events = POLLIN;
 }
 
 static void
-serve_pairs (hop_t *hop, const struct pollfd *polls)
+serve_connections (hop_t *hop, const struct pollfd *polls)
 {
   bt_hop_fault_t fault = hop->fault;
 
   for (int32_t i = hop->count - 1; i >= 0; i--)
     {
-      pair_t *pair = &hop->pairs[i];
+      connection_t *connection = &hop->connections[i];
       bool open = true;
 
-      for (int32_t end = 0; end < ENDS && open; end++)
+      for (int32_t side = 0; side < SIDES && open; side++)
         {
-          if (polls[i * ENDS + end].revents != 0)
-            open = receive (hop, pair, end);
-          if (open && !pair->silent && !is_cut (fault, end))
-            open = send_due (pair, end);
+          if (polls[i * SIDES + side].revents != 0)
+            open = receive (hop, connection, side);
+          if (open && !connection->stalled && !is_blocked (fault, side))
+            open = forward_due (connection, side);
         }
       if (!open)
-        close_pair (hop, i, false);
+        close_connection (hop, i, false);
     }
 }
 
-/* Takes a command and gives it back, so that its sender knows that it is in force. */
+/* Applies a command and sends it back to tell the sender that it is in force. */
 static void
-take_command (hop_t *hop)
+handle_command (hop_t *hop)
 {
   struct sockaddr_in sender;
   socklen_t sender_bytes = sizeof sender;
@@ -206,28 +210,28 @@
     return;
   hop->fault = (bt_hop_fault_t)command.fault;
   hop->delay_ms = command.delay_ms;
-  strike (hop);
+  apply_fault (hop);
   if (sendto (hop->control, &command, sizeof command, 0, (struct sockaddr *)&sender, sender_bytes)
       < 0)
-    perror ("hop: answer");
+    perror ("hop: sendto");
 }
 
 static void
 run_hop (hop_t *hop)
 {
-  struct pollfd polls[MAX_PAIRS * ENDS + 2];
+  struct pollfd polls[MAX_CONNECTIONS * SIDES + 2];
 
   for (;;)
     {
-      int32_t count = hop->count * ENDS;
+      int32_t count = hop->count * SIDES;
 
-      list_polls (hop, polls);
+      prepare_polls (hop, polls);
       poll (polls, (nfds_t)count + 2, POLL_MS);
-      serve_pairs (hop, polls);
+      serve_connections (hop, polls);
       if (polls[count].revents != 0)
-        accept_pair (hop);
+        accept_connection (hop);
       if (polls[count + 1].revents != 0)
-        take_command (hop);
+        handle_command (hop);
     }
 }
 
@@ -258,7 +262,7 @@
   hop.listener = open_socket (SOCK_STREAM, (int32_t)strtol (argv[1], NULL, BASE_TEN));
   hop.control = open_socket (SOCK_DGRAM, (int32_t)strtol (argv[1], NULL, BASE_TEN));
   hop.target_port = (int32_t)strtol (argv[2], NULL, BASE_TEN);
-  if (listen (hop.listener, MAX_PAIRS) != 0)
+  if (listen (hop.listener, MAX_CONNECTIONS) != 0)
     return 1;
   run_hop (&hop);
   return 0;
--- a/test/standin/kv/main.c
+++ b/test/standin/kv/main.c
@@ -1,3 +1,12 @@
+/** @file
+ * HTTP server of the stand-in for the key-value service. See store.h for the data.
+ *
+ *   GET /stats     how often each call was made
+ *   POST /fault    see standin_http.h, matched against the names of routes; also "stale-read"
+ *                  (ranges are as they were when the fault was set) and "silent-watch" (watches
+ *                  get no events)
+ */
+
 #include <ck_pr.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -8,22 +17,24 @@
 
 enum
 {
-  STREAM_WAIT_MS = 200,
+  WATCH_WAIT_MS = 200,
   STREAM_BLOCK_BYTES = 65536,
-  CALL_COUNT = 7,
+  ROUTE_COUNT = 7,
   WATCH_INDEX = 6,
 };
 
-typedef json_t *(*answer_t) (bt_store_t *store, const json_t *request);
+/** Handles a request and returns the answer's document. */
+typedef json_t *(*handler_t) (bt_store_t *store, const json_t *request);
 
-typedef struct call
+/** A path of the server. */
+typedef struct route
 {
   const char *name;
   const char *path;
-  answer_t answer;
-} call_t;
+  handler_t answer; /**< NULL where answer_call handles the request itself. */
+} route_t;
 
-static const call_t calls[CALL_COUNT] = {
+static const route_t routes[ROUTE_COUNT] = {
   { "range", "/v3/kv/range", NULL },
   { "put", "/v3/kv/put", bt_answer_put },
   { "txn", "/v3/kv/txn", bt_answer_txn },
@@ -33,19 +44,20 @@
   { "watch", "/v3/watch", NULL },
 };
 
-typedef struct service
+typedef struct server
 {
   bt_store_t *store;
-  uint64_t counts[CALL_COUNT];
-} service_t;
+  uint64_t counts[ROUTE_COUNT]; /**< Requests to each path, for /stats. */
+} server_t;
 
+/** The answer to a watch. */
 typedef struct stream
 {
   bt_store_t *store;
   json_t *create_request;
-  int64_t revision;
-  bool silent;
-  char *pending; /**< A line not yet wholly sent. */
+  int64_t revision; /**< First revision that was not sent yet. */
+  bool silent;      /**< Events are not sent. */
+  char *pending;    /**< A line that is not sent completely yet. */
   size_t sent_bytes;
 } stream_t;
 
@@ -63,10 +75,10 @@
 }
 
 static ssize_t
-send_pending (stream_t *stream, char *buffer, size_t room)
+send_pending (stream_t *stream, char *buffer, size_t max)
 {
   size_t left = strlen (stream->pending) - stream->sent_bytes;
-  size_t bytes = left < room ? left : room;
+  size_t bytes = left < max ? left : max;
 
   memcpy (buffer, stream->pending + stream->sent_bytes, bytes);
   stream->sent_bytes += bytes;
@@ -79,9 +91,10 @@
   return (ssize_t)bytes;
 }
 
-/* An empty line now and then lets the server notice that the watcher is gone. */
+/* Sends the next line of a watch. Without events it sends an empty line every WATCH_WAIT_MS, so
+ * that the server notices when the client has gone. */
 static ssize_t
-read_stream (void *data, uint64_t position, char *buffer, size_t room)
+read_stream (void *data, uint64_t position, char *buffer, size_t max)
 {
   stream_t *stream = data;
   json_t *answer;
@@ -89,7 +102,7 @@
   if (stream->pending == NULL)
     {
       answer = bt_wait_store_events (stream->store, stream->create_request, &stream->revision,
-                                     STREAM_WAIT_MS);
+                                     WATCH_WAIT_MS);
       if (answer != NULL && !stream->silent)
         stream->pending = make_line (answer);
       else
@@ -98,7 +111,7 @@
           stream->pending = strdup ("\n");
         }
     }
-  return send_pending (stream, buffer, room);
+  return send_pending (stream, buffer, max);
 }
 
 static void
@@ -112,10 +125,7 @@
 }
 
 static void
-open_watch (service_t *service,
-            const json_t *request,
-            const char *fault,
-            bt_standin_answer_t *answer)
+open_watch (server_t *server, const json_t *request, const char *fault, bt_standin_answer_t *answer)
 {
   stream_t *stream = calloc (1, sizeof *stream);
   const char *start = json_string_value (
@@ -123,29 +133,29 @@
 
   if (stream == NULL)
     abort ();
-  stream->store = service->store;
+  stream->store = server->store;
   stream->create_request = json_deep_copy (json_object_get (request, "create_request"));
   stream->silent = strcmp (fault, "silent-watch") == 0;
-  stream->revision = start == NULL ? bt_get_store_revision (service->store) + 1 : atoll (start);
+  stream->revision = start == NULL ? bt_get_store_revision (server->store) + 1 : atoll (start);
   stream->pending = make_line (json_pack ("{s:{s:b}}", "result", "created", 1));
   answer->response = MHD_create_response_from_callback (MHD_SIZE_UNKNOWN, STREAM_BLOCK_BYTES,
                                                         read_stream, stream, free_stream);
 }
 
 static void
-answer_stats (service_t *service, bt_standin_answer_t *answer)
+answer_stats (server_t *server, bt_standin_answer_t *answer)
 {
   json_t *stats = json_object ();
 
-  for (int32_t i = 0; i < CALL_COUNT; i++)
-    json_object_set_new (stats, calls[i].name,
-                         json_integer ((json_int_t)ck_pr_load_64 (&service->counts[i])));
+  for (int32_t i = 0; i < ROUTE_COUNT; i++)
+    json_object_set_new (stats, routes[i].name,
+                         json_integer ((json_int_t)ck_pr_load_64 (&server->counts[i])));
   answer->body = json_dumps (stats, JSON_COMPACT);
   json_decref (stats);
 }
 
 static void
-answer_call (service_t *service,
+answer_call (server_t *server,
              int32_t index,
              const json_t *request,
              const char *fault,
@@ -155,13 +165,13 @@
 
   if (index == WATCH_INDEX)
     {
-      open_watch (service, request, fault, answer);
+      open_watch (server, request, fault, answer);
       return;
     }
-  if (calls[index].answer == NULL)
-    document = bt_answer_range (service->store, request, strcmp (fault, "stale-read") == 0);
+  if (routes[index].answer == NULL)
+    document = bt_answer_range (server->store, request, strcmp (fault, "stale-read") == 0);
   else
-    document = calls[index].answer (service->store, request);
+    document = routes[index].answer (server->store, request);
   answer->body = json_dumps (document, JSON_COMPACT);
   answer->drop = strcmp (fault, "lost-answer") == 0;
   json_decref (document);
@@ -173,25 +183,25 @@
                 const bt_standin_request_t *request,
                 bt_standin_answer_t *answer)
 {
-  service_t *service = data;
+  server_t *server = data;
   char fault[BT_FAULT_BYTES];
   json_t *document;
   int32_t index = 0;
 
   if (strcmp (request->url, "/stats") == 0)
     {
-      answer_stats (service, answer);
+      answer_stats (server, answer);
       return;
     }
-  while (index < CALL_COUNT && strcmp (request->url, calls[index].path) != 0)
+  while (index < ROUTE_COUNT && strcmp (request->url, routes[index].path) != 0)
     index++;
-  if (index == CALL_COUNT)
+  if (index == ROUTE_COUNT)
     {
       answer->status = MHD_HTTP_NOT_FOUND;
       return;
     }
-  ck_pr_inc_64 (&service->counts[index]);
-  bt_take_standin_fault (standin, calls[index].name, fault);
+  ck_pr_inc_64 (&server->counts[index]);
+  bt_consume_standin_fault (standin, routes[index].name, fault);
   if (strcmp (fault, "down") == 0)
     {
       answer->drop = true;
@@ -201,22 +211,22 @@
   if (document == NULL)
     answer->status = MHD_HTTP_BAD_REQUEST;
   else
-    answer_call (service, index, document, fault, answer);
+    answer_call (server, index, document, fault, answer);
   json_decref (document);
 }
 
 static void
-note_fault (void *data, const char *kind)
+on_fault (void *data, const char *kind)
 {
   if (strcmp (kind, "stale-read") == 0)
-    bt_snapshot_store (((service_t *)data)->store);
+    bt_snapshot_store (((server_t *)data)->store);
 }
 
 int
 main (int argc, char **argv)
 {
-  service_t service = { .store = bt_new_store () };
-  bt_standin_routes_t routes = { &service, answer_request, note_fault };
+  server_t server = { .store = bt_new_store () };
+  bt_standin_routes_t callbacks = { &server, answer_request, on_fault };
 
-  return bt_run_standin (argc, argv, &routes);
+  return bt_run_standin (argc, argv, &callbacks);
 }
--- a/test/standin/kv/store.c
+++ b/test/standin/kv/store.c
@@ -13,20 +13,20 @@
   NUMBER_BYTES = 24,
   MS_PER_S = 1000,
   NS_PER_MS = 1000000,
-  DECIMAL = 10,
+  BASE_TEN = 10,
 };
 
 struct bt_store
 {
-  pthread_mutex_t lock;   /**< Guards all below. */
-  pthread_cond_t changed; /**< A revision was made. */
+  pthread_mutex_t lock;            /**< Guards the fields below. */
+  pthread_cond_t revision_changed; /**< Signaled after each new revision. */
   int64_t revision;
   int64_t next_lease;
-  json_t *keys;    /**< By plain key: the "kv" documents. */
-  json_t *leases;  /**< By number: when it ends, in monotonic milliseconds, and its life. */
-  json_t *history; /**< Events, each with its "revision". */
-  json_t *old_keys;
-  int64_t old_revision;
+  json_t *keys;   /**< The "kv" documents by key, which is not encoded here. */
+  json_t *leases; /**< By id: when it expires, in monotonic milliseconds, and its TTL in seconds. */
+  json_t *history;           /**< Events, each with its "revision". */
+  json_t *snapshot_keys;     /**< Keys of the last snapshot. */
+  int64_t snapshot_revision; /**< Revision of the last snapshot. */
 };
 
 bt_store_t *
@@ -40,14 +40,14 @@
   pthread_mutex_init (&store->lock, NULL);
   pthread_condattr_init (&attributes);
   pthread_condattr_setclock (&attributes, CLOCK_MONOTONIC);
-  pthread_cond_init (&store->changed, &attributes);
+  pthread_cond_init (&store->revision_changed, &attributes);
   store->revision = 1;
   store->next_lease = 1000;
   store->keys = json_object ();
   store->leases = json_object ();
   store->history = json_array ();
-  store->old_keys = json_object ();
-  store->old_revision = 1;
+  store->snapshot_keys = json_object ();
+  store->snapshot_revision = 1;
   return store;
 }
 
@@ -76,7 +76,7 @@
 
   if (json_is_integer (value))
     return json_integer_value (value);
-  return json_is_string (value) ? strtoll (json_string_value (value), NULL, DECIMAL) : 0;
+  return json_is_string (value) ? strtoll (json_string_value (value), NULL, BASE_TEN) : 0;
 }
 
 static const char *
@@ -87,6 +87,7 @@
   return json_is_string (value) ? json_string_value (value) : "";
 }
 
+/* Decodes a key from Base64. */
 static void
 get_key (const json_t *object, const char *name, char key[KEY_BYTES])
 {
@@ -118,11 +119,11 @@
 }
 
 static void
-record_event (bt_store_t *store, const char *type, json_t *pair)
+record_event (bt_store_t *store, const char *type, json_t *kv)
 {
   json_array_append_new (store->history,
                          json_pack ("{s:s, s:I, s:o}", "type", type, "revision",
-                                    (json_int_t)store->revision, "kv", json_deep_copy (pair)));
+                                    (json_int_t)store->revision, "kv", json_deep_copy (kv)));
 }
 
 static void
@@ -130,18 +131,18 @@
 {
   char key[KEY_BYTES];
   const json_t *old;
-  json_t *pair;
+  json_t *kv;
 
   get_key (request, "key", key);
   old = json_object_get (store->keys, key);
-  pair = json_pack (
-      "{s:s, s:s, s:o, s:o, s:o, s:o}", "key", get_text (request, "key"), "value",
-      get_text (request, "value"), "mod_revision", make_number (store->revision), "create_revision",
-      make_number (old == NULL ? store->revision : get_number (old, "create_revision")), "version",
-      make_number (get_number (old, "version") + 1), "lease",
-      make_number (get_number (request, "lease")));
-  record_event (store, "PUT", pair);
-  json_object_set_new (store->keys, key, pair);
+  kv = json_pack ("{s:s, s:s, s:o, s:o, s:o, s:o}", "key", get_text (request, "key"), "value",
+                  get_text (request, "value"), "mod_revision", make_number (store->revision),
+                  "create_revision",
+                  make_number (old == NULL ? store->revision : get_number (old, "create_revision")),
+                  "version", make_number (get_number (old, "version") + 1), "lease",
+                  make_number (get_number (request, "lease")));
+  record_event (store, "PUT", kv);
+  json_object_set_new (store->keys, key, kv);
 }
 
 static void
@@ -162,17 +163,17 @@
   char number[NUMBER_BYTES];
   const char *key;
   void *next;
-  json_t *pair;
+  json_t *kv;
 
   snprintf (number, sizeof number, "%lld", (long long)lease);
   json_object_del (store->leases, number);
   store->revision++;
-  json_object_foreach_safe (store->keys, next, key, pair)
+  json_object_foreach_safe (store->keys, next, key, kv)
   {
-    if (get_number (pair, "lease") == lease)
+    if (get_number (kv, "lease") == lease)
       delete_locked (store, key);
   }
-  pthread_cond_broadcast (&store->changed);
+  pthread_cond_broadcast (&store->revision_changed);
 }
 
 static void
@@ -186,10 +187,11 @@
   json_object_foreach_safe (store->leases, next, number, lease)
   {
     if (get_number (lease, "ends_ms") <= now)
-      end_lease_locked (store, strtoll (number, NULL, DECIMAL));
+      end_lease_locked (store, strtoll (number, NULL, BASE_TEN));
   }
 }
 
+/* Takes the lock and ends the leases that have expired. */
 static void
 lock_store (bt_store_t *store)
 {
@@ -201,9 +203,9 @@
 bt_snapshot_store (bt_store_t *store)
 {
   lock_store (store);
-  json_decref (store->old_keys);
-  store->old_keys = json_deep_copy (store->keys);
-  store->old_revision = store->revision;
+  json_decref (store->snapshot_keys);
+  store->snapshot_keys = json_deep_copy (store->keys);
+  store->snapshot_revision = store->revision;
   pthread_mutex_unlock (&store->lock);
 }
 
@@ -213,15 +215,15 @@
   json_t *found = json_array ();
   json_t *answer;
   const char *key;
-  json_t *pair;
+  json_t *kv;
 
   lock_store (store);
-  answer = make_answer (stale ? store->old_revision : store->revision);
-  json_object_foreach (stale ? store->old_keys : store->keys, key, pair)
+  answer = make_answer (stale ? store->snapshot_revision : store->revision);
+  json_object_foreach (stale ? store->snapshot_keys : store->keys, key, kv)
   {
     if (is_in_range (request, key)
-        && get_number (pair, "mod_revision") >= get_number (request, "min_mod_revision"))
-      json_array_append (found, pair);
+        && get_number (kv, "mod_revision") >= get_number (request, "min_mod_revision"))
+      json_array_append (found, kv);
   }
   json_object_set_new (answer, "count", make_number ((int64_t)json_array_size (found)));
   json_object_set_new (answer, "kvs", json_deep_copy (found));
@@ -239,13 +241,13 @@
   store->revision++;
   put_locked (store, request);
   answer = make_answer (store->revision);
-  pthread_cond_broadcast (&store->changed);
+  pthread_cond_broadcast (&store->revision_changed);
   pthread_mutex_unlock (&store->lock);
   return answer;
 }
 
 static bool
-holds_locked (bt_store_t *store, const json_t *compare)
+compare_matches_locked (bt_store_t *store, const json_t *compare)
 {
   char key[KEY_BYTES];
 
@@ -274,14 +276,14 @@
         delete_locked (store, key);
       }
   }
-  pthread_cond_broadcast (&store->changed);
+  pthread_cond_broadcast (&store->revision_changed);
 }
 
 json_t *
 bt_answer_txn (bt_store_t *store, const json_t *request)
 {
   const json_t *compares = json_object_get (request, "compare");
-  bool holds = true;
+  bool matches = true;
   json_t *answer;
   size_t index;
   json_t *compare;
@@ -289,41 +291,41 @@
   lock_store (store);
   json_array_foreach (compares, index, compare)
   {
-    if (!holds_locked (store, compare))
-      holds = false;
+    if (!compare_matches_locked (store, compare))
+      matches = false;
   }
-  if (holds)
+  if (matches)
     run_writes_locked (store, json_object_get (request, "success"));
   answer = make_answer (store->revision);
   pthread_mutex_unlock (&store->lock);
-  if (holds)
+  if (matches)
     json_object_set_new (answer, "succeeded", json_true ());
   return answer;
 }
 
 static void
-set_lease_locked (bt_store_t *store, const char *number, int64_t life_s)
+set_lease_locked (bt_store_t *store, const char *number, int64_t ttl_s)
 {
-  json_int_t ends_ms = now_ms () + life_s * MS_PER_S;
+  json_int_t ends_ms = now_ms () + ttl_s * MS_PER_S;
 
   json_object_set_new (store->leases, number,
-                       json_pack ("{s:I, s:I}", "ends_ms", ends_ms, "life_s", (json_int_t)life_s));
+                       json_pack ("{s:I, s:I}", "ends_ms", ends_ms, "life_s", (json_int_t)ttl_s));
 }
 
 json_t *
 bt_answer_grant (bt_store_t *store, const json_t *request)
 {
   char number[NUMBER_BYTES];
-  int64_t life_s = get_number (request, "TTL");
+  int64_t ttl_s = get_number (request, "TTL");
   json_t *answer;
 
   lock_store (store);
   snprintf (number, sizeof number, "%lld", (long long)++store->next_lease);
-  set_lease_locked (store, number, life_s);
+  set_lease_locked (store, number, ttl_s);
   answer = make_answer (store->revision);
   pthread_mutex_unlock (&store->lock);
   json_object_set_new (answer, "ID", json_string (number));
-  json_object_set_new (answer, "TTL", make_number (life_s));
+  json_object_set_new (answer, "TTL", make_number (ttl_s));
   return answer;
 }
 
@@ -333,19 +335,19 @@
   char number[NUMBER_BYTES];
   const json_t *lease;
   json_t *result;
-  int64_t life_s;
+  int64_t ttl_s;
 
   snprintf (number, sizeof number, "%lld", (long long)get_number (request, "ID"));
   lock_store (store);
   lease = json_object_get (store->leases, number);
-  life_s = get_number (lease, "life_s");
+  ttl_s = get_number (lease, "life_s");
   if (lease != NULL)
-    set_lease_locked (store, number, life_s);
+    set_lease_locked (store, number, ttl_s);
   result = make_answer (store->revision);
   pthread_mutex_unlock (&store->lock);
   json_object_set_new (result, "ID", json_string (number));
-  if (life_s > 0)
-    json_object_set_new (result, "TTL", make_number (life_s));
+  if (ttl_s > 0)
+    json_object_set_new (result, "TTL", make_number (ttl_s));
   return json_pack ("{s:o}", "result", result);
 }
 
@@ -404,7 +406,7 @@
 
   lock_store (store);
   while (store->revision < *revision && timed_out == 0)
-    timed_out = pthread_cond_timedwait (&store->changed, &store->lock, &end);
+    timed_out = pthread_cond_timedwait (&store->revision_changed, &store->lock, &end);
   events = find_events_locked (store, create_request, revision);
   if (json_array_size (events) > 0)
     {
--- a/test/standin/plain/main.c
+++ b/test/standin/plain/main.c
@@ -1,8 +1,10 @@
 /** @file
- * A stand-in for a plain service: answers any call with a digest of what it got, and logs each.
+ * Stand-in for a plain service. It answers any call with a digest of the body and logs the call.
  *
- *   POST /any        the service      GET /log   {"calls":[{"run":"..."}]}
- *   POST /fault      {"kind":"fail"|"slow","count":N,"delay_ms":N}, see standin_http.h
+ *   POST /any     the service
+ *   GET /log      {"calls":[{"run":"..."}]}
+ *   GET /load     {"running":N,"queued":0,"capacity":0}
+ *   POST /fault   {"kind":"fail"|"slow","count":N,"delay_ms":N}, see standin_http.h
  */
 
 #include <jansson.h>
@@ -20,7 +22,7 @@
 
 typedef struct service
 {
-  pthread_mutex_t lock; /**< Guards what stands below. */
+  pthread_mutex_t lock; /**< Guards the fields below. */
   json_t *calls;
   int32_t running;
 } service_t;
@@ -34,7 +36,7 @@
 }
 
 static void
-note_call (service_t *service, const bt_standin_request_t *request)
+log_call (service_t *service, const bt_standin_request_t *request)
 {
   const char *run =
       MHD_lookup_connection_value (request->connection, MHD_HEADER_KIND, "Bilberry-Run");
@@ -45,7 +47,7 @@
 }
 
 static void
-change_running (service_t *service, int32_t change)
+add_running (service_t *service, int32_t change)
 {
   pthread_mutex_lock (&service->lock);
   service->running += change;
@@ -62,7 +64,7 @@
   return sum & DIGEST_MASK;
 }
 
-/* A call that is told to fail is not run, and so not logged. */
+/* Runs a call. A call that a fault lets fail is not run and therefore not logged. */
 static void
 run_call (service_t *service,
           bt_standin_t *standin,
@@ -71,16 +73,16 @@
 {
   char fault[BT_FAULT_BYTES];
 
-  change_running (service, 1);
-  bt_take_standin_fault (standin, request->url, fault);
-  change_running (service, -1);
+  add_running (service, 1);
+  bt_consume_standin_fault (standin, request->url, fault);
+  add_running (service, -1);
   if (strcmp (fault, "fail") == 0)
     {
       answer_json (answer, MHD_HTTP_SERVICE_UNAVAILABLE,
                    json_pack ("{s:s}", "error", "asked to fail"));
       return;
     }
-  note_call (service, request);
+  log_call (service, request);
   answer_json (answer, MHD_HTTP_OK,
                json_pack ("{s:s,s:i,s:i}", "path", request->url, "bytes", (int)request->body_bytes,
                           "sum", (int)digest_body (request)));
@@ -111,8 +113,8 @@
 main (int argc, char **argv)
 {
   service_t service = { .lock = PTHREAD_MUTEX_INITIALIZER, .calls = json_array () };
-  bt_standin_routes_t routes = { &service, answer_request, NULL };
-  int status = bt_run_standin (argc, argv, &routes);
+  bt_standin_routes_t callbacks = { &service, answer_request, NULL };
+  int status = bt_run_standin (argc, argv, &callbacks);
 
   json_decref (service.calls);
   return status;
