--- a/test/soak/faults.c
+++ b/test/soak/faults.c
@@ -17,8 +17,8 @@
   MAX_PAUSE_MS = 4000,
   MAX_FAULT_MS = 5000,
   MAX_DELAY_MS = 400,
-  VALID_KEYS = 2,
-  KILL_ALL_ODDS = 12,
+  VALID_KEYS = 2,     /* numbered keys that are valid at a time */
+  KILL_ALL_ODDS = 12, /* a drawn FAULT_KILL_ALL happens 1 time in this many */
   STOP_POLL_MS = 20,
   NO_TARGET = -1,
   HEX_BASE = 16,
@@ -33,21 +33,23 @@
   FAULT_KILL_ALL,    /* all gateways are killed at once */
   FAULT_STORE_LINK,  /* on the hop between a gateway and the store */
   FAULT_RUNNER_LINK, /* on the hop before a runner */
-  FAULT_RUNNER,
+  FAULT_RUNNER,      /* one of runner_faults at a runner stand-in */
   FAULT_RUNNER_REPLACED,
-  FAULT_STORE,
+  FAULT_STORE, /* one of store_faults at the store stand-in */
   FAULT_KINDS,
 } fault_kind_t;
 
+/* Names of fault_kind_t in the output. */
 static const char *const fault_names[] = { "freeze",     "kill",   "stop",     "herd", "store-way",
                                            "runner-way", "runner", "replaced", "store" };
+/* Kinds of faults of the stand-ins. */
 static const char *const runner_faults[] = {
   "full", "fail", "cut", "cut-first", "unmarked", "slow"
 };
 static const char *const store_faults[] = { "down", "refuse", "lost-answer", "slow", "compact" };
 
 /** A fault in force. */
-typedef struct active
+typedef struct active_fault
 {
   fault_kind_t kind;
   int32_t target; /* index of the gateway or runner, or NO_TARGET */
@@ -60,8 +62,8 @@
   active_fault_t active[MAX_ACTIVE];
   int32_t count;
   int32_t max_pause_ms; /* longest pause between two faults for this seed */
-  int64_t next_ms;
-  int64_t next_key_ms;
+  int64_t next_ms;      /* time of the next fault */
+  int64_t next_key_ms;  /* time of the next key */
 };
 
 static int64_t
--- a/test/soak/main.c
+++ b/test/soak/main.c
@@ -190,7 +190,7 @@
   return fallback;
 }
 
-/* soak [--seed N] [--seconds N] [--gateways N] [--runners N] [--callers N] [--poison 1] */
+/* Usage: soak [--seed N] [--seconds N] [--gateways N] [--runners N] [--callers N] [--poison 1] */
 int
 main (int argc, char **argv)
 {
--- a/test/soak/poison.c
+++ b/test/soak/poison.c
@@ -24,7 +24,7 @@
 {
   bt_soak_t *soak;
   bt_random_t random; /* separate, so that a seed gives the same faults with and without poison */
-  int64_t restart_ms[BT_FIELD_MOST_RUNNERS]; /* of a crashed runner; 0: none due */
+  int64_t restart_ms[BT_FIELD_MOST_RUNNERS]; /* when to restart each runner; 0: none due */
   int64_t runs_ms[MAX_RUNS];                 /* sorted */
   int32_t runs;
   int32_t late_runs;
--- a/test/standin/common/hop.h
+++ b/test/standin/common/hop.h
@@ -13,12 +13,12 @@
 typedef enum bt_hop_fault
 {
   BT_HOP_NONE = 0,
-  BT_HOP_RESET,    /**< Once: resets the open connections; new ones work. */
-  BT_HOP_SILENCE,  /**< Once: stops forwarding on the open connections, which stay open. */
-  BT_HOP_REFUSE,   /**< Resets all connections, also new ones. */
-  BT_HOP_CUT,      /**< Forwards nothing; new connections are accepted. */
-  BT_HOP_CUT_BACK, /**< Forwards nothing from the target to the client. */
-  BT_HOP_DELAY,    /**< Forwards bytes with a delay. */
+  BT_HOP_RESET,           /**< Once: resets the open connections; new ones work. */
+  BT_HOP_STALL,           /**< Once: stops forwarding on the open connections, which stay open. */
+  BT_HOP_REFUSE,          /**< Resets all connections, also new ones. */
+  BT_HOP_CUT,             /**< Forwards nothing; new connections are accepted. */
+  BT_HOP_CUT_FROM_TARGET, /**< Forwards nothing from the target to the client. */
+  BT_HOP_DELAY,           /**< Forwards bytes with a delay. */
   BT_HOP_FAULTS,
 } bt_hop_fault_t;
 
--- a/test/standin/hop/main.c
+++ b/test/standin/hop/main.c
@@ -134,7 +134,7 @@
 static bool
 is_blocked (bt_hop_fault_t fault, int32_t side)
 {
-  return fault == BT_HOP_CUT || (fault == BT_HOP_CUT_BACK && side == 1);
+  return fault == BT_HOP_CUT || (fault == BT_HOP_CUT_FROM_TARGET && side == 1);
 }
 
 /* Applies a new fault to the open connections. A fault that applies once is cleared. */
@@ -146,10 +146,10 @@
   if (fault == BT_HOP_RESET || fault == BT_HOP_REFUSE)
     while (hop->count > 0)
       close_connection (hop, 0, true);
-  if (fault == BT_HOP_SILENCE)
+  if (fault == BT_HOP_STALL)
     for (int32_t i = 0; i < hop->count; i++)
       hop->connections[i].stalled = true;
-  if (fault == BT_HOP_RESET || fault == BT_HOP_SILENCE)
+  if (fault == BT_HOP_RESET || fault == BT_HOP_STALL)
     hop->fault = BT_HOP_NONE;
 }
 
@@ -251,7 +251,7 @@
   return fd;
 }
 
-/* hop PORT TARGET_PORT */
+/* Usage: hop PORT TARGET_PORT */
 int
 main (int argc, char **argv)
 {
