--- a/bench/bench_capacity.c
+++ b/bench/bench_capacity.c
@@ -12,8 +12,8 @@
 #include "config_documents.h"
 #include "harness_config.h"
 #include "harness_cpu.h"
-#include "harness_kept.h"
-#include "harness_spread.h"
+#include "harness_memory.h"
+#include "harness_sync.h"
 
 enum
 {
--- a/bench/bench_experiment.c
+++ b/bench/bench_experiment.c
@@ -98,7 +98,7 @@
 
 /* Reads a variant. Values that it does not set stay as shipped. */
 static void
-read_variant (const char *file, json_t *value, bt_group_way_t *variant)
+read_variant (const char *file, json_t *value, bt_group_variant_t *variant)
 {
   const char *name;
   const char *planner = "round";
@@ -107,7 +107,7 @@
   int known = 0;
   json_error_t error;
 
-  *variant = bt_get_shipped_group_way ();
+  *variant = bt_get_shipped_group_variant ();
   half_life_ms = variant->maps.load_half_life_ms;
   if (json_unpack_ex (value, &error, JSON_STRICT, "{s:s, s?s, s?b, s?b, s?I, s?F, s?F, s?F}",
                       "name", &name, "planner", &planner, "keep_past", &keep_past, "known", &known,
@@ -157,7 +157,7 @@
 static void
 run_load (bt_context_t *ctx,
           const bt_group_load_t *load,
-          const bt_group_way_t *variants,
+          const bt_group_variant_t *variants,
           size_t variant_count,
           const uint64_t *seeds,
           size_t seed_count)
@@ -171,7 +171,7 @@
         {
           bt_group_result_t result;
 
-          bt_play_group (ctx, load, &variants[i], seeds[seed], &result);
+          bt_simulate_group (ctx, load, &variants[i], seeds[seed], &result);
           add_result (&rows[i], &result);
         }
       if (variants[i].demand_known)
@@ -212,7 +212,7 @@
   json_t *variant_list;
   uint64_t seeds[MAX_SEEDS];
   size_t seed_count;
-  bt_group_way_t *variants;
+  bt_group_variant_t *variants;
 
   if (root == NULL)
     die (file, "cannot read the experiment", &error);
--- a/bench/bench_policy.c
+++ b/bench/bench_policy.c
@@ -2,7 +2,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "harness_figures.h"
+#include "harness_metrics.h"
 #include "harness_policies.h"
 #include "harness_scenarios.h"
 
--- a/bench/harness_engine.c
+++ b/bench/harness_engine.c
@@ -1,7 +1,7 @@
 #include <stdio.h>
 #include <string.h>
 
-#include "harness_world.h"
+#include "harness_simulation.h"
 
 enum
 {
--- a/bench/harness_events.c
+++ b/bench/harness_events.c
@@ -1,4 +1,4 @@
-#include "harness_world.h"
+#include "harness_simulation.h"
 
 enum
 {
--- a/bench/harness_group.c
+++ b/bench/harness_group.c
@@ -45,7 +45,7 @@
 {
   bt_context_t *ctx;
   const bt_group_load_t *load;
-  const bt_group_way_t *variant;
+  const bt_group_variant_t *variant;
   bt_group_result_t *result;
   bt_random_t random;
   double now_ms;
@@ -574,20 +574,20 @@
     begin_round (group);
 }
 
-bt_group_way_t
-bt_get_shipped_group_way (void)
+bt_group_variant_t
+bt_get_shipped_group_variant (void)
 {
-  return (bt_group_way_t){ .name = "as shipped",
-                           .maps = bt_get_default_group_maps_settings (),
-                           .pass_time_share = shipped_pass_time_share };
+  return (bt_group_variant_t){ .name = "as shipped",
+                               .maps = bt_get_default_group_maps_settings (),
+                               .pass_time_share = shipped_pass_time_share };
 }
 
 void
-bt_play_group (bt_context_t *ctx,
-               const bt_group_load_t *load,
-               const bt_group_way_t *variant,
-               uint64_t seed,
-               bt_group_result_t *result)
+bt_simulate_group (bt_context_t *ctx,
+                   const bt_group_load_t *load,
+                   const bt_group_variant_t *variant,
+                   uint64_t seed,
+                   bt_group_result_t *result)
 {
   group_t group = { .ctx = ctx, .load = load, .variant = variant, .result = result };
 
--- a/bench/harness_group.h
+++ b/bench/harness_group.h
@@ -42,13 +42,13 @@
 } bt_group_load_t;
 
 /** Settings under which a group is run. */
-typedef struct bt_group_way
+typedef struct bt_group_variant
 {
   char name[BT_NAME_BYTES];
   bt_group_maps_settings_t maps;
   double pass_time_share; /**< Target duration of a pass, as a share of pause_ms. */
   bool demand_known; /**< Demand is known in advance and copies take no time: the upper bound. */
-} bt_group_way_t;
+} bt_group_variant_t;
 
 /** Service that the callers got. */
 typedef struct bt_group_result
@@ -65,13 +65,13 @@
 } bt_group_result_t;
 
 /** Returns the settings that are shipped. */
-bt_group_way_t bt_get_shipped_group_way (void);
+bt_group_variant_t bt_get_shipped_group_variant (void);
 
 /** Simulates a load until all its requests have ended. */
-void bt_play_group (bt_context_t *ctx,
-                    const bt_group_load_t *load,
-                    const bt_group_way_t *variant,
-                    uint64_t seed,
-                    bt_group_result_t *result);
+void bt_simulate_group (bt_context_t *ctx,
+                        const bt_group_load_t *load,
+                        const bt_group_variant_t *variant,
+                        uint64_t seed,
+                        bt_group_result_t *result);
 
 #endif
--- a/bench/harness_kept.c
+++ b/bench/harness_memory.c
@@ -1,4 +1,4 @@
-#include "harness_kept.h"
+#include "harness_memory.h"
 
 #include <stdio.h>
 #include <stdlib.h>
--- a/bench/harness_kept.h
+++ b/bench/harness_memory.h
@@ -1,5 +1,5 @@
-#ifndef BILBERRYTRAY_BENCH_HARNESS_KEPT_H
-#define BILBERRYTRAY_BENCH_HARNESS_KEPT_H
+#ifndef BILBERRYTRAY_BENCH_HARNESS_MEMORY_H
+#define BILBERRYTRAY_BENCH_HARNESS_MEMORY_H
 
 /** @file
  * Objects that a process holds in memory, made in a given number, to measure the cost of one.
--- a/bench/harness_figures.c
+++ b/bench/harness_metrics.c
@@ -1,4 +1,4 @@
-#include "harness_figures.h"
+#include "harness_metrics.h"
 
 #include <stdlib.h>
 #include <string.h>
--- a/bench/harness_figures.h
+++ b/bench/harness_metrics.h
@@ -1,11 +1,11 @@
-#ifndef BILBERRYTRAY_BENCH_HARNESS_FIGURES_H
-#define BILBERRYTRAY_BENCH_HARNESS_FIGURES_H
+#ifndef BILBERRYTRAY_BENCH_HARNESS_METRICS_H
+#define BILBERRYTRAY_BENCH_HARNESS_METRICS_H
 
 /** @file
  * Metrics of one simulation run.
  */
 
-#include "harness_world.h"
+#include "harness_simulation.h"
 
 enum
 {
--- a/bench/harness_policies.h
+++ b/bench/harness_policies.h
@@ -7,7 +7,7 @@
  */
 
 #include "bilberrytray/load/admission.h"
-#include "harness_world.h"
+#include "harness_simulation.h"
 
 /** The core with its default options, as changed by bt_set_core_tweak. */
 extern const policy_t bt_core_policy;
--- a/bench/harness_scenarios.h
+++ b/bench/harness_scenarios.h
@@ -5,7 +5,7 @@
  * Scenarios of the policy bench.
  */
 
-#include "harness_world.h"
+#include "harness_simulation.h"
 
 int32_t bt_count_scenarios (void);
 void bt_get_scenario (int32_t index, scenario_t *scenario);
--- a/bench/harness_world.h
+++ b/bench/harness_simulation.h
@@ -1,5 +1,5 @@
-#ifndef BILBERRYTRAY_BENCH_HARNESS_WORLD_H
-#define BILBERRYTRAY_BENCH_HARNESS_WORLD_H
+#ifndef BILBERRYTRAY_BENCH_HARNESS_SIMULATION_H
+#define BILBERRYTRAY_BENCH_HARNESS_SIMULATION_H
 
 /** @file
  * Discrete-event simulation for the policy bench: a simulated clock, endpoints with slots and a
--- a/bench/harness_spread.c
+++ b/bench/harness_sync.c
@@ -1,4 +1,4 @@
-#include "harness_spread.h"
+#include "harness_sync.h"
 
 #include <stdio.h>
 #include <stdlib.h>
--- a/bench/harness_spread.h
+++ b/bench/harness_sync.h
@@ -1,5 +1,5 @@
-#ifndef BILBERRYTRAY_BENCH_HARNESS_SPREAD_H
-#define BILBERRYTRAY_BENCH_HARNESS_SPREAD_H
+#ifndef BILBERRYTRAY_BENCH_HARNESS_SYNC_H
+#define BILBERRYTRAY_BENCH_HARNESS_SYNC_H
 
 /** @file
  * A fleet of entry instances that run the core's config sync in one thread with simulated time,
--- a/test/agent/test_side.c
+++ b/test/agent/test_side.c
@@ -201,7 +201,7 @@
                                             .beat_ms = 100,
                                             .link_idle_ms = 10000,
                                             .max_links = 4 };
-  bt_standin_routes_t routes = { &engine, answer_call, NULL };
+  bt_standin_callbacks_t routes = { &engine, answer_call, NULL };
   bt_error_t error = { 0 };
 
   ctx = bt_new_context ();
--- a/test/gateway/test_group_load.c
+++ b/test/gateway/test_group_load.c
@@ -41,7 +41,7 @@
 }
 
 static bt_group_result_t
-run_load (const bt_group_load_t *load, const bt_group_way_t *way)
+run_load (const bt_group_load_t *load, const bt_group_variant_t *way)
 {
   bt_context_t *ctx = bt_new_context ();
   bt_group_result_t sum = { 0 };
@@ -50,7 +50,7 @@
     {
       bt_group_result_t result;
 
-      bt_play_group (ctx, load, way, seed, &result);
+      bt_simulate_group (ctx, load, way, seed, &result);
       CU_ASSERT_EQUAL (result.in_time + result.late + result.left, result.asked);
       sum.asked += result.asked;
       sum.in_time += result.in_time;
@@ -74,8 +74,8 @@
 test_jumps_are_followed_in_time (void)
 {
   bt_group_load_t load = get_steep_load ();
-  bt_group_way_t shipped = bt_get_shipped_group_way ();
-  bt_group_way_t slow = shipped;
+  bt_group_variant_t shipped = bt_get_shipped_group_variant ();
+  bt_group_variant_t slow = shipped;
   bt_group_result_t with;
   bt_group_result_t without;
 
@@ -95,7 +95,7 @@
 test_frequent_jumps_make_few_late (void)
 {
   bt_group_load_t load = get_steep_load ();
-  bt_group_way_t shipped = bt_get_shipped_group_way ();
+  bt_group_variant_t shipped = bt_get_shipped_group_variant ();
   bt_group_result_t result;
 
   load.engine.slots = 10;
@@ -123,7 +123,7 @@
 test_constant_demand_is_served_in_time (void)
 {
   bt_group_load_t load = get_steep_load ();
-  bt_group_way_t shipped = bt_get_shipped_group_way ();
+  bt_group_variant_t shipped = bt_get_shipped_group_variant ();
   bt_group_result_t result;
 
   load.shift = BT_SHIFT_NONE;
@@ -137,8 +137,8 @@
 test_half_empty_group_copies_less (void)
 {
   bt_group_load_t load = get_steep_load ();
-  bt_group_way_t shipped = bt_get_shipped_group_way ();
-  bt_group_way_t cheap = shipped;
+  bt_group_variant_t shipped = bt_get_shipped_group_variant ();
+  bt_group_variant_t cheap = shipped;
   bt_group_result_t by_need;
   bt_group_result_t always;
 
--- a/test/process/test_side_page.c
+++ b/test/process/test_side_page.c
@@ -70,7 +70,7 @@
     answer->drop = true;
 }
 
-static const bt_standin_routes_t engine_routes = { NULL, answer_engine, NULL };
+static const bt_standin_callbacks_t engine_routes = { NULL, answer_engine, NULL };
 
 static void
 on_up (bt_link_handler_t *handler, bt_link_t *link)
--- a/test/standin/common/standin_http.c
+++ b/test/standin/common/standin_http.c
@@ -20,7 +20,7 @@
 
 struct bt_standin
 {
-  bt_standin_routes_t callbacks;
+  bt_standin_callbacks_t callbacks;
   struct MHD_Daemon *daemon;
   pthread_mutex_t lock;      /**< Guards the fields below. */
   char kind[BT_FAULT_BYTES]; /**< Of the fault in force. */
@@ -166,7 +166,7 @@
 }
 
 bt_standin_t *
-bt_start_standin (uint16_t port, const bt_standin_routes_t *callbacks)
+bt_start_standin (uint16_t port, const bt_standin_callbacks_t *callbacks)
 {
   bt_standin_t *standin = calloc (1, sizeof *standin);
   struct sockaddr_in address = { .sin_family = AF_INET };
@@ -214,7 +214,7 @@
 }
 
 int
-bt_run_standin (int argc, char **argv, const bt_standin_routes_t *callbacks)
+bt_run_standin (int argc, char **argv, const bt_standin_callbacks_t *callbacks)
 {
   bt_standin_t *standin;
   sigset_t signals;
--- a/test/standin/common/standin_http.h
+++ b/test/standin/common/standin_http.h
@@ -40,7 +40,7 @@
 } bt_standin_answer_t;
 
 /** Callbacks of a stand-in. */
-typedef struct bt_standin_routes
+typedef struct bt_standin_callbacks
 {
   void *data; /**< Passed to the callbacks. */
   /** Answers a request. Runs in the connection's own thread and may block. */
@@ -50,10 +50,10 @@
                   bt_standin_answer_t *answer);
   /** Called after each POST /fault; may be NULL. */
   void (*on_fault) (void *data, const char *kind);
-} bt_standin_routes_t;
+} bt_standin_callbacks_t;
 
 /** Starts a server on @p port, or on a free port if it is 0. Returns NULL when it cannot listen. */
-bt_standin_t *bt_start_standin (uint16_t port, const bt_standin_routes_t *callbacks);
+bt_standin_t *bt_start_standin (uint16_t port, const bt_standin_callbacks_t *callbacks);
 
 uint16_t bt_get_standin_port (const bt_standin_t *standin);
 
@@ -66,6 +66,6 @@
 
 /** Main function of a stand-in: reads --port and --life-s, prints "listening PORT", serves until
  * SIGTERM or SIGINT, or for --life-s seconds, and exits. Returns 1 when it cannot listen. */
-int bt_run_standin (int argc, char **argv, const bt_standin_routes_t *callbacks);
+int bt_run_standin (int argc, char **argv, const bt_standin_callbacks_t *callbacks);
 
 #endif
--- a/test/standin/group/main.c
+++ b/test/standin/group/main.c
@@ -309,7 +309,7 @@
 main (int argc, char **argv)
 {
   static group_server_t server = { .lock = PTHREAD_MUTEX_INITIALIZER };
-  bt_standin_routes_t callbacks = { &server, answer_request, apply_fault };
+  bt_standin_callbacks_t callbacks = { &server, answer_request, apply_fault };
   int64_t ranks = read_flag (argc, argv, "--ranks", DEFAULT_RANKS);
   bool ignore_fences = false;
   pthread_t thread;
--- a/test/standin/haiyun_runner/main.c
+++ b/test/standin/haiyun_runner/main.c
@@ -221,7 +221,7 @@
   runner_t runner = { getenv ("RUNNER_ID"),
                       start_time == NULL ? 0 : strtoll (start_time, NULL, BASE_TEN),
                       PTHREAD_MUTEX_INITIALIZER, json_array () };
-  bt_standin_routes_t callbacks = { &runner, answer_request, NULL };
+  bt_standin_callbacks_t callbacks = { &runner, answer_request, NULL };
   int status;
 
   if (runner.id == NULL)
--- a/test/standin/haiyun_store/main.c
+++ b/test/standin/haiyun_store/main.c
@@ -347,7 +347,7 @@
                     .leases = json_object (),
                     .revision = 1,
                     .leases_expire = getenv ("STORE_LAPSES") != NULL };
-  bt_standin_routes_t callbacks = { &store, answer_request, NULL };
+  bt_standin_callbacks_t callbacks = { &store, answer_request, NULL };
   int status = bt_run_standin (argc, argv, &callbacks);
 
   json_decref (store.items);
--- a/test/standin/instances/main.c
+++ b/test/standin/instances/main.c
@@ -66,7 +66,7 @@
 main (int argc, char **argv)
 {
   instance_list_t instances = { .lock = PTHREAD_MUTEX_INITIALIZER };
-  bt_standin_routes_t callbacks = { &instances, answer_request, NULL };
+  bt_standin_callbacks_t callbacks = { &instances, answer_request, NULL };
 
   instances.text = strdup ("{\"revision\":0,\"instances\":[]}");
   instances.old_text = strdup (instances.text);
--- a/test/standin/kv/main.c
+++ b/test/standin/kv/main.c
@@ -226,7 +226,7 @@
 main (int argc, char **argv)
 {
   server_t server = { .store = bt_new_store () };
-  bt_standin_routes_t callbacks = { &server, answer_request, on_fault };
+  bt_standin_callbacks_t callbacks = { &server, answer_request, on_fault };
 
   return bt_run_standin (argc, argv, &callbacks);
 }
--- a/test/standin/plain/main.c
+++ b/test/standin/plain/main.c
@@ -113,7 +113,7 @@
 main (int argc, char **argv)
 {
   service_t service = { .lock = PTHREAD_MUTEX_INITIALIZER, .calls = json_array () };
-  bt_standin_routes_t callbacks = { &service, answer_request, NULL };
+  bt_standin_callbacks_t callbacks = { &service, answer_request, NULL };
   int status = bt_run_standin (argc, argv, &callbacks);
 
   json_decref (service.calls);
