--- a/test/process/harness.c
+++ b/test/process/harness.c
@@ -25,12 +25,12 @@
   ARGUMENT_BYTES = 160,
   URL_BYTES = 256,
   POLL_MS = 20,
-  STAGE_LIFE_S = 300,
+  STANDIN_LIFETIME_S = 300,
   FIRST_PORT = 23000,
-  PORT_SPAN = 200,
-  PORT_SLOTS = 40,
+  PORTS_PER_RANGE = 200,
+  PORT_RANGES = 40,
   OFFSET_KV = 1,
-  OFFSET_LIST = 2,
+  OFFSET_INSTANCES = 2,
   OFFSET_ENTRY = 10,
   OFFSET_ENTRY_LINK = 30,
   OFFSET_ENTRY_PAGE = 50,
@@ -40,13 +40,13 @@
   OFFSET_PLAIN = 130,
   BASE_TEN = 10,
   EXIT_NO_PROGRAM = 127,
-  ENTRIES_A_SUBSET = 8,
+  MAX_ENTRIES_PER_AGENT = 8,
   COMMAND_BYTES = 2048,
 };
 
-static const char *const *extra_entry;
-static const char *const *extra_agent;
-static int32_t stage_step_us;
+static const char *const *extra_entry_arguments;
+static const char *const *extra_agent_arguments;
+static int32_t standin_step_us;
 static int program_output = -1;
 
 /** Arguments of a program that is to be started. */
@@ -77,7 +77,7 @@
 }
 
 static void
-add_local (arguments_t *arguments, const char *flag, const char *prefix, int32_t port)
+add_local_address (arguments_t *arguments, const char *flag, const char *prefix, int32_t port)
 {
   add_argument (arguments, "%s", flag);
   add_argument (arguments, "%s127.0.0.1:%d", prefix, port);
@@ -91,7 +91,7 @@
 }
 
 static void
-add_extra (arguments_t *arguments, const char *const *extra)
+add_arguments (arguments_t *arguments, const char *const *extra)
 {
   for (int32_t i = 0; extra != NULL && extra[i] != NULL; i++)
     add_argument (arguments, "%s", extra[i]);
@@ -112,75 +112,82 @@
 }
 
 int32_t
-bt_get_stage_port (const bt_stage_t *stage, const char *name)
+bt_get_stage_port (const bt_stage_t *testbed, const char *name)
 {
   int32_t index = read_index (name);
 
   if (is_kind (name, "entry"))
-    return stage->base_port + OFFSET_ENTRY + index;
+    return testbed->base_port + OFFSET_ENTRY + index;
   if (is_kind (name, "engine"))
-    return stage->base_port + OFFSET_ENGINE + index;
+    return testbed->base_port + OFFSET_ENGINE + index;
   if (is_kind (name, "plain"))
-    return stage->base_port + OFFSET_PLAIN + index;
-  return strcmp (name, "kv") == 0 ? stage->kv_port : stage->list_port;
+    return testbed->base_port + OFFSET_PLAIN + index;
+  return strcmp (name, "kv") == 0 ? testbed->kv_port : testbed->instances_port;
 }
 
 static void
-fill_entry (const bt_stage_t *stage, const char *name, int32_t index, arguments_t *arguments)
+fill_entry_arguments (const bt_stage_t *testbed,
+                      const char *name,
+                      int32_t index,
+                      arguments_t *arguments)
 {
   add_argument (arguments, "serve");
   add_pair (arguments, "--instance", name);
   add_pair (arguments, "--failure-domain", "hall");
-  add_local (arguments, "--listen", "", stage->base_port + OFFSET_ENTRY + index);
-  add_local (arguments, "--link-listen", "", stage->base_port + OFFSET_ENTRY_LINK + index);
-  add_local (arguments, "--page", "", stage->base_port + OFFSET_ENTRY_PAGE + index);
-  add_local (arguments, "--store-url", "http://", stage->kv_port);
-  add_local (arguments, "--instances-url", "http://", stage->list_port);
+  add_local_address (arguments, "--listen", "", testbed->base_port + OFFSET_ENTRY + index);
+  add_local_address (arguments, "--link-listen", "",
+                     testbed->base_port + OFFSET_ENTRY_LINK + index);
+  add_local_address (arguments, "--page", "", testbed->base_port + OFFSET_ENTRY_PAGE + index);
+  add_local_address (arguments, "--store-url", "http://", testbed->kv_port);
+  add_local_address (arguments, "--instances-url", "http://", testbed->instances_port);
   add_pair (arguments, "--instances-ms", "100");
   add_pair (arguments, "--address-life-ms", "500");
-  add_extra (arguments, extra_entry);
+  add_arguments (arguments, extra_entry_arguments);
 }
 
 static void
-fill_agent (const bt_stage_t *stage, const char *name, int32_t index, arguments_t *arguments)
+fill_agent_arguments (const bt_stage_t *testbed,
+                      const char *name,
+                      int32_t index,
+                      arguments_t *arguments)
 {
-  bool plain = index >= stage->engines;
-  int32_t port = plain ? stage->base_port + OFFSET_PLAIN + index - stage->engines
-                       : stage->base_port + OFFSET_ENGINE + index;
+  bool plain = index >= testbed->engines;
+  int32_t port = plain ? testbed->base_port + OFFSET_PLAIN + index - testbed->engines
+                       : testbed->base_port + OFFSET_ENGINE + index;
 
   add_pair (arguments, "--instance", name);
   add_pair (arguments, "--failure-domain", "hall");
-  add_local (arguments, "--listen", "", stage->base_port + OFFSET_AGENT + index);
-  add_local (arguments, "--page", "", stage->base_port + OFFSET_AGENT_PAGE + index);
+  add_local_address (arguments, "--listen", "", testbed->base_port + OFFSET_AGENT + index);
+  add_local_address (arguments, "--page", "", testbed->base_port + OFFSET_AGENT_PAGE + index);
   add_argument (arguments, "--endpoint");
   add_argument (arguments, "endpoint-%d", index);
   add_pair (arguments, "--app", plain ? "lookup" : "drafts");
-  add_local (arguments, "--endpoint-url", "http://", port);
+  add_local_address (arguments, "--endpoint-url", "http://", port);
   if (plain)
     add_argument (arguments, "--plain");
-  add_extra (arguments, extra_agent);
+  add_arguments (arguments, extra_agent_arguments);
 }
 
 static const char *
-fill_arguments (const bt_stage_t *stage, const char *name, arguments_t *arguments)
+fill_arguments (const bt_stage_t *testbed, const char *name, arguments_t *arguments)
 {
   int32_t index = read_index (name);
 
   if (is_kind (name, "entry"))
     {
-      fill_entry (stage, name, index, arguments);
+      fill_entry_arguments (testbed, name, index, arguments);
       return "bilberryd";
     }
   if (is_kind (name, "agent"))
     {
-      fill_agent (stage, name, index, arguments);
+      fill_agent_arguments (testbed, name, index, arguments);
       return "bilberry-agent";
     }
-  add_number (arguments, "--port", bt_get_stage_port (stage, name));
-  add_number (arguments, "--life-s", STAGE_LIFE_S);
+  add_number (arguments, "--port", bt_get_stage_port (testbed, name));
+  add_number (arguments, "--life-s", STANDIN_LIFETIME_S);
   if (is_kind (name, "engine"))
     {
-      add_number (arguments, "--step-us", stage_step_us);
+      add_number (arguments, "--step-us", standin_step_us);
       return "standin-engine";
     }
   if (is_kind (name, "plain"))
@@ -189,26 +196,26 @@
 }
 
 static bt_process_t *
-find_process (bt_stage_t *stage, const char *name)
+find_process (bt_stage_t *testbed, const char *name)
 {
-  for (int32_t i = 0; i < stage->process_count; i++)
-    if (strcmp (stage->processes[i].name, name) == 0)
-      return &stage->processes[i];
+  for (int32_t i = 0; i < testbed->process_count; i++)
+    if (strcmp (testbed->processes[i].name, name) == 0)
+      return &testbed->processes[i];
   return NULL;
 }
 
 static bt_process_t *
-add_process (bt_stage_t *stage, const char *name)
+add_process (bt_stage_t *testbed, const char *name)
 {
-  bt_process_t *process = find_process (stage, name);
+  bt_process_t *process = find_process (testbed, name);
 
   if (process != NULL)
     return process;
-  if (stage->process_count == BT_STAGE_MAX)
+  if (testbed->process_count == BT_TESTBED_MAX_PROCESSES)
     return NULL;
-  process = &stage->processes[stage->process_count++];
+  process = &testbed->processes[testbed->process_count++];
   snprintf (process->name, sizeof process->name, "%s", name);
-  snprintf (process->log_path, sizeof process->log_path, "%s/%s.log", stage->folder, name);
+  snprintf (process->log_path, sizeof process->log_path, "%s/%s.log", testbed->folder, name);
   return process;
 }
 
@@ -234,10 +241,10 @@
 }
 
 bool
-bt_start_process (bt_stage_t *stage, const char *name)
+bt_start_process (bt_stage_t *testbed, const char *name)
 {
   const char *build = getenv ("BT_BUILD_DIR");
-  bt_process_t *process = add_process (stage, name);
+  bt_process_t *process = add_process (testbed, name);
   arguments_t *arguments = calloc (1, sizeof *arguments);
   char program[URL_BYTES];
 
@@ -248,7 +255,7 @@
     }
   arguments->count = 1;
   snprintf (program, sizeof program, "%s/%s", build == NULL ? "build/asan" : build,
-            fill_arguments (stage, name, arguments));
+            fill_arguments (testbed, name, arguments));
   arguments->list[0] = program;
   process->pid = fork ();
   if (process->pid == 0)
@@ -262,10 +269,10 @@
 }
 
 bool
-bt_wait_process (bt_stage_t *stage, const char *name, int32_t *exit_code)
+bt_wait_process (bt_stage_t *testbed, const char *name, int32_t *exit_code)
 {
-  bt_process_t *process = find_process (stage, name);
-  int64_t limit_ms = bt_read_clock_ms (bt_system_clock ()) + BT_STAGE_WAIT_MS;
+  bt_process_t *process = find_process (testbed, name);
+  int64_t limit_ms = bt_read_clock_ms (bt_system_clock ()) + BT_WAIT_LIMIT_MS;
   int status;
 
   while (process != NULL && process->pid != 0)
@@ -284,21 +291,21 @@
 }
 
 bool
-bt_signal_process (bt_stage_t *stage, const char *name, int signal_number)
+bt_signal_process (bt_stage_t *testbed, const char *name, int signal_number)
 {
-  bt_process_t *process = find_process (stage, name);
+  bt_process_t *process = find_process (testbed, name);
   int32_t exit_code;
 
   if (process == NULL || process->pid == 0 || kill (process->pid, signal_number) != 0)
     return false;
-  return signal_number != SIGKILL || bt_wait_process (stage, name, &exit_code);
+  return signal_number != SIGKILL || bt_wait_process (testbed, name, &exit_code);
 }
 
 void
 bt_set_stage_arguments (const char *const *entry_arguments, const char *const *agent_arguments)
 {
-  extra_entry = entry_arguments;
-  extra_agent = agent_arguments;
+  extra_entry_arguments = entry_arguments;
+  extra_agent_arguments = agent_arguments;
 }
 
 static json_t *
@@ -317,31 +324,31 @@
 }
 
 json_t *
-bt_call_standin (const bt_stage_t *stage, const char *name, const char *path, const char *body)
+bt_call_standin (const bt_stage_t *testbed, const char *name, const char *path, const char *body)
 {
   char url[URL_BYTES];
 
-  snprintf (url, sizeof url, "http://127.0.0.1:%d%s", bt_get_stage_port (stage, name), path);
+  snprintf (url, sizeof url, "http://127.0.0.1:%d%s", bt_get_stage_port (testbed, name), path);
   return call_url (url, body, NULL);
 }
 
 char *
-bt_read_stage_metrics (const bt_stage_t *stage, const char *name)
+bt_read_stage_metrics (const bt_stage_t *testbed, const char *name)
 {
   int32_t offset = is_kind (name, "entry") ? OFFSET_ENTRY_PAGE : OFFSET_AGENT_PAGE;
   char url[URL_BYTES];
   bt_reply_t reply;
 
   snprintf (url, sizeof url, "http://127.0.0.1:%d/metrics",
-            stage->base_port + offset + read_index (name));
+            testbed->base_port + offset + read_index (name));
   bt_perform_request (url, NULL, NULL, NULL, &reply);
   return reply.body;
 }
 
 int64_t
-bt_read_stage_counter (const bt_stage_t *stage, const char *name, const char *counter)
+bt_read_testbed_counter (const bt_stage_t *testbed, const char *name, const char *counter)
 {
-  char *text = bt_read_stage_metrics (stage, name);
+  char *text = bt_read_stage_metrics (testbed, name);
   size_t length = strlen (counter);
   int64_t value = -1;
 
@@ -380,7 +387,7 @@
 bool
 bt_wait_until (bool (*test) (void *argument), void *argument)
 {
-  int64_t limit_ms = bt_read_clock_ms (bt_system_clock ()) + BT_STAGE_WAIT_MS;
+  int64_t limit_ms = bt_read_clock_ms (bt_system_clock ()) + BT_WAIT_LIMIT_MS;
 
   while (!test (argument))
     {
@@ -392,7 +399,7 @@
 }
 
 bool
-bt_put_stage_list (bt_stage_t *stage)
+bt_put_instance_list (bt_stage_t *testbed)
 {
   json_t *instances = json_array ();
   json_t *list = json_pack ("{s:i,s:o}", "revision", 1, "instances", instances);
@@ -403,28 +410,29 @@
   json_t *answer;
   char *text;
 
-  for (int32_t i = 0; i < stage->entries; i++)
+  for (int32_t i = 0; i < testbed->entries; i++)
     {
       snprintf (name, sizeof name, "entry-%d", i);
-      snprintf (address, sizeof address, "127.0.0.1:%d", stage->base_port + OFFSET_ENTRY_LINK + i);
-      snprintf (http, sizeof http, "127.0.0.1:%d", stage->base_port + OFFSET_ENTRY + i);
+      snprintf (address, sizeof address, "127.0.0.1:%d",
+                testbed->base_port + OFFSET_ENTRY_LINK + i);
+      snprintf (http, sizeof http, "127.0.0.1:%d", testbed->base_port + OFFSET_ENTRY + i);
       json_array_append_new (instances,
                              json_pack ("{s:s,s:s,s:s,s:s,s:s,s:s}", "instance", name, "role",
                                         "entry", "address", address, "http", http, "failure_domain",
                                         "hall", "state", "live"));
     }
-  for (int32_t i = 0; i < stage->engines + stage->plains; i++)
+  for (int32_t i = 0; i < testbed->engines + testbed->plain_services; i++)
     {
       snprintf (name, sizeof name, "agent-%d", i);
-      snprintf (address, sizeof address, "127.0.0.1:%d", stage->base_port + OFFSET_AGENT + i);
+      snprintf (address, sizeof address, "127.0.0.1:%d", testbed->base_port + OFFSET_AGENT + i);
       snprintf (http, sizeof http, "endpoint-%d", i);
       json_array_append_new (
           instances, json_pack ("{s:s,s:s,s:s,s:s,s:s,s:s,s:s}", "instance", name, "role", "agent",
-                                "endpoint", http, "app", i < stage->engines ? "drafts" : "lookup",
+                                "endpoint", http, "app", i < testbed->engines ? "drafts" : "lookup",
                                 "address", address, "failure_domain", "hall", "state",
-                                stage->listed_leaving[i] ? "leaving" : "live"));
+                                testbed->listed_leaving[i] ? "leaving" : "live"));
     }
-  snprintf (url, sizeof url, "http://127.0.0.1:%d/instances", stage->list_port);
+  snprintf (url, sizeof url, "http://127.0.0.1:%d/instances", testbed->instances_port);
   text = json_dumps (list, JSON_COMPACT);
   answer = call_url (url, text, "PUT");
   free (text);
@@ -434,7 +442,7 @@
 }
 
 static bool
-put_document (const bt_stage_t *stage, const char *name, const char *text)
+put_document (const bt_stage_t *testbed, const char *name, const char *text)
 {
   char key[ARGUMENT_BYTES];
   char key_text[ARGUMENT_BYTES];
@@ -451,7 +459,7 @@
                      sodium_base64_VARIANT_ORIGINAL);
   put = json_pack ("{s:s,s:s}", "key", key_text, "value", value);
   body = json_dumps (put, JSON_COMPACT);
-  answer = bt_call_standin (stage, "kv", "/v3/kv/put", body);
+  answer = bt_call_standin (testbed, "kv", "/v3/kv/put", body);
   json_decref (put);
   free (body);
   free (value);
@@ -460,7 +468,7 @@
 }
 
 static bool
-put_declarations (const bt_stage_t *stage, const char *rules_json)
+put_declarations (const bt_stage_t *testbed, const char *rules_json)
 {
   static const char *const names[] = { "small", "large", "third" };
   json_t *accounts = json_array ();
@@ -483,96 +491,98 @@
     }
   document = json_pack ("{s:o}", "accounts", accounts);
   text = json_dumps (document, 0);
-  put = put && put_document (stage, "accounts", text);
+  put = put && put_document (testbed, "accounts", text);
   free (text);
   json_decref (document);
-  for (int32_t i = 0; i < stage->engines + stage->plains; i++)
+  for (int32_t i = 0; i < testbed->engines + testbed->plain_services; i++)
     {
       char name[ARGUMENT_BYTES];
 
       snprintf (name, sizeof name, "endpoint-%d", i);
       json_array_append_new (endpoints, json_pack ("{s:s,s:s}", "name", name, "app",
-                                                   i < stage->engines ? "drafts" : "lookup"));
+                                                   i < testbed->engines ? "drafts" : "lookup"));
     }
   document = json_pack ("{s:o}", "endpoints", endpoints);
   text = json_dumps (document, 0);
-  put = put && put_document (stage, "endpoints", text);
+  put = put && put_document (testbed, "endpoints", text);
   free (text);
   json_decref (document);
   put = put
-        && put_document (stage, "apps",
+        && put_document (testbed, "apps",
                          "{\"apps\":[{\"name\":\"drafts\",\"kind\":\"model\"},"
                          "{\"name\":\"lookup\",\"kind\":\"service\"}]}");
-  return put && put_document (stage, "rules", rules_json);
+  return put && put_document (testbed, "rules", rules_json);
 }
 
 /** Which address to wait for. */
-typedef struct port_wait
+typedef struct page_wait
 {
-  const bt_stage_t *stage;
+  const bt_stage_t *testbed;
   const char *name;
   const char *path;
-} port_wait_t;
+} page_wait_t;
 
 static bool
-answers_page (void *argument)
+answers_request (void *argument)
 {
-  const port_wait_t *wait = argument;
-  json_t *answer = bt_call_standin (wait->stage, wait->name, wait->path, NULL);
+  const page_wait_t *wait = argument;
+  json_t *answer = bt_call_standin (wait->testbed, wait->name, wait->path, NULL);
 
   json_decref (answer);
   return answer != NULL;
 }
 
 bool
-bt_is_entry_ready (const bt_stage_t *stage, const char *entry, int32_t endpoints)
+bt_is_entry_ready (const bt_stage_t *testbed, const char *entry, int32_t endpoints)
 {
-  return bt_read_stage_counter (stage, entry, "bilberry_admitting") == 1
-         && bt_read_stage_counter (stage, entry, "bilberry_endpoints_up") == endpoints;
+  return bt_read_testbed_counter (testbed, entry, "bilberry_admitting") == 1
+         && bt_read_testbed_counter (testbed, entry, "bilberry_endpoints_up") == endpoints;
 }
 
 static bool
 is_entry_ready (void *argument)
 {
-  const port_wait_t *wait = argument;
+  const page_wait_t *wait = argument;
 
   /* Above this many entries each is linked to a part of the agents. */
-  if (wait->stage->entries > ENTRIES_A_SUBSET)
-    return bt_read_stage_counter (wait->stage, wait->name, "bilberry_admitting") == 1;
-  return bt_is_entry_ready (wait->stage, wait->name, wait->stage->engines + wait->stage->plains);
+  if (wait->testbed->entries > MAX_ENTRIES_PER_AGENT)
+    return bt_read_testbed_counter (wait->testbed, wait->name, "bilberry_admitting") == 1;
+  return bt_is_entry_ready (wait->testbed, wait->name,
+                            wait->testbed->engines + wait->testbed->plain_services);
 }
 
 static bool
-start_many (bt_stage_t *stage, const char *kind, int32_t count)
+start_processes (bt_stage_t *testbed, const char *kind, int32_t count)
 {
   char name[ARGUMENT_BYTES];
 
   for (int32_t i = 0; i < count; i++)
     {
       snprintf (name, sizeof name, "%s-%d", kind, i);
-      if (!bt_start_process (stage, name))
+      if (!bt_start_process (testbed, name))
         return false;
     }
   return true;
 }
 
 static bool
-start_stage (bt_stage_t *stage, const char *rules_json)
+start_testbed (bt_stage_t *testbed, const char *rules_json)
 {
-  port_wait_t kv = { stage, "kv", "/stats" };
-  port_wait_t list = { stage, "list", "/instances" };
+  page_wait_t kv = { testbed, "kv", "/stats" };
+  page_wait_t list = { testbed, "list", "/instances" };
   char name[ARGUMENT_BYTES];
 
-  if (!bt_start_process (stage, "kv") || !bt_start_process (stage, "list")
-      || !start_many (stage, "engine", stage->engines)
-      || !start_many (stage, "plain", stage->plains) || !bt_wait_until (answers_page, &kv)
-      || !bt_wait_until (answers_page, &list) || !put_declarations (stage, rules_json)
-      || !bt_put_stage_list (stage) || !start_many (stage, "agent", stage->engines + stage->plains)
-      || !start_many (stage, "entry", stage->entries))
+  if (!bt_start_process (testbed, "kv") || !bt_start_process (testbed, "list")
+      || !start_processes (testbed, "engine", testbed->engines)
+      || !start_processes (testbed, "plain", testbed->plain_services)
+      || !bt_wait_until (answers_request, &kv) || !bt_wait_until (answers_request, &list)
+      || !put_declarations (testbed, rules_json) || !bt_put_instance_list (testbed)
+      || !start_processes (testbed, "agent", testbed->engines + testbed->plain_services)
+      || !start_processes (testbed, "entry", testbed->entries))
     return false;
-  for (int32_t i = 0; i < stage->entries; i++)
+  for (int32_t i = 0; i < testbed->entries; i++)
     {
-      port_wait_t entry = { stage, name, NULL };
+      page_wait_t entry = { testbed, name, NULL };
 
       snprintf (name, sizeof name, "entry-%d", i);
       if (!bt_wait_until (is_entry_ready, &entry))
@@ -582,7 +592,7 @@
 }
 
 static int
-hold_port (int32_t port)
+listen_on_port (int32_t port)
 {
   struct sockaddr_in address = { .sin_family = AF_INET };
   int fd = socket (AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
@@ -598,13 +608,13 @@
 
 /* Tests of several work trees may run at the same time: each holds the first port of its range. */
 static bool
-take_port_slot (bt_stage_t *stage)
+reserve_port_range (bt_stage_t *testbed)
 {
-  for (int32_t i = 0; i < PORT_SLOTS; i++)
+  for (int32_t i = 0; i < PORT_RANGES; i++)
     {
-      stage->base_port = FIRST_PORT + (getpid () + i) % PORT_SLOTS * PORT_SPAN;
-      stage->slot_fd = hold_port (stage->base_port);
-      if (stage->slot_fd >= 0)
+      testbed->base_port = FIRST_PORT + (getpid () + i) % PORT_RANGES * PORTS_PER_RANGE;
+      testbed->port_range_fd = listen_on_port (testbed->base_port);
+      if (testbed->port_range_fd >= 0)
         return true;
     }
   return false;
@@ -613,34 +623,34 @@
 bt_stage_t *
 bt_new_stage (int32_t entries,
               int32_t engines,
-              int32_t plains,
+              int32_t plain_services,
               int32_t engine_step_us,
               const char *rules_json)
 {
-  bt_stage_t *stage = calloc (1, sizeof *stage);
+  bt_stage_t *testbed = calloc (1, sizeof *testbed);
 
-  if (stage == NULL)
+  if (testbed == NULL)
     return NULL;
   signal (SIGPIPE, SIG_IGN);
   curl_global_init (CURL_GLOBAL_DEFAULT);
   setenv ("BILBERRY_SECRET", "secret-of-the-tests", 1);
-  snprintf (stage->folder, sizeof stage->folder, "/tmp/bilberry-test-XXXXXX");
-  if (!take_port_slot (stage))
+  snprintf (testbed->folder, sizeof testbed->folder, "/tmp/bilberry-test-XXXXXX");
+  if (!reserve_port_range (testbed))
     {
       fprintf (stderr, "no range of ports is free\n");
-      free (stage);
+      free (testbed);
       return NULL;
     }
-  stage->kv_port = stage->base_port + OFFSET_KV;
-  stage->list_port = stage->base_port + OFFSET_LIST;
-  stage->entries = entries;
-  stage->engines = engines;
-  stage->plains = plains;
-  stage_step_us = engine_step_us;
-  if (mkdtemp (stage->folder) != NULL && start_stage (stage, rules_json))
-    return stage;
+  testbed->kv_port = testbed->base_port + OFFSET_KV;
+  testbed->instances_port = testbed->base_port + OFFSET_INSTANCES;
+  testbed->entries = entries;
+  testbed->engines = engines;
+  testbed->plain_services = plain_services;
+  standin_step_us = engine_step_us;
+  if (mkdtemp (testbed->folder) != NULL && start_testbed (testbed, rules_json))
+    return testbed;
   fprintf (stderr, "the stage did not start\n");
-  bt_drop_stage (stage, true);
+  bt_drop_stage (testbed, true);
   return NULL;
 }
 
@@ -658,27 +668,27 @@
 }
 
 void
-bt_drop_stage (bt_stage_t *stage, bool failed)
+bt_drop_stage (bt_stage_t *testbed, bool failed)
 {
   int32_t exit_code;
 
-  if (stage == NULL)
+  if (testbed == NULL)
     return;
-  for (int32_t i = 0; i < stage->process_count; i++)
-    if (stage->processes[i].pid != 0)
+  for (int32_t i = 0; i < testbed->process_count; i++)
+    if (testbed->processes[i].pid != 0)
       {
-        kill (stage->processes[i].pid, SIGCONT);
-        kill (stage->processes[i].pid, SIGKILL);
-        bt_wait_process (stage, stage->processes[i].name, &exit_code);
+        kill (testbed->processes[i].pid, SIGCONT);
+        kill (testbed->processes[i].pid, SIGKILL);
+        bt_wait_process (testbed, testbed->processes[i].name, &exit_code);
       }
-  for (int32_t i = 0; i < stage->process_count; i++)
+  for (int32_t i = 0; i < testbed->process_count; i++)
     {
       if (failed)
-        print_log (&stage->processes[i]);
-      unlink (stage->processes[i].log_path);
+        print_log (&testbed->processes[i]);
+      unlink (testbed->processes[i].log_path);
     }
-  rmdir (stage->folder);
-  close (stage->slot_fd);
+  rmdir (testbed->folder);
+  close (testbed->port_range_fd);
   curl_global_cleanup ();
-  free (stage);
+  free (testbed);
 }
--- a/test/process/harness.h
+++ b/test/process/harness.h
@@ -13,8 +13,8 @@
 
 enum
 {
-  BT_STAGE_MAX = 32,
-  BT_STAGE_WAIT_MS = 30000,
+  BT_TESTBED_MAX_PROCESSES = 32,
+  BT_WAIT_LIMIT_MS = 30000,
 };
 
 /** A process of a test. */
@@ -26,19 +26,19 @@
 } bt_process_t;
 
 /** A small deployment: the platform's stand-ins, entries, and endpoints with their agents. */
-typedef struct bt_stage
+typedef struct bt_testbed
 {
-  bt_process_t processes[BT_STAGE_MAX];
+  bt_process_t processes[BT_TESTBED_MAX_PROCESSES];
   int32_t process_count;
   char folder[64];
   int32_t base_port;
-  int slot_fd; /**< Listens on base_port, so that no other test takes the same ports. */
+  int port_range_fd; /**< Listens on base_port, so that no other test takes the same ports. */
   int32_t kv_port;
-  int32_t list_port;
+  int32_t instances_port;
   int32_t entries;
   int32_t engines;
-  int32_t plains;
-  bool listed_leaving[BT_STAGE_MAX]; /**< By index of agents, engines first. */
+  int32_t plain_services;
+  bool listed_leaving[BT_TESTBED_MAX_PROCESSES]; /**< By index of agents, engines first. */
 } bt_stage_t;
 
 /** What a caller got. */
@@ -58,48 +58,48 @@
  * answers. @p engine_step_us sets the engines' pace. NULL on failure, which is printed. */
 bt_stage_t *bt_new_stage (int32_t entries,
                           int32_t engines,
-                          int32_t plains,
+                          int32_t plain_services,
                           int32_t engine_step_us,
                           const char *rules_json);
 
 /** Ends every process by its id and removes the folder; prints the logs if @p failed. */
-void bt_drop_stage (bt_stage_t *stage, bool failed);
+void bt_drop_stage (bt_stage_t *testbed, bool failed);
 
 /** Extra arguments, NULL-ended, added when entries or agents are started from now on. */
 void bt_set_stage_arguments (const char *const *entry_arguments,
                              const char *const *agent_arguments);
 
 /** Starts or restarts a process by name: "entry-N", "agent-N", "engine-N", "plain-N" from 0. */
-bool bt_start_process (bt_stage_t *stage, const char *name);
+bool bt_start_process (bt_stage_t *testbed, const char *name);
 
 /** Sends a signal to a process by name; after SIGKILL, waits for its end. */
-bool bt_signal_process (bt_stage_t *stage, const char *name, int signal_number);
+bool bt_signal_process (bt_stage_t *testbed, const char *name, int signal_number);
 
 /** Waits for the end of a process that was told to stop; true with its exit code. */
-bool bt_wait_process (bt_stage_t *stage, const char *name, int32_t *exit_code);
+bool bt_wait_process (bt_stage_t *testbed, const char *name, int32_t *exit_code);
 
 /** Ports by name of the process: callers' port of an entry, HTTP port of an engine or service. */
-int32_t bt_get_stage_port (const bt_stage_t *stage, const char *name);
+int32_t bt_get_stage_port (const bt_stage_t *testbed, const char *name);
 
 /** The operators' page of a process: /metrics as text, to be freed. NULL on failure. */
-char *bt_read_stage_metrics (const bt_stage_t *stage, const char *name);
+char *bt_read_stage_metrics (const bt_stage_t *testbed, const char *name);
 
 /** Reads one counter from a process's page, such as
  * "bilberry_refusals_total{reason=\"no-rule\"}"; -1 when it is not there. */
-int64_t bt_read_stage_counter (const bt_stage_t *stage, const char *name, const char *counter);
+int64_t bt_read_testbed_counter (const bt_stage_t *testbed, const char *name, const char *counter);
 
 /** True when an entry admits requests and has this many endpoints. */
-bool bt_is_entry_ready (const bt_stage_t *stage, const char *entry, int32_t endpoints);
+bool bt_is_entry_ready (const bt_stage_t *testbed, const char *entry, int32_t endpoints);
 
 /** Sends a request to an entry. @p headers are "Name: value" lines, NULL-ended or NULL. The token
  * is "token-ACCOUNT". */
-void bt_ask (const bt_stage_t *stage,
-             const char *entry,
-             const char *account,
-             const char *path,
-             const char *const *headers,
-             const char *body,
-             bt_reply_t *reply);
+void bt_send_entry_request (const bt_stage_t *testbed,
+                            const char *entry,
+                            const char *account,
+                            const char *path,
+                            const char *const *headers,
+                            const char *body,
+                            bt_reply_t *reply);
 
 /** The body as text, "" when there is none. */
 const char *bt_get_reply_text (const bt_reply_t *reply);
@@ -108,7 +108,7 @@
 
 /** Calls a stand-in's own page: GET without a body, POST with one. NULL on failure. */
 json_t *
-bt_call_standin (const bt_stage_t *stage, const char *name, const char *path, const char *body);
+bt_call_standin (const bt_stage_t *testbed, const char *name, const char *path, const char *body);
 
 /** In a child process: becomes a program whose output goes to a file, and which ends with the test.
  */
@@ -123,7 +123,7 @@
 int32_t bt_run_program (const char *line, char **output);
 
 /** Sends the instance list again, after a change of listed_leaving. */
-bool bt_put_stage_list (bt_stage_t *stage);
+bool bt_put_instance_list (bt_stage_t *testbed);
 
 /** Calls @p test every few milliseconds until it is true, or the limit has passed: false. */
 bool bt_wait_until (bool (*test) (void *argument), void *argument);
--- a/test/process/harness_config.c
+++ b/test/process/harness_config.c
@@ -38,12 +38,12 @@
 }
 
 void
-bt_ask_version (const bt_stage_t *stage, const char *entry, char version[VERSION_BYTES])
+bt_read_rules_version (const bt_stage_t *testbed, const char *entry, char version[VERSION_BYTES])
 {
   bt_reply_t reply;
   json_t *body;
 
-  bt_ask (stage, entry, "small", "/version", NULL, "{}", &reply);
+  bt_send_entry_request (testbed, entry, "small", "/version", NULL, "{}", &reply);
   body = json_loads (bt_get_reply_text (&reply), 0, NULL);
   snprintf (version, VERSION_BYTES, "%s",
             strcmp (reply.reason, "rule-refused") == 0
@@ -55,7 +55,7 @@
 
 typedef struct version_wait
 {
-  const bt_stage_t *stage;
+  const bt_stage_t *testbed;
   const char *entry;
   const char *version;
 } version_wait_t;
@@ -66,25 +66,25 @@
   const version_wait_t *wait = argument;
   char version[VERSION_BYTES];
 
-  bt_ask_version (wait->stage, wait->entry, version);
+  bt_read_rules_version (wait->testbed, wait->entry, version);
   return strcmp (version, wait->version) == 0;
 }
 
 bool
-bt_wait_version (const bt_stage_t *stage, const char *entry, const char *version)
+bt_wait_rules_version (const bt_stage_t *testbed, const char *entry, const char *version)
 {
-  version_wait_t wait = { stage, entry, version };
+  version_wait_t wait = { testbed, entry, version };
 
   return bt_wait_until (has_version, &wait);
 }
 
 static bt_kv_t *
-open_store (bt_context_t *ctx, const bt_stage_t *stage)
+open_store (bt_context_t *ctx, const bt_stage_t *testbed)
 {
   char url[URL_BYTES];
   bt_kv_settings_t settings;
 
-  snprintf (url, sizeof url, "http://127.0.0.1:%d", stage->kv_port);
+  snprintf (url, sizeof url, "http://127.0.0.1:%d", testbed->kv_port);
   settings = bt_get_default_kv_settings (url);
   return bt_new_etcd_kv (ctx, &settings);
 }
@@ -105,10 +105,10 @@
 
 /* A folder with the documents as the service holds them, but with rules of another version. */
 static bool
-write_folder (const bt_stage_t *stage, const char *folder, const char *version)
+write_folder (const bt_stage_t *testbed, const char *folder, const char *version)
 {
   bt_context_t *ctx = bt_new_context ();
-  bt_kv_t *kv = open_store (ctx, stage);
+  bt_kv_t *kv = open_store (ctx, testbed);
   char *rules = bt_make_version_rules (version);
   bt_kv_range_t range = { 0 };
   bool written = bt_read_kv (ctx, kv, prefix, true, &range, NULL) && range.count > 0;
@@ -165,9 +165,9 @@
 
 typedef struct command
 {
-  char path[PATH_BYTES];
-  char store[URL_BYTES];
-  char list[URL_BYTES];
+  char program[PATH_BYTES];
+  char store_url[URL_BYTES];
+  char instances_url[URL_BYTES];
   char *argv[MAX_ARGUMENTS];
   int32_t count;
 } command_t;
@@ -180,19 +180,20 @@
 }
 
 static void
-prepare_command (const bt_stage_t *stage, command_t *command, const char *name)
+prepare_command (const bt_stage_t *testbed, command_t *command, const char *name)
 {
-  snprintf (command->path, sizeof command->path, "%s/bilberryd", getenv ("BT_BUILD_DIR"));
-  snprintf (command->store, sizeof command->store, "http://127.0.0.1:%d", stage->kv_port);
-  snprintf (command->list, sizeof command->list, "http://127.0.0.1:%d", stage->list_port);
-  add_argument (command, command->path);
+  snprintf (command->program, sizeof command->program, "%s/bilberryd", getenv ("BT_BUILD_DIR"));
+  snprintf (command->store_url, sizeof command->store_url, "http://127.0.0.1:%d", testbed->kv_port);
+  snprintf (command->instances_url, sizeof command->instances_url, "http://127.0.0.1:%d",
+            testbed->instances_port);
+  add_argument (command, command->program);
   add_argument (command, name);
   add_argument (command, "--instances-url");
-  add_argument (command, command->list);
+  add_argument (command, command->instances_url);
 }
 
 void
-bt_start_publish (const bt_stage_t *stage,
+bt_start_publish (const bt_stage_t *testbed,
                   const char *version,
                   const char *const *flags,
                   bt_command_run_t *run)
@@ -201,11 +202,11 @@
 
   memset (run, 0, sizeof *run);
   snprintf (run->folder, sizeof run->folder, "/tmp/bilberry-rules-XXXXXX");
-  if (mkdtemp (run->folder) == NULL || !write_folder (stage, run->folder, version))
+  if (mkdtemp (run->folder) == NULL || !write_folder (testbed, run->folder, version))
     return;
-  prepare_command (stage, &command, "publish");
+  prepare_command (testbed, &command, "publish");
   add_argument (&command, "--store-url");
-  add_argument (&command, command.store);
+  add_argument (&command, command.store_url);
   for (int32_t i = 0; flags != NULL && flags[i] != NULL; i++)
     add_argument (&command, flags[i]);
   add_argument (&command, run->folder);
@@ -231,41 +232,41 @@
 }
 
 int32_t
-bt_publish_version (const bt_stage_t *stage,
+bt_publish_version (const bt_stage_t *testbed,
                     const char *version,
                     const char *const *flags,
                     char output[BT_OUTPUT_BYTES])
 {
   bt_command_run_t run;
 
-  bt_start_publish (stage, version, flags, &run);
+  bt_start_publish (testbed, version, flags, &run);
   return bt_finish_command (&run, output);
 }
 
 int32_t
-bt_run_status (const bt_stage_t *stage, char output[BT_OUTPUT_BYTES])
+bt_run_status (const bt_stage_t *testbed, char output[BT_OUTPUT_BYTES])
 {
   command_t command = { .count = 0 };
   bt_command_run_t run = { 0 };
 
-  prepare_command (stage, &command, "status");
+  prepare_command (testbed, &command, "status");
   start_command (command.argv, &run);
   return bt_finish_command (&run, output);
 }
 
 bool
-bt_fault_store (const bt_stage_t *stage, const char *fault)
+bt_set_store_fault (const bt_stage_t *testbed, const char *fault)
 {
-  json_t *answer = bt_call_standin (stage, "kv", "/fault", fault);
+  json_t *answer = bt_call_standin (testbed, "kv", "/fault", fault);
 
   json_decref (answer);
   return answer != NULL;
 }
 
 int64_t
-bt_count_store_calls (const bt_stage_t *stage, const char *kind)
+bt_count_store_calls (const bt_stage_t *testbed, const char *kind)
 {
-  json_t *answer = bt_call_standin (stage, "kv", "/stats", NULL);
+  json_t *answer = bt_call_standin (testbed, "kv", "/stats", NULL);
   int64_t count = json_integer_value (json_object_get (answer, kind));
 
   json_decref (answer);
@@ -273,10 +274,10 @@
 }
 
 bool
-bt_put_version (const bt_stage_t *stage, const char *version)
+bt_put_version (const bt_stage_t *testbed, const char *version)
 {
   bt_context_t *ctx = bt_new_context ();
-  bt_kv_t *kv = open_store (ctx, stage);
+  bt_kv_t *kv = open_store (ctx, testbed);
   char *rules = bt_make_version_rules (version);
   bt_kv_write_t write = { BT_KV_PUT, "bilberrytray/rules", rules, strlen (rules), 0 };
   bool done = bt_put_kv (ctx, kv, &write, NULL, NULL);
@@ -288,10 +289,10 @@
 }
 
 int64_t
-bt_get_rules_revision (const bt_stage_t *stage)
+bt_get_rules_revision (const bt_stage_t *testbed)
 {
   bt_context_t *ctx = bt_new_context ();
-  bt_kv_t *kv = open_store (ctx, stage);
+  bt_kv_t *kv = open_store (ctx, testbed);
   bt_kv_range_t range = { 0 };
   int64_t revision = -1;
 
--- a/test/process/harness_gateway.c
+++ b/test/process/harness_gateway.c
@@ -17,7 +17,7 @@
 {
   URL_BYTES = 640,
   TEXT_BYTES = 512,
-  MOST_ARGUMENTS = 24,
+  MAX_ARGUMENTS = 24,
   OK = 200,
   POLL_MS = 10,
   HEADER_BYTES = 256,
@@ -27,13 +27,13 @@
   DRAIN_MS = 8000,
   NS_PER_MS = 1000000,
   FIRST_PORT = 11000,
-  PORT_SPAN = 1000,
-  PORT_SLOTS = 10,
+  PORTS_PER_RANGE = 1000,
+  PORT_RANGES = 10,
 };
 
 /* A socket that listens at a port; -1 when the port is not free. */
 static int
-hold_port (int32_t port)
+listen_on_port (int32_t port)
 {
   struct sockaddr_in address = { .sin_family = AF_INET, .sin_addr = { htonl (INADDR_LOOPBACK) } };
   int fd = socket (AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
@@ -51,16 +51,16 @@
  * and started again must find its port free, though other fields come and go meanwhile. The ranges
  * lie below the ports that the system gives to connections. */
 static bool
-take_ports (bt_field_t *field)
+reserve_port_range (bt_field_t *testbed)
 {
-  for (int32_t i = 0; i < PORT_SLOTS; i++)
+  for (int32_t i = 0; i < PORT_RANGES; i++)
     {
-      int32_t first = FIRST_PORT + (getpid () + i) % PORT_SLOTS * PORT_SPAN;
+      int32_t first = FIRST_PORT + (getpid () + i) % PORT_RANGES * PORTS_PER_RANGE;
 
-      field->slot_fd = hold_port (first);
-      if (field->slot_fd < 0)
+      testbed->port_range_fd = listen_on_port (first);
+      if (testbed->port_range_fd < 0)
         continue;
-      field->next_port = first;
+      testbed->next_port = first;
       return true;
     }
   fprintf (stderr, "no range of ports is free\n");
@@ -69,28 +69,28 @@
 
 /* The next port of the field's range that is free. */
 static int32_t
-find_port (bt_field_t *field)
+find_free_port (bt_field_t *testbed)
 {
   int fd;
 
   do
-    fd = hold_port (++field->next_port);
+    fd = listen_on_port (++testbed->next_port);
   while (fd < 0);
   close (fd);
-  return field->next_port;
+  return testbed->next_port;
 }
 
 static pid_t
-start (bt_field_t *field, const char *program, const char *name, char *const *arguments)
+start_program (bt_field_t *testbed, const char *program, const char *name, char *const *arguments)
 {
   const char *build = getenv ("BT_BUILD_DIR");
   char path[2 * URL_BYTES];
   char log_path[2 * URL_BYTES];
-  char *list[MOST_ARGUMENTS] = { path };
+  char *list[MAX_ARGUMENTS] = { path };
   pid_t pid;
 
   snprintf (path, sizeof path, "%s/%s", build == NULL ? "build/asan" : build, program);
-  snprintf (log_path, sizeof log_path, "%s/%s.log", field->folder, name);
+  snprintf (log_path, sizeof log_path, "%s/%s.log", testbed->folder, name);
   for (int32_t i = 0; arguments[i] != NULL; i++)
     list[i + 1] = arguments[i];
   pid = fork ();
@@ -100,7 +100,7 @@
 }
 
 static void
-end_process (pid_t pid)
+kill_process (pid_t pid)
 {
   if (pid <= 0)
     return;
@@ -109,17 +109,17 @@
 }
 
 static pid_t
-start_standin (bt_field_t *field, const char *program, const char *name, int32_t port)
+start_standin (bt_field_t *testbed, const char *program, const char *name, int32_t port)
 {
   char text[TEXT_BYTES];
   char *arguments[] = { "--port", text, NULL };
 
   snprintf (text, sizeof text, "%d", port);
-  return start (field, program, name, arguments);
+  return start_program (testbed, program, name, arguments);
 }
 
 static int32_t
-perform (int32_t port, const char *path, const char *body)
+get_status (int32_t port, const char *path, const char *body)
 {
   char url[4 * URL_BYTES];
   bt_reply_t reply;
@@ -133,7 +133,7 @@
 }
 
 void
-bt_call_field (const bt_field_t *field, const bt_field_call_t *call, bt_reply_t *reply)
+bt_send_gateway_call (const bt_field_t *testbed, const bt_field_call_t *call, bt_reply_t *reply)
 {
   char id[HEADER_BYTES];
   char deadline[HEADER_BYTES];
@@ -150,27 +150,27 @@
     }
   if (call->extra != NULL)
     headers[count++] = call->extra;
-  bt_ask_gateway (field, call->gateway, call->path, headers, "shrimp", reply);
+  bt_ask_gateway (testbed, call->gateway, call->path, headers, "shrimp", reply);
 }
 
 int32_t
-bt_call_field_status (const bt_field_t *field, const bt_field_call_t *call)
+bt_call_field_status (const bt_field_t *testbed, const bt_field_call_t *call)
 {
   bt_reply_t reply;
   int32_t status;
 
-  bt_call_field (field, call, &reply);
+  bt_send_gateway_call (testbed, call, &reply);
   status = reply.curl_code == 0 ? reply.status : 0;
   bt_clear_reply (&reply);
   return status;
 }
 
 bool
-bt_wait_field_status (const bt_field_t *field, const bt_field_call_t *call, int32_t wanted)
+bt_wait_call_status (const bt_field_t *testbed, const bt_field_call_t *call, int32_t wanted)
 {
-  int64_t limit_ms = bt_read_clock_ms (bt_system_clock ()) + BT_STAGE_WAIT_MS;
+  int64_t limit_ms = bt_read_clock_ms (bt_system_clock ()) + BT_WAIT_LIMIT_MS;
 
-  while (bt_call_field_status (field, call) != wanted)
+  while (bt_call_field_status (testbed, call) != wanted)
     {
       if (bt_read_clock_ms (bt_system_clock ()) > limit_ms)
         return false;
@@ -180,16 +180,16 @@
 }
 
 void
-bt_read_gateway_metrics (const bt_field_t *field, int32_t index, bt_reply_t *reply)
+bt_read_gateway_metrics (const bt_field_t *testbed, int32_t index, bt_reply_t *reply)
 {
   char url[URL_BYTES];
 
-  snprintf (url, sizeof url, "http://127.0.0.1:%d/metrics", field->page_ports[index]);
+  snprintf (url, sizeof url, "http://127.0.0.1:%d/metrics", testbed->page_ports[index]);
   bt_perform_request (url, NULL, NULL, NULL, reply);
 }
 
 int64_t
-bt_read_gateway_metric (const bt_field_t *field, int32_t index, const char *name)
+bt_read_gateway_metric (const bt_field_t *testbed, int32_t index, const char *name)
 {
   char start[TEXT_BYTES];
   const char *line;
@@ -197,7 +197,7 @@
   int64_t value;
 
   snprintf (start, sizeof start, "\n%s ", name);
-  bt_read_gateway_metrics (field, index, &reply);
+  bt_read_gateway_metrics (testbed, index, &reply);
   line = strstr (bt_get_reply_text (&reply), start);
   value = line == NULL ? -1 : strtoll (line + strlen (start), NULL, BASE_TEN);
   bt_clear_reply (&reply);
@@ -205,51 +205,51 @@
 }
 
 int32_t
-bt_get_field_status (int32_t port, const char *path)
+bt_get_http_status (int32_t port, const char *path)
 {
-  return perform (port, path, NULL);
+  return get_status (port, path, NULL);
 }
 
 bool
 bt_set_field_fault (int32_t port, const char *fault)
 {
-  return perform (port, "/fault", fault) == OK;
+  return get_status (port, "/fault", fault) == OK;
 }
 
 bool
-bt_put_field_item (const bt_field_t *field, const char *key, const char *value)
+bt_put_field_item (const bt_field_t *testbed, const char *key, const char *value)
 {
   char path[2 * URL_BYTES];
 
   snprintf (path, sizeof path, "/control/%s?key=%s", value == NULL ? "remove" : "put", key);
-  return perform (field->store_port, path, value == NULL ? "" : value) == OK;
+  return get_status (testbed->store_port, path, value == NULL ? "" : value) == OK;
 }
 
 bool
-bt_list_field_runner (const bt_field_t *field, int32_t index, const char *state)
+bt_list_field_runner (const bt_field_t *testbed, int32_t index, const char *state)
 {
   char key[URL_BYTES];
   char value[TEXT_BYTES];
 
   char id[URL_BYTES / 2];
-  int32_t port = field->runner_hop_ports[index];
+  int32_t port = testbed->runner_hop_ports[index];
 
-  bt_write_runner_id (field, index, id, sizeof id);
+  bt_write_runner_id (testbed, index, id, sizeof id);
   snprintf (key, sizeof key, "servers/%s", id);
   snprintf (value, sizeof value,
             "{\"service\":\"svc\",\"address\":\"127.0.0.1:%d\",\"zone\":\"a\",\"version\":\"v1\","
             "\"slots\":8,\"state\":\"%s\",\"cold_left_ms\":0,\"sequence\":1,\"born\":%lld}",
-            port == 0 ? field->runner_ports[index] : port, state,
-            (long long)field->runner_born[index]);
-  return bt_put_field_item (field, key, value);
+            port == 0 ? testbed->runner_ports[index] : port, state,
+            (long long)testbed->runner_start_ms[index]);
+  return bt_put_field_item (testbed, key, value);
 }
 
 static bool
 wait_for_port (int32_t port)
 {
-  int64_t limit_ms = bt_read_clock_ms (bt_system_clock ()) + BT_STAGE_WAIT_MS;
+  int64_t limit_ms = bt_read_clock_ms (bt_system_clock ()) + BT_WAIT_LIMIT_MS;
 
-  while (perform (port, "/fault", "{\"kind\":\"none\"}") != OK)
+  while (get_status (port, "/fault", "{\"kind\":\"none\"}") != OK)
     {
       if (bt_read_clock_ms (bt_system_clock ()) > limit_ms)
         return false;
@@ -259,7 +259,7 @@
 }
 
 void
-bt_start_gateway_process (bt_field_t *field, int32_t index)
+bt_start_gateway_process (bt_field_t *testbed, int32_t index)
 {
   char instance[TEXT_BYTES];
   char listen[TEXT_BYTES];
@@ -277,88 +277,88 @@
                         drain,     NULL };
 
   snprintf (instance, sizeof instance, "--instance=gateway-%d", index);
-  snprintf (listen, sizeof listen, "--listen=127.0.0.1:%d", field->caller_ports[index]);
-  snprintf (addresses, sizeof addresses, "--addresses=127.0.0.1:%d", field->address_ports[index]);
-  snprintf (ready, sizeof ready, "--ready=127.0.0.1:%d", field->ready_ports[index]);
-  snprintf (store, sizeof store, "--store=127.0.0.1:%d", field->hop_ports[index]);
-  snprintf (links, sizeof links, "--links=127.0.0.1:%d", field->link_ports[index]);
-  snprintf (seeds, sizeof seeds, "--seeds=127.0.0.1:%d", field->link_ports[index == 0 ? 1 : 0]);
-  snprintf (page, sizeof page, "--page=127.0.0.1:%d", field->page_ports[index]);
-  snprintf (drain, sizeof drain, "--drain-ms=%d", field->drain_ms);
-  field->gateways[index] = start (field, "bilberryd", instance + 2, arguments);
+  snprintf (listen, sizeof listen, "--listen=127.0.0.1:%d", testbed->caller_ports[index]);
+  snprintf (addresses, sizeof addresses, "--addresses=127.0.0.1:%d", testbed->address_ports[index]);
+  snprintf (ready, sizeof ready, "--ready=127.0.0.1:%d", testbed->ready_ports[index]);
+  snprintf (store, sizeof store, "--store=127.0.0.1:%d", testbed->hop_ports[index]);
+  snprintf (links, sizeof links, "--links=127.0.0.1:%d", testbed->link_ports[index]);
+  snprintf (seeds, sizeof seeds, "--seeds=127.0.0.1:%d", testbed->link_ports[index == 0 ? 1 : 0]);
+  snprintf (page, sizeof page, "--page=127.0.0.1:%d", testbed->page_ports[index]);
+  snprintf (drain, sizeof drain, "--drain-ms=%d", testbed->drain_ms);
+  testbed->gateways[index] = start_program (testbed, "bilberryd", instance + 2, arguments);
 }
 
 void
-bt_write_runner_id (const bt_field_t *field, int32_t index, char *id, size_t room)
+bt_write_runner_id (const bt_field_t *testbed, int32_t index, char *id, size_t capacity)
 {
-  if (field->runner_ids[index] <= 1)
-    snprintf (id, room, "i-%d", index);
+  if (testbed->runner_id_counts[index] <= 1)
+    snprintf (id, capacity, "i-%d", index);
   else
-    snprintf (id, room, "i-%d-%d", index, field->runner_ids[index] - 1);
+    snprintf (id, capacity, "i-%d-%d", index, testbed->runner_id_counts[index] - 1);
 }
 
 /* A start is later than the one before also where both fall into one millisecond. */
 static void
-note_start (bt_field_t *field, int32_t index)
+set_runner_start (bt_field_t *testbed, int32_t index)
 {
   struct timespec now;
   int64_t now_ms;
 
   clock_gettime (CLOCK_REALTIME, &now);
   now_ms = (int64_t)now.tv_sec * MS_PER_S + now.tv_nsec / NS_PER_MS;
-  field->runner_born[index] =
-      now_ms > field->runner_born[index] ? now_ms : field->runner_born[index] + 1;
+  testbed->runner_start_ms[index] =
+      now_ms > testbed->runner_start_ms[index] ? now_ms : testbed->runner_start_ms[index] + 1;
 }
 
 static bool
-start_runner (bt_field_t *field, int32_t index)
+start_runner (bt_field_t *testbed, int32_t index)
 {
   char id[TEXT_BYTES];
   char born[TEXT_BYTES];
 
-  note_start (field, index);
-  bt_write_runner_id (field, index, id, sizeof id);
-  snprintf (born, sizeof born, "%lld", (long long)field->runner_born[index]);
+  set_runner_start (testbed, index);
+  bt_write_runner_id (testbed, index, id, sizeof id);
+  snprintf (born, sizeof born, "%lld", (long long)testbed->runner_start_ms[index]);
   setenv ("RUNNER_ID", id, 1);
   setenv ("RUNNER_BORN", born, 1);
-  field->runners[index] =
-      start_standin (field, "standin-haiyun_runner", id, field->runner_ports[index]);
-  return wait_for_port (field->runner_ports[index]);
+  testbed->runners[index] =
+      start_standin (testbed, "standin-haiyun_runner", id, testbed->runner_ports[index]);
+  return wait_for_port (testbed->runner_ports[index]);
 }
 
 bool
-bt_start_runner_process (bt_field_t *field, int32_t index)
+bt_start_runner_process (bt_field_t *testbed, int32_t index)
 {
-  field->runner_ids[index]++;
-  return start_runner (field, index);
+  testbed->runner_id_counts[index]++;
+  return start_runner (testbed, index);
 }
 
 void
-bt_kill_runner_process (bt_field_t *field, int32_t index)
+bt_kill_runner_process (bt_field_t *testbed, int32_t index)
 {
-  end_process (field->runners[index]);
-  field->runners[index] = 0;
+  kill_process (testbed->runners[index]);
+  testbed->runners[index] = 0;
 }
 
 bool
-bt_restart_runner_process (bt_field_t *field, int32_t index)
+bt_restart_runner_process (bt_field_t *testbed, int32_t index)
 {
-  bt_kill_runner_process (field, index);
-  return start_runner (field, index);
+  bt_kill_runner_process (testbed, index);
+  return start_runner (testbed, index);
 }
 
 bool
-bt_reap_runner_process (bt_field_t *field, int32_t index)
+bt_reap_runner_process (bt_field_t *testbed, int32_t index)
 {
-  if (field->runners[index] <= 0
-      || waitpid (field->runners[index], NULL, WNOHANG) != field->runners[index])
+  if (testbed->runners[index] <= 0
+      || waitpid (testbed->runners[index], NULL, WNOHANG) != testbed->runners[index])
     return false;
-  field->runners[index] = 0;
+  testbed->runners[index] = 0;
   return true;
 }
 
 int32_t
-bt_count_written_runs (const bt_field_t *field, int32_t index, const char *request_id)
+bt_count_logged_runs (const bt_field_t *testbed, int32_t index, const char *request_id)
 {
   char path[URL_BYTES];
   char line[TEXT_BYTES];
@@ -366,7 +366,7 @@
   int32_t runs = 0;
   FILE *file;
 
-  snprintf (path, sizeof path, "%s/i-%d.log", field->folder, index);
+  snprintf (path, sizeof path, "%s/i-%d.log", testbed->folder, index);
   snprintf (run, sizeof run, "run %s ", request_id);
   file = fopen (path, "r");
   while (file != NULL && fgets (line, sizeof line, file) != NULL)
@@ -378,7 +378,7 @@
 
 static pid_t
 start_hop (
-    bt_field_t *field, const char *kind, int32_t index, int32_t hop_port, int32_t target_port)
+    bt_field_t *testbed, const char *kind, int32_t index, int32_t hop_port, int32_t target_port)
 {
   char name[TEXT_BYTES];
   char port[TEXT_BYTES];
@@ -388,49 +388,50 @@
   snprintf (name, sizeof name, "hop-%s-%d", kind, index);
   snprintf (port, sizeof port, "%d", hop_port);
   snprintf (target, sizeof target, "%d", target_port);
-  return start (field, "standin-hop", name, arguments);
+  return start_program (testbed, "standin-hop", name, arguments);
 }
 
 static bool
-start_runners (bt_field_t *field, bool hops)
+start_runners (bt_field_t *testbed, bool hops)
 {
-  for (int32_t i = 0; i < field->runner_count; i++)
+  for (int32_t i = 0; i < testbed->runner_count; i++)
     {
-      field->runner_ports[i] = find_port (field);
+      testbed->runner_ports[i] = find_free_port (testbed);
       if (hops)
         {
-          field->runner_hop_ports[i] = find_port (field);
-          field->runner_hops[i] =
-              start_hop (field, "runner", i, field->runner_hop_ports[i], field->runner_ports[i]);
+          testbed->runner_hop_ports[i] = find_free_port (testbed);
+          testbed->runner_hops[i] = start_hop (testbed, "runner", i, testbed->runner_hop_ports[i],
+                                               testbed->runner_ports[i]);
         }
-      if (!bt_start_runner_process (field, i) || !bt_list_field_runner (field, i, "ready"))
+      if (!bt_start_runner_process (testbed, i) || !bt_list_field_runner (testbed, i, "ready"))
         return false;
     }
   return true;
 }
 
 static void
-start_gateways (bt_field_t *field)
+start_gateways (bt_field_t *testbed)
 {
-  for (int32_t i = 0; i < field->gateway_count; i++)
+  for (int32_t i = 0; i < testbed->gateway_count; i++)
     {
-      field->caller_ports[i] = find_port (field);
-      field->address_ports[i] = find_port (field);
-      field->ready_ports[i] = find_port (field);
-      field->page_ports[i] = find_port (field);
-      field->link_ports[i] = find_port (field);
-      field->hop_ports[i] = find_port (field);
-      field->hops[i] = start_hop (field, "store", i, field->hop_ports[i], field->store_port);
+      testbed->caller_ports[i] = find_free_port (testbed);
+      testbed->address_ports[i] = find_free_port (testbed);
+      testbed->ready_ports[i] = find_free_port (testbed);
+      testbed->page_ports[i] = find_free_port (testbed);
+      testbed->link_ports[i] = find_free_port (testbed);
+      testbed->hop_ports[i] = find_free_port (testbed);
+      testbed->hops[i] =
+          start_hop (testbed, "store", i, testbed->hop_ports[i], testbed->store_port);
     }
-  for (int32_t i = 0; i < field->gateway_count; i++)
-    bt_start_gateway_process (field, i);
+  for (int32_t i = 0; i < testbed->gateway_count; i++)
+    bt_start_gateway_process (testbed, i);
 }
 
 bool
 bt_set_hop_fault (int32_t port, bt_hop_fault_t fault, int32_t delay_ms)
 {
   struct sockaddr_in address = { .sin_family = AF_INET, .sin_addr = { htonl (INADDR_LOOPBACK) } };
-  struct timeval limit = { BT_STAGE_WAIT_MS / MS_PER_S, 0 };
+  struct timeval limit = { BT_WAIT_LIMIT_MS / MS_PER_S, 0 };
   bt_hop_command_t command = { (int32_t)fault, delay_ms };
   int fd = socket (AF_INET, SOCK_DGRAM, 0);
   bool done;
@@ -444,71 +445,71 @@
 }
 
 static bt_field_t *
-start_field (int32_t gateways, int32_t runners, bool hops, const char *configuration)
+start_testbed (int32_t gateways, int32_t runners, bool hops, const char *configuration)
 {
-  bt_field_t *field = calloc (1, sizeof *field);
+  bt_field_t *testbed = calloc (1, sizeof *testbed);
 
-  field->gateway_count = gateways;
-  field->runner_count = runners;
-  field->drain_ms = DRAIN_MS;
-  snprintf (field->folder, sizeof field->folder, "/tmp/bilberry-field-XXXXXX");
-  if (!take_ports (field) || mkdtemp (field->folder) == NULL)
+  testbed->gateway_count = gateways;
+  testbed->runner_count = runners;
+  testbed->drain_ms = DRAIN_MS;
+  snprintf (testbed->folder, sizeof testbed->folder, "/tmp/bilberry-field-XXXXXX");
+  if (!reserve_port_range (testbed) || mkdtemp (testbed->folder) == NULL)
     {
-      free (field);
+      free (testbed);
       return NULL;
     }
-  field->store_port = find_port (field);
-  field->store = start_standin (field, "standin-haiyun_store", "store", field->store_port);
-  if (!wait_for_port (field->store_port) || !start_runners (field, hops)
-      || !bt_put_field_item (field, "op/config", configuration))
+  testbed->store_port = find_free_port (testbed);
+  testbed->store = start_standin (testbed, "standin-haiyun_store", "store", testbed->store_port);
+  if (!wait_for_port (testbed->store_port) || !start_runners (testbed, hops)
+      || !bt_put_field_item (testbed, "op/config", configuration))
     {
-      bt_drop_field (field, true);
+      bt_drop_field (testbed, true);
       return NULL;
     }
-  start_gateways (field);
-  return field;
+  start_gateways (testbed);
+  return testbed;
 }
 
 bt_field_t *
 bt_new_field (int32_t gateways, const char *configuration)
 {
-  return start_field (gateways, BT_FIELD_RUNNERS, false, configuration);
+  return start_testbed (gateways, BT_DEFAULT_RUNNERS, false, configuration);
 }
 
 bt_field_t *
 bt_new_large_field (int32_t gateways, int32_t runners, const char *configuration)
 {
-  return start_field (gateways, runners, true, configuration);
+  return start_testbed (gateways, runners, true, configuration);
 }
 
 void
-bt_drop_field (bt_field_t *field, bool failed)
+bt_drop_field (bt_field_t *testbed, bool failed)
 {
   char command[URL_BYTES];
 
-  if (field == NULL)
+  if (testbed == NULL)
     return;
-  for (int32_t i = 0; i < field->gateway_count; i++)
+  for (int32_t i = 0; i < testbed->gateway_count; i++)
     {
-      end_process (field->gateways[i]);
-      end_process (field->hops[i]);
+      kill_process (testbed->gateways[i]);
+      kill_process (testbed->hops[i]);
     }
-  for (int32_t i = 0; i < field->runner_count; i++)
+  for (int32_t i = 0; i < testbed->runner_count; i++)
     {
-      end_process (field->runners[i]);
-      end_process (field->runner_hops[i]);
+      kill_process (testbed->runners[i]);
+      kill_process (testbed->runner_hops[i]);
     }
-  end_process (field->store);
+  kill_process (testbed->store);
   snprintf (command, sizeof command, failed ? "tail -n 80 %s/*; rm -r %s" : "true %s; rm -r %s",
-            field->folder, field->folder);
+            testbed->folder, testbed->folder);
   if (system (command) != 0)
-    fprintf (stderr, "can't remove %s\n", field->folder);
-  close (field->slot_fd);
-  free (field);
+    fprintf (stderr, "can't remove %s\n", testbed->folder);
+  close (testbed->port_range_fd);
+  free (testbed);
 }
 
 void
-bt_ask_gateway (const bt_field_t *field,
+bt_ask_gateway (const bt_field_t *testbed,
                 int32_t index,
                 const char *path,
                 const char *const *headers,
@@ -518,7 +519,7 @@
   struct curl_slist *lines = NULL;
   char url[2 * URL_BYTES];
 
-  snprintf (url, sizeof url, "http://127.0.0.1:%d%s", field->caller_ports[index], path);
+  snprintf (url, sizeof url, "http://127.0.0.1:%d%s", testbed->caller_ports[index], path);
   for (int32_t i = 0; headers != NULL && headers[i] != NULL; i++)
     lines = curl_slist_append (lines, headers[i]);
   bt_perform_request (url, lines, body, NULL, reply);
@@ -526,11 +527,11 @@
 }
 
 bool
-bt_wait_gateway_ready (const bt_field_t *field, int32_t index)
+bt_wait_gateway_ready (const bt_field_t *testbed, int32_t index)
 {
-  int64_t limit_ms = bt_read_clock_ms (bt_system_clock ()) + BT_STAGE_WAIT_MS;
+  int64_t limit_ms = bt_read_clock_ms (bt_system_clock ()) + BT_WAIT_LIMIT_MS;
 
-  while (bt_get_field_status (field->ready_ports[index], "/v1/readiness") != OK)
+  while (bt_get_http_status (testbed->ready_ports[index], "/v1/readiness") != OK)
     {
       if (bt_read_clock_ms (bt_system_clock ()) > limit_ms)
         return false;
@@ -560,23 +561,23 @@
 }
 
 int32_t
-bt_count_runner_runs (const bt_field_t *field, int32_t index, const char *request_id)
+bt_count_runner_runs (const bt_field_t *testbed, int32_t index, const char *request_id)
 {
   json_t *found = json_array ();
   int32_t count;
 
-  append_runs (found, field->runner_ports[index], request_id);
+  append_runs (found, testbed->runner_ports[index], request_id);
   count = (int32_t)json_array_size (found);
   json_decref (found);
   return count;
 }
 
 json_t *
-bt_find_field_runs (const bt_field_t *field, const char *request_id)
+bt_find_request_runs (const bt_field_t *testbed, const char *request_id)
 {
   json_t *found = json_array ();
 
-  for (int32_t i = 0; i < field->runner_count; i++)
-    append_runs (found, field->runner_ports[i], request_id);
+  for (int32_t i = 0; i < testbed->runner_count; i++)
+    append_runs (found, testbed->runner_ports[i], request_id);
   return found;
 }
--- a/test/process/harness_http.c
+++ b/test/process/harness_http.c
@@ -36,7 +36,7 @@
 }
 
 static size_t
-take_header (char *data, size_t size, size_t count, void *argument)
+read_header (char *data, size_t size, size_t count, void *argument)
 {
   bt_reply_t *reply = argument;
   char wait[32] = "";
@@ -68,7 +68,7 @@
   curl_easy_setopt (easy, CURLOPT_HTTPHEADER, lines);
   curl_easy_setopt (easy, CURLOPT_WRITEFUNCTION, bt_take_reply_bytes);
   curl_easy_setopt (easy, CURLOPT_WRITEDATA, reply);
-  curl_easy_setopt (easy, CURLOPT_HEADERFUNCTION, take_header);
+  curl_easy_setopt (easy, CURLOPT_HEADERFUNCTION, read_header);
   curl_easy_setopt (easy, CURLOPT_HEADERDATA, reply);
   if (body != NULL)
     curl_easy_setopt (easy, CURLOPT_POSTFIELDS, body);
@@ -81,19 +81,19 @@
 }
 
 void
-bt_ask (const bt_stage_t *stage,
-        const char *entry,
-        const char *account,
-        const char *path,
-        const char *const *headers,
-        const char *body,
-        bt_reply_t *reply)
+bt_send_entry_request (const bt_stage_t *testbed,
+                       const char *entry,
+                       const char *account,
+                       const char *path,
+                       const char *const *headers,
+                       const char *body,
+                       bt_reply_t *reply)
 {
   struct curl_slist *lines = NULL;
   char url[URL_BYTES];
   char token[URL_BYTES];
 
-  snprintf (url, sizeof url, "http://127.0.0.1:%d%s", bt_get_stage_port (stage, entry), path);
+  snprintf (url, sizeof url, "http://127.0.0.1:%d%s", bt_get_stage_port (testbed, entry), path);
   snprintf (token, sizeof token, "Authorization: Bearer token-%s", account);
   lines = curl_slist_append (lines, token);
   for (int32_t i = 0; headers != NULL && headers[i] != NULL; i++)
--- a/test/process/harness_proxy.c
+++ b/test/process/harness_proxy.c
@@ -42,7 +42,7 @@
   pthread_t thread;
   atomic_bool stopping;
   atomic_bool silencing;
-  atomic_bool doubling;
+  atomic_bool duplicating;
   atomic_int accepted;
   pair_t pairs[MAX_PAIRS];
   int32_t count;
@@ -90,7 +90,7 @@
 }
 
 static bool
-send_whole (int fd, const uint8_t *data, size_t bytes)
+send_all (int fd, const uint8_t *data, size_t bytes)
 {
   while (bytes > 0)
     {
@@ -120,7 +120,7 @@
 
 /* Passes on the whole frames that one end has sent; false when that end is closed. */
 static bool
-pass_on (pair_t *pair, int32_t end, int32_t copies)
+forward_frames (pair_t *pair, int32_t end, int32_t copies)
 {
   flow_t *flow = &pair->flows[end];
   size_t frame;
@@ -134,7 +134,7 @@
   while ((frame = find_frame (flow)) > 0)
     {
       for (int32_t copy = 0; copy < copies; copy++)
-        if (!send_whole (pair->ends[1 - end], flow->data, frame))
+        if (!send_all (pair->ends[1 - end], flow->data, frame))
           return false;
       flow->bytes -= frame;
       memmove (flow->data, flow->data + frame, flow->bytes);
@@ -143,13 +143,13 @@
 }
 
 static void
-serve_pairs (bt_proxy_t *proxy, const struct pollfd *polls)
+forward_pairs (bt_proxy_t *proxy, const struct pollfd *polls)
 {
-  int32_t copies = atomic_load (&proxy->doubling) ? 2 : 1;
+  int32_t copies = atomic_load (&proxy->duplicating) ? 2 : 1;
 
   for (int32_t i = proxy->count - 1; i >= 0; i--)
     for (int32_t end = 0; end < ENDS; end++)
-      if (polls[i * ENDS + end].revents != 0 && !pass_on (&proxy->pairs[i], end, copies))
+      if (polls[i * ENDS + end].revents != 0 && !forward_frames (&proxy->pairs[i], end, copies))
         {
           close_pair (proxy, i);
           break;
@@ -180,7 +180,7 @@
       polls[count].events = POLLIN;
       if (poll (polls, (nfds_t)count + 1, POLL_MS) <= 0)
         continue;
-      serve_pairs (proxy, polls);
+      forward_pairs (proxy, polls);
       if (polls[count].revents != 0)
         accept_pair (proxy);
     }
@@ -244,7 +244,7 @@
 }
 
 void
-bt_double_proxy (bt_proxy_t *proxy, bool doubling)
+bt_duplicate_proxy_frames (bt_proxy_t *proxy, bool duplicating)
 {
-  atomic_store (&proxy->doubling, doubling);
+  atomic_store (&proxy->duplicating, duplicating);
 }
--- a/test/process/harness_proxy.h
+++ b/test/process/harness_proxy.h
@@ -26,6 +26,6 @@
 int32_t bt_count_proxy_connections (bt_proxy_t *proxy);
 
 /** From now on, or no longer, each frame goes out twice in either direction. */
-void bt_double_proxy (bt_proxy_t *proxy, bool doubling);
+void bt_duplicate_proxy_frames (bt_proxy_t *proxy, bool duplicating);
 
 #endif
--- a/test/process/harness_requests.c
+++ b/test/process/harness_requests.c
@@ -16,14 +16,14 @@
 /* A ticket that is wanted. */
 typedef struct ticket_wait
 {
-  const bt_stage_t *stage;
+  const bt_stage_t *testbed;
   const char *entry;
   const char *account;
   char *key;
 } ticket_wait_t;
 
 static bool
-gets_ticket (void *argument)
+has_ticket (void *argument)
 {
   static const char *const headers[] = { "Bilberry-App: drafts", "Bilberry-Tickets: 1", NULL };
   const ticket_wait_t *wait = argument;
@@ -31,7 +31,8 @@
   json_t *answer;
   const char *text;
 
-  bt_ask (wait->stage, wait->entry, wait->account, "/v1/addresses", headers, NULL, &reply);
+  bt_send_entry_request (wait->testbed, wait->entry, wait->account, "/v1/addresses", headers, NULL,
+                         &reply);
   answer = reply.body == NULL ? NULL : json_loadb (reply.body, reply.body_bytes, 0, NULL);
   text = json_string_value (json_array_get (json_object_get (answer, "tickets"), 0));
   snprintf (wait->key, BT_KEY_TEXT_BYTES, "%s", text == NULL ? "" : text);
@@ -41,26 +42,26 @@
 }
 
 bool
-bt_take_ticket (const bt_stage_t *stage,
-                const char *entry,
-                const char *account,
-                char key[BT_KEY_TEXT_BYTES])
+bt_fetch_ticket (const bt_stage_t *testbed,
+                 const char *entry,
+                 const char *account,
+                 char key[BT_KEY_TEXT_BYTES])
 {
-  ticket_wait_t wait = { stage, entry, account, NULL };
+  ticket_wait_t wait = { testbed, entry, account, NULL };
 
   wait.key = key;
-  return bt_wait_until (gets_ticket, &wait);
+  return bt_wait_until (has_ticket, &wait);
 }
 
 static size_t
-pass_over (char *data, size_t size, size_t count, void *argument)
+discard_bytes (char *data, size_t size, size_t count, void *argument)
 {
   return size * count;
 }
 
 /* Sends a request and closes the connection before it is answered. */
 static void
-send_and_leave (bt_draft_t *draft, const char *const *headers, const char *body)
+send_and_disconnect (bt_draft_t *draft, const char *const *headers, const char *body)
 {
   char url[BODY_BYTES];
   CURL *easy = curl_easy_init ();
@@ -69,15 +70,15 @@
   for (int32_t i = 0; headers[i] != NULL; i++)
     lines = curl_slist_append (lines, headers[i]);
   snprintf (url, sizeof url, "http://127.0.0.1:%d/v1/completions",
-            bt_get_stage_port (draft->stage, draft->entry));
+            bt_get_stage_port (draft->testbed, draft->entry));
   memset (&draft->reply, 0, sizeof draft->reply);
   curl_easy_setopt (easy, CURLOPT_URL, url);
   curl_easy_setopt (easy, CURLOPT_PROXY, "");
   curl_easy_setopt (easy, CURLOPT_NOSIGNAL, 1L);
-  curl_easy_setopt (easy, CURLOPT_TIMEOUT_MS, (long)draft->patience_ms);
+  curl_easy_setopt (easy, CURLOPT_TIMEOUT_MS, (long)draft->disconnect_after_ms);
   curl_easy_setopt (easy, CURLOPT_HTTPHEADER, lines);
   curl_easy_setopt (easy, CURLOPT_POSTFIELDS, body);
-  curl_easy_setopt (easy, CURLOPT_WRITEFUNCTION, pass_over);
+  curl_easy_setopt (easy, CURLOPT_WRITEFUNCTION, discard_bytes);
   draft->reply.curl_code = (int32_t)curl_easy_perform (easy);
   curl_easy_cleanup (easy);
   curl_slist_free_all (lines);
@@ -93,13 +94,14 @@
   snprintf (key, sizeof key, "Idempotency-Key: %s", draft->key == NULL ? "" : draft->key);
   snprintf (body, sizeof body, "{\"prompt\":\"%s\",\"max_tokens\":%d}", draft->prompt,
             draft->tokens);
-  if (draft->patience_ms > 0)
+  if (draft->disconnect_after_ms > 0)
     {
-      send_and_leave (draft, headers, body);
+      send_and_disconnect (draft, headers, body);
       return;
     }
-  bt_ask (draft->stage, draft->entry, draft->account == NULL ? "small" : draft->account,
-          "/v1/completions", headers, body, &draft->reply);
+  bt_send_entry_request (draft->testbed, draft->entry,
+                         draft->account == NULL ? "small" : draft->account, "/v1/completions",
+                         headers, body, &draft->reply);
 }
 
 static void *
@@ -133,7 +135,7 @@
 }
 
 static bool
-has_whole_body (const bt_draft_t *draft)
+has_complete_body (const bt_draft_t *draft)
 {
   const char *at = bt_get_reply_text (&draft->reply);
   unsigned int hash = (unsigned int)(hash_prompt (draft->prompt) & 0xffffU);
@@ -150,11 +152,11 @@
 }
 
 bool
-bt_is_draft_whole (const bt_draft_t *draft)
+bt_is_draft_complete (const bt_draft_t *draft)
 {
   const bt_reply_t *reply = &draft->reply;
 
-  if (reply->curl_code == 0 && reply->status == 200 && has_whole_body (draft))
+  if (reply->curl_code == 0 && reply->status == 200 && has_complete_body (draft))
     return true;
   fprintf (stderr, "\"%s\" by %s: curl %d, status %d, outcome %s, reason %s, %d bytes\n",
            draft->prompt, draft->entry, reply->curl_code, reply->status, reply->outcome,
@@ -163,7 +165,7 @@
 }
 
 bool
-bt_was_draft_told (const bt_draft_t *draft, const char *outcome)
+bt_has_draft_outcome (const bt_draft_t *draft, const char *outcome)
 {
   if (draft->reply.curl_code != 0)
     return strcmp (outcome, "unknown") == 0;
@@ -178,12 +180,12 @@
   size_t index;
   json_t *run;
 
-  for (int32_t i = 0; i < draft->stage->engines; i++)
+  for (int32_t i = 0; i < draft->testbed->engines; i++)
     {
       json_t *log;
 
       snprintf (name, sizeof name, "engine-%d", i);
-      log = bt_call_standin (draft->stage, name, "/v1/runs", NULL);
+      log = bt_call_standin (draft->testbed, name, "/v1/runs", NULL);
       json_array_foreach (json_object_get (log, "runs"), index, run)
       {
         const char *prompt = json_string_value (json_object_get (run, "prompt"));
@@ -196,15 +198,15 @@
 }
 
 bool
-bt_is_draft_truthful (const bt_draft_t *draft)
+bt_is_draft_consistent (const bt_draft_t *draft)
 {
   int32_t runs = bt_count_draft_runs (draft);
 
   if (draft->reply.curl_code == 0 && draft->reply.status == 200)
-    return runs == 1 && bt_is_draft_whole (draft);
-  if (bt_was_draft_told (draft, "not-run"))
+    return runs == 1 && bt_is_draft_complete (draft);
+  if (bt_has_draft_outcome (draft, "not-run"))
     return runs == 0;
-  return bt_was_draft_told (draft, "unknown") && runs <= 1;
+  return bt_has_draft_outcome (draft, "unknown") && runs <= 1;
 }
 
 static bool
@@ -214,7 +216,7 @@
 }
 
 bool
-bt_wait_draft_runs (bt_draft_t *draft)
+bt_wait_draft_started (bt_draft_t *draft)
 {
   return bt_wait_until (has_runs, draft);
 }
@@ -222,7 +224,7 @@
 /* Which endpoints an entry is to have. */
 typedef struct endpoints_wait
 {
-  const bt_stage_t *stage;
+  const bt_stage_t *testbed;
   const char *entry;
   int32_t count;
 } endpoints_wait_t;
@@ -232,17 +234,17 @@
 {
   const endpoints_wait_t *wait = argument;
   char key[BT_KEY_TEXT_BYTES];
-  ticket_wait_t ticket = { wait->stage, wait->entry, "small", key };
+  ticket_wait_t ticket = { wait->testbed, wait->entry, "small", key };
 
-  if (!gets_ticket (&ticket))
+  if (!has_ticket (&ticket))
     return false;
-  return bt_is_entry_ready (wait->stage, wait->entry, wait->count);
+  return bt_is_entry_ready (wait->testbed, wait->entry, wait->count);
 }
 
 bool
-bt_wait_endpoints (const bt_stage_t *stage, const char *entry, int32_t count)
+bt_wait_endpoints (const bt_stage_t *testbed, const char *entry, int32_t count)
 {
-  endpoints_wait_t wait = { stage, entry, count };
+  endpoints_wait_t wait = { testbed, entry, count };
 
   return bt_wait_until (has_endpoints, &wait);
 }
--- a/test/process/log_pipe.h
+++ b/test/process/log_pipe.h
@@ -23,8 +23,8 @@
 
 typedef struct log_pipe
 {
-  int in;
-  int out; /**< To be given to programs. */
+  int read_fd;
+  int write_fd; /**< To be given to programs. */
   char *text;
   size_t bytes;
 } log_pipe_t;
@@ -38,8 +38,8 @@
     return false;
   fcntl (ends[1], F_SETPIPE_SZ, LOG_PIPE_BYTES);
   fcntl (ends[0], F_SETFL, O_NONBLOCK);
-  log->in = ends[0];
-  log->out = ends[1];
+  log->read_fd = ends[0];
+  log->write_fd = ends[1];
   log->text = calloc (1, LOG_TEXT_BYTES);
   log->bytes = 0;
   return log->text != NULL;
@@ -48,8 +48,8 @@
 static void
 close_log_pipe (log_pipe_t *log)
 {
-  close (log->in);
-  close (log->out);
+  close (log->read_fd);
+  close (log->write_fd);
   free (log->text);
 }
 
@@ -59,7 +59,7 @@
 {
   ssize_t got;
 
-  while ((got = read (log->in, log->text + log->bytes, LOG_TEXT_BYTES - log->bytes - 1)) > 0)
+  while ((got = read (log->read_fd, log->text + log->bytes, LOG_TEXT_BYTES - log->bytes - 1)) > 0)
     log->bytes += (size_t)got;
   log->text[log->bytes] = '\0';
 }
@@ -75,7 +75,7 @@
 /* Adds up a number of all lines that name an event and, unless NULL, a cause; counts these lines
  * when @p number is NULL. Any line that is not whole fails the test. */
 static int64_t
-sum_log_pipe (const log_pipe_t *log, const char *event, const char *cause, const char *number)
+sum_log_pipe (const log_pipe_t *log, const char *event, const char *cause, const char *number_field)
 {
   char *copy = strdup (log->text);
   char *rest = NULL;
@@ -90,7 +90,8 @@
         fprintf (stderr, "no event: %s\n", line);
       CU_ASSERT_TRUE (named);
       if (has_text (object, "event", event) && (cause == NULL || has_text (object, "cause", cause)))
-        sum += number == NULL ? 1 : json_integer_value (json_object_get (object, number));
+        sum +=
+            number_field == NULL ? 1 : json_integer_value (json_object_get (object, number_field));
       json_decref (object);
     }
   free (copy);
--- a/test/process/test_command_line.c
+++ b/test/process/test_command_line.c
@@ -43,7 +43,7 @@
 }
 
 static void
-test_wrong_settings_are_reported_together_and_nothing_starts (void)
+test_invalid_settings_are_reported_together (void)
 {
   static const char *const findings[] = { "listen: \"nowhere\" is not of the form IP:PORT.",
                                           "workers: 1 is not between 2 and 64.",
@@ -61,7 +61,7 @@
 /* A deployment may bound the retries of its instances by a number that is not whole, or by none. An
  * instance that does not take it leaves callers without any. */
 static void
-test_bounds_of_retries_need_not_be_whole (void)
+test_retry_reserve_accepts_fractions (void)
 {
   static const char *const reserves[] = { "37.333333333333336", "448.0", "0" };
   char line[128];
@@ -116,7 +116,7 @@
 }
 
 static void
-test_check_names_file_line_and_path (void)
+test_check_reports_a_missing_file (void)
 {
   static const char *const missing[] = { "endpoints.json: Can't be read", NULL };
   char folder[] = "/tmp/bilberry-check-XXXXXX";
@@ -136,7 +136,7 @@
 }
 
 static void
-test_explain_says_why (void)
+test_explain_names_the_matching_rule (void)
 {
   static const char *const wanted[] = { "oversized: does not match, by body_bytes",
                                         "order-drafts: matches and decides", "key required", NULL };
@@ -157,11 +157,11 @@
   CU_initialize_registry ();
   suite = CU_add_suite ("command line", NULL, NULL);
   CU_ADD_TEST (suite, test_help_and_version);
-  CU_ADD_TEST (suite, test_wrong_settings_are_reported_together_and_nothing_starts);
-  CU_ADD_TEST (suite, test_bounds_of_retries_need_not_be_whole);
+  CU_ADD_TEST (suite, test_invalid_settings_are_reported_together);
+  CU_ADD_TEST (suite, test_retry_reserve_accepts_fractions);
   CU_ADD_TEST (suite, test_check_accepts_the_examples);
-  CU_ADD_TEST (suite, test_check_names_file_line_and_path);
-  CU_ADD_TEST (suite, test_explain_says_why);
+  CU_ADD_TEST (suite, test_check_reports_a_missing_file);
+  CU_ADD_TEST (suite, test_explain_names_the_matching_rule);
   CU_basic_set_mode (CU_BRM_VERBOSE);
   CU_basic_run_tests ();
   failed = CU_get_number_of_failures ();
--- a/test/process/test_config_faults.c
+++ b/test/process/test_config_faults.c
@@ -18,7 +18,7 @@
 };
 static const char *const publish_flags[] = { "--isolation-ms", "3000", NULL };
 
-static bt_stage_t *stage;
+static bt_stage_t *testbed;
 
 static int
 start_suite (void)
@@ -26,15 +26,15 @@
   char *rules = bt_make_version_rules ("v0");
 
   bt_set_stage_arguments (entry_flags, NULL);
-  stage = bt_new_stage (ENTRIES, 0, 1, 1000, rules);
+  testbed = bt_new_stage (ENTRIES, 0, 1, 1000, rules);
   free (rules);
-  return stage == NULL ? 1 : 0;
+  return testbed == NULL ? 1 : 0;
 }
 
 static int
 end_suite (void)
 {
-  bt_drop_stage (stage, CU_get_number_of_failures () > 0);
+  bt_drop_stage (testbed, CU_get_number_of_failures () > 0);
   return 0;
 }
 
@@ -42,27 +42,27 @@
 check_all_have (const char *version)
 {
   for (int32_t i = 0; i < ENTRIES; i++)
-    CU_ASSERT_TRUE (bt_wait_version (stage, entries[i], version));
+    CU_ASSERT_TRUE (bt_wait_rules_version (testbed, entries[i], version));
 }
 
 /* An operator publishes. When the command says accepted, every entry already goes by the new
  * rules, and status names the change for each. */
 static void
-test_accepted_is_in_force (void)
+test_accepted_change_is_in_force (void)
 {
   char output[BT_OUTPUT_BYTES];
   char version[48];
 
   check_all_have ("v0");
-  CU_ASSERT_EQUAL (bt_publish_version (stage, "v1", publish_flags, output), 0);
+  CU_ASSERT_EQUAL (bt_publish_version (testbed, "v1", publish_flags, output), 0);
   CU_ASSERT_PTR_NOT_NULL (strstr (output, "entry-2: in force"));
   CU_ASSERT_PTR_NOT_NULL (strstr (output, "accepted: change "));
   for (int32_t i = 0; i < ENTRIES; i++)
     {
-      bt_ask_version (stage, entries[i], version);
+      bt_read_rules_version (testbed, entries[i], version);
       CU_ASSERT_STRING_EQUAL (version, "v1");
     }
-  CU_ASSERT_EQUAL (bt_run_status (stage, output), 0);
+  CU_ASSERT_EQUAL (bt_run_status (testbed, output), 0);
   CU_ASSERT_PTR_NOT_NULL (strstr (output, "entry-1 (hall): ready"));
   CU_ASSERT_PTR_NOT_NULL (strstr (output, "  rules: revision "));
 }
@@ -70,23 +70,23 @@
 /* The service writes the change, and its answer is lost. The command must neither report a failure
  * nor write twice. */
 static void
-test_lost_answer (void)
+test_lost_store_answer (void)
 {
   char output[BT_OUTPUT_BYTES];
-  int64_t before = bt_count_store_calls (stage, "txn");
+  int64_t before = bt_count_store_calls (testbed, "txn");
 
   CU_ASSERT_TRUE (
-      bt_fault_store (stage, "{\"kind\":\"lost-answer\",\"count\":1,\"match\":\"txn\"}"));
-  CU_ASSERT_EQUAL (bt_publish_version (stage, "v2", publish_flags, output), 0);
+      bt_set_store_fault (testbed, "{\"kind\":\"lost-answer\",\"count\":1,\"match\":\"txn\"}"));
+  CU_ASSERT_EQUAL (bt_publish_version (testbed, "v2", publish_flags, output), 0);
   CU_ASSERT_PTR_NOT_NULL (strstr (output, "accepted: change "));
-  CU_ASSERT_EQUAL (bt_count_store_calls (stage, "txn"), before + 1);
+  CU_ASSERT_EQUAL (bt_count_store_calls (testbed, "txn"), before + 1);
   check_all_have ("v2");
 }
 
 /* Two operators start from the same revision. One wins; the other is told what was changed
  * meanwhile and by which change, and the winner's rules stay in force. */
 static void
-test_two_operators_race (void)
+test_concurrent_publish_is_a_conflict (void)
 {
   char base[32];
   const char *flags[] = { "--isolation-ms", "3000", "--base-revision", base, NULL };
@@ -95,9 +95,9 @@
   int32_t codes[2];
   int32_t winner;
 
-  snprintf (base, sizeof base, "%lld", (long long)bt_get_rules_revision (stage));
-  bt_start_publish (stage, "one", flags, &runs[0]);
-  bt_start_publish (stage, "other", flags, &runs[1]);
+  snprintf (base, sizeof base, "%lld", (long long)bt_get_rules_revision (testbed));
+  bt_start_publish (testbed, "one", flags, &runs[0]);
+  bt_start_publish (testbed, "other", flags, &runs[1]);
   for (int32_t i = 0; i < 2; i++)
     codes[i] = bt_finish_command (&runs[i], outputs[i]);
   winner = codes[0] == 0 ? 0 : 1;
@@ -111,30 +111,30 @@
 /* Every watch is confirmed and then stays silent; a change is written past the hand-over. It must
  * come into force all the same. */
 static void
-test_silent_watch (void)
+test_silent_watch_delays_no_change (void)
 {
-  CU_ASSERT_TRUE (bt_fault_store (stage, "{\"kind\":\"silent-watch\",\"match\":\"watch\"}"));
-  CU_ASSERT_TRUE (bt_put_version (stage, "v4"));
+  CU_ASSERT_TRUE (bt_set_store_fault (testbed, "{\"kind\":\"silent-watch\",\"match\":\"watch\"}"));
+  CU_ASSERT_TRUE (bt_put_version (testbed, "v4"));
   check_all_have ("v4");
-  CU_ASSERT_TRUE (bt_fault_store (stage, "{\"kind\":\"none\"}"));
+  CU_ASSERT_TRUE (bt_set_store_fault (testbed, "{\"kind\":\"none\"}"));
 }
 
 /* A change is accepted, and in the next moment the service falls silent; then one entry dies and
  * is started anew. The new process has nothing but its peers to learn from. */
 static void
-test_outage_after_acceptance_and_replaced_entry (void)
+test_restarted_entry_learns_from_peers (void)
 {
   char output[BT_OUTPUT_BYTES];
 
-  CU_ASSERT_EQUAL (bt_publish_version (stage, "v5", publish_flags, output), 0);
-  CU_ASSERT_TRUE (bt_signal_process (stage, "kv", SIGSTOP));
-  CU_ASSERT_TRUE (bt_signal_process (stage, "entry-1", SIGKILL));
-  CU_ASSERT_TRUE (bt_start_process (stage, "entry-1"));
+  CU_ASSERT_EQUAL (bt_publish_version (testbed, "v5", publish_flags, output), 0);
+  CU_ASSERT_TRUE (bt_signal_process (testbed, "kv", SIGSTOP));
+  CU_ASSERT_TRUE (bt_signal_process (testbed, "entry-1", SIGKILL));
+  CU_ASSERT_TRUE (bt_start_process (testbed, "entry-1"));
   check_all_have ("v5");
   usleep (4000000);
   check_all_have ("v5");
-  CU_ASSERT_TRUE (bt_signal_process (stage, "kv", SIGCONT));
-  CU_ASSERT_EQUAL (bt_publish_version (stage, "v6", publish_flags, output), 0);
+  CU_ASSERT_TRUE (bt_signal_process (testbed, "kv", SIGCONT));
+  CU_ASSERT_EQUAL (bt_publish_version (testbed, "v6", publish_flags, output), 0);
   check_all_have ("v6");
 }
 
@@ -142,16 +142,16 @@
  * cannot know whether its rules still hold, so it must refuse, with that reason, and go on once it
  * is back among the others. */
 static void
-test_cut_off_entry_refuses (void)
+test_isolated_entry_refuses (void)
 {
-  CU_ASSERT_TRUE (bt_fault_store (stage, "{\"kind\":\"down\"}"));
-  CU_ASSERT_TRUE (bt_signal_process (stage, "entry-0", SIGSTOP));
-  CU_ASSERT_TRUE (bt_signal_process (stage, "entry-1", SIGSTOP));
-  CU_ASSERT_TRUE (bt_wait_version (stage, "entry-2", "isolated"));
-  CU_ASSERT_TRUE (bt_signal_process (stage, "entry-0", SIGCONT));
-  CU_ASSERT_TRUE (bt_signal_process (stage, "entry-1", SIGCONT));
+  CU_ASSERT_TRUE (bt_set_store_fault (testbed, "{\"kind\":\"down\"}"));
+  CU_ASSERT_TRUE (bt_signal_process (testbed, "entry-0", SIGSTOP));
+  CU_ASSERT_TRUE (bt_signal_process (testbed, "entry-1", SIGSTOP));
+  CU_ASSERT_TRUE (bt_wait_rules_version (testbed, "entry-2", "isolated"));
+  CU_ASSERT_TRUE (bt_signal_process (testbed, "entry-0", SIGCONT));
+  CU_ASSERT_TRUE (bt_signal_process (testbed, "entry-1", SIGCONT));
   check_all_have ("v6");
-  CU_ASSERT_TRUE (bt_fault_store (stage, "{\"kind\":\"none\"}"));
+  CU_ASSERT_TRUE (bt_set_store_fault (testbed, "{\"kind\":\"none\"}"));
 }
 
 int
@@ -162,12 +162,12 @@
 
   CU_initialize_registry ();
   suite = CU_add_suite ("config_faults", start_suite, end_suite);
-  CU_ADD_TEST (suite, test_accepted_is_in_force);
-  CU_ADD_TEST (suite, test_lost_answer);
-  CU_ADD_TEST (suite, test_two_operators_race);
-  CU_ADD_TEST (suite, test_silent_watch);
-  CU_ADD_TEST (suite, test_outage_after_acceptance_and_replaced_entry);
-  CU_ADD_TEST (suite, test_cut_off_entry_refuses);
+  CU_ADD_TEST (suite, test_accepted_change_is_in_force);
+  CU_ADD_TEST (suite, test_lost_store_answer);
+  CU_ADD_TEST (suite, test_concurrent_publish_is_a_conflict);
+  CU_ADD_TEST (suite, test_silent_watch_delays_no_change);
+  CU_ADD_TEST (suite, test_restarted_entry_learns_from_peers);
+  CU_ADD_TEST (suite, test_isolated_entry_refuses);
   CU_basic_set_mode (CU_BRM_VERBOSE);
   CU_basic_run_tests ();
   failed = CU_get_number_of_failures () + CU_get_number_of_suites_failed ();
--- a/test/process/test_gateway.c
+++ b/test/process/test_gateway.c
@@ -23,7 +23,7 @@
   /* At 15 retries for 100 requests. */
   REQUESTS_FOR_A_RETRY = 7,
   /* Of one request, on routes with two attempts. */
-  MOST_RETRIES = 3,
+  MAX_RETRIES = 3,
 };
 
 static const char *const configuration =
@@ -44,12 +44,13 @@
     ",{\"name\":\"late\",\"host\":\"shop.example\",\"prefix\":\"/late/\",\"kind\":\"idempotent\","
     "\"service\":\"svc\",\"timeout_ms\":3000,\"max_attempts\":2,\"public\":true}";
 
-static bt_field_t *field;
+static bt_field_t *testbed;
 
 static void
-write_configuration (char *text, size_t room, int32_t version, const char *keys, const char *routes)
+write_configuration (
+    char *text, size_t capacity, int32_t version, const char *keys, const char *routes)
 {
-  snprintf (text, room, configuration, version, keys, routes);
+  snprintf (text, capacity, configuration, version, keys, routes);
 }
 
 static int
@@ -58,8 +59,8 @@
   char text[4096];
 
   write_configuration (text, sizeof text, 1, ",\"key-other\"", "");
-  field = bt_new_field (2, text);
-  if (field == NULL || !bt_wait_gateway_ready (field, 0) || !bt_wait_gateway_ready (field, 1))
+  testbed = bt_new_field (2, text);
+  if (testbed == NULL || !bt_wait_gateway_ready (testbed, 0) || !bt_wait_gateway_ready (testbed, 1))
     return 1;
   return 0;
 }
@@ -67,7 +68,7 @@
 static int
 end_suite (void)
 {
-  bt_drop_field (field, CU_get_number_of_failures () > 0);
+  bt_drop_field (testbed, CU_get_number_of_failures () > 0);
   return 0;
 }
 
@@ -84,34 +85,34 @@
 }
 
 static void
-ask (int32_t gateway, const char *path, const char *id, const char *key, bt_reply_t *reply)
+send_request (int32_t gateway, const char *path, const char *id, const char *key, bt_reply_t *reply)
 {
   bt_field_call_t call = make_call (gateway, path, id, key);
 
-  bt_call_field (field, &call, reply);
+  bt_send_gateway_call (testbed, &call, reply);
 }
 
 static int32_t
-ask_status (int32_t gateway, const char *path, const char *id, const char *key)
+request_status (int32_t gateway, const char *path, const char *id, const char *key)
 {
   bt_field_call_t call = make_call (gateway, path, id, key);
 
-  return bt_call_field_status (field, &call);
+  return bt_call_field_status (testbed, &call);
 }
 
 /* Sends requests that succeed, until the gateway has saved up some retries. Tests share its budget,
  * and how much the ones before have spent depends on where the router sent their requests. */
 static void
-earn_retries (int32_t gateway, int32_t retries)
+fill_retry_budget (int32_t gateway, int32_t retries)
 {
   for (int32_t i = 0; i < retries * REQUESTS_FOR_A_RETRY; i++)
-    CU_ASSERT_EQUAL (ask_status (gateway, "/a/lookup", "r-earn", "key-small"), OK);
+    CU_ASSERT_EQUAL (request_status (gateway, "/a/lookup", "r-earn", "key-small"), OK);
 }
 
 static size_t
 count_runs (const char *id)
 {
-  json_t *runs = bt_find_field_runs (field, id);
+  json_t *runs = bt_find_request_runs (testbed, id);
   size_t count = json_array_size (runs);
 
   json_decref (runs);
@@ -121,18 +122,18 @@
 static void
 set_all_faults (const char *fault)
 {
-  for (int32_t i = 0; i < BT_FIELD_RUNNERS; i++)
-    CU_ASSERT_TRUE (bt_set_field_fault (field->runner_ports[i], fault));
+  for (int32_t i = 0; i < BT_DEFAULT_RUNNERS; i++)
+    CU_ASSERT_TRUE (bt_set_field_fault (testbed->runner_ports[i], fault));
 }
 
 static void
-test_requests_reach_a_runner_as_they_are (void)
+test_requests_reach_a_runner_with_trusted_headers (void)
 {
   json_t *runs;
   const json_t *run;
 
-  CU_ASSERT_EQUAL (ask_status (0, "/a/lookup", "r-plain", "key-small"), OK);
-  runs = bt_find_field_runs (field, "r-plain");
+  CU_ASSERT_EQUAL (request_status (0, "/a/lookup", "r-plain", "key-small"), OK);
+  runs = bt_find_request_runs (testbed, "r-plain");
   CU_ASSERT_EQUAL (json_array_size (runs), 1);
   run = json_array_get (runs, 0);
   CU_ASSERT_STRING_EQUAL (json_string_value (json_object_get (run, "account")), "small");
@@ -143,19 +144,19 @@
 }
 
 static void
-test_refusals_tell_why (void)
+test_refused_requests_do_not_run (void)
 {
-  CU_ASSERT_EQUAL (ask_status (0, "/elsewhere/x", "r-route", "key-small"), NOT_FOUND);
-  CU_ASSERT_EQUAL (ask_status (1, "/a/lookup", "r-key", "key-nobody"), UNAUTHORIZED);
+  CU_ASSERT_EQUAL (request_status (0, "/elsewhere/x", "r-route", "key-small"), NOT_FOUND);
+  CU_ASSERT_EQUAL (request_status (1, "/a/lookup", "r-key", "key-nobody"), UNAUTHORIZED);
   CU_ASSERT_EQUAL (count_runs ("r-route") + count_runs ("r-key"), 0);
 }
 
 static void
-test_streams_come_whole (void)
+test_streams_are_complete (void)
 {
   bt_reply_t reply;
 
-  ask (0, "/a/stream/x", "r-stream", "key-small", &reply);
+  send_request (0, "/a/stream/x", "r-stream", "key-small", &reply);
   CU_ASSERT_EQUAL (reply.curl_code, 0);
   CU_ASSERT_EQUAL (reply.status, OK);
   CU_ASSERT_PTR_NOT_NULL (strstr (bt_get_reply_text (&reply), "id: 1\ndata: piece-1\n\n"));
@@ -165,32 +166,33 @@
 
 /* The whole stream that runners give. */
 static void
-write_stream (char *text, size_t room)
+write_stream (char *text, size_t capacity)
 {
   size_t used = 0;
 
   for (int32_t event = 1; event <= EVENTS; event++)
-    used += (size_t)snprintf (text + used, room - used, "id: %d\ndata: piece-%d\n\n", event, event);
+    used +=
+        (size_t)snprintf (text + used, capacity - used, "id: %d\ndata: piece-%d\n\n", event, event);
 }
 
 /* True when the caller got the stream whole. */
 static bool
-is_stream_whole (const char *id, const char *expected)
+is_stream_complete (const char *id, const char *expected)
 {
   bt_reply_t reply;
-  bool whole;
+  bool complete;
 
-  ask (0, "/a/stream/x", id, "key-small", &reply);
-  whole = reply.curl_code == 0 && strcmp (bt_get_reply_text (&reply), expected) == 0;
+  send_request (0, "/a/stream/x", id, "key-small", &reply);
+  complete = reply.curl_code == 0 && strcmp (bt_get_reply_text (&reply), expected) == 0;
   bt_clear_reply (&reply);
-  return whole;
+  return complete;
 }
 
 /* How often a stream was resumed, each time behind the second event. */
 static int32_t
 count_resumes (const char *id)
 {
-  json_t *runs = bt_find_field_runs (field, id);
+  json_t *runs = bt_find_request_runs (testbed, id);
   int32_t resumes = 0;
   json_t *run;
   size_t i;
@@ -209,23 +211,23 @@
 }
 
 static int32_t
-ask_streams_together (const char *expected)
+request_streams_in_parallel (const char *expected)
 {
-  pid_t askers[BT_FIELD_RUNNERS];
-  char ids[BT_FIELD_RUNNERS][32];
+  pid_t callers[BT_DEFAULT_RUNNERS];
+  char ids[BT_DEFAULT_RUNNERS][32];
   int32_t resumes = 0;
   int status = 0;
 
-  for (int32_t i = 0; i < BT_FIELD_RUNNERS; i++)
+  for (int32_t i = 0; i < BT_DEFAULT_RUNNERS; i++)
     {
       snprintf (ids[i], sizeof ids[i], "r-cut-%d", i);
-      askers[i] = fork ();
-      if (askers[i] == 0)
-        _exit (is_stream_whole (ids[i], expected) ? 0 : 1);
+      callers[i] = fork ();
+      if (callers[i] == 0)
+        _exit (is_stream_complete (ids[i], expected) ? 0 : 1);
     }
-  for (int32_t i = 0; i < BT_FIELD_RUNNERS; i++)
+  for (int32_t i = 0; i < BT_DEFAULT_RUNNERS; i++)
     {
-      waitpid (askers[i], &status, 0);
+      waitpid (callers[i], &status, 0);
       CU_ASSERT (WIFEXITED (status) && WEXITSTATUS (status) == 0);
       resumes += count_resumes (ids[i]);
     }
@@ -235,16 +237,16 @@
 /* A runner dies in the middle of an event of a draft. The caller sees one whole stream: another
  * runner goes on behind the last whole event, and the half one is never passed on. */
 static void
-test_cut_stream_goes_on_elsewhere (void)
+test_cut_off_stream_is_resumed_elsewhere (void)
 {
   char expected[512];
 
-  earn_retries (0, BT_FIELD_RUNNERS);
+  fill_retry_budget (0, BT_DEFAULT_RUNNERS);
   /* Every runner cuts what it begins and ends what it resumes, so that each stream is resumed once
    * wherever the router sends it. */
   set_all_faults ("{\"kind\":\"cut-first\",\"count\":-1,\"match\":\"/stream/\"}");
   write_stream (expected, sizeof expected);
-  CU_ASSERT_EQUAL (ask_streams_together (expected), BT_FIELD_RUNNERS);
+  CU_ASSERT_EQUAL (request_streams_in_parallel (expected), BT_DEFAULT_RUNNERS);
   set_all_faults ("{\"kind\":\"none\"}");
 }
 
@@ -252,17 +254,17 @@
  * refusal's whole answer must not pass for the end of the stream: the caller would take half a
  * draft for all. */
 static void
-test_refused_resume_is_visibly_cut (void)
+test_refused_resume_aborts_the_stream (void)
 {
-  earn_retries (0, BT_FIELD_RUNNERS * 2 * MOST_RETRIES);
+  fill_retry_budget (0, BT_DEFAULT_RUNNERS * 2 * MAX_RETRIES);
   set_all_faults ("{\"kind\":\"full\",\"count\":-1,\"match\":\"/stream/\"}");
-  CU_ASSERT_TRUE (bt_set_field_fault (field->runner_ports[0],
+  CU_ASSERT_TRUE (bt_set_field_fault (testbed->runner_ports[0],
                                       "{\"kind\":\"cut\",\"count\":-1,\"match\":\"/stream/\"}"));
-  for (int32_t i = 0; i < BT_FIELD_RUNNERS * 2; i++)
+  for (int32_t i = 0; i < BT_DEFAULT_RUNNERS * 2; i++)
     {
       bt_reply_t reply;
 
-      ask (0, "/a/stream/x", "r-alone", "key-small", &reply);
+      send_request (0, "/a/stream/x", "r-alone", "key-small", &reply);
       CU_ASSERT (reply.curl_code != 0 || reply.status == UNAVAILABLE);
       CU_ASSERT_PTR_NULL (strstr (bt_get_reply_text (&reply), "piece-8"));
       bt_clear_reply (&reply);
@@ -278,35 +280,36 @@
 {
   int32_t status;
 
-  earn_retries (0, 1);
+  fill_retry_budget (0, 1);
   set_all_faults ("{\"kind\":\"cut\",\"count\":1}");
-  status = ask_status (0, "/a/once/order", "r-order", "key-small");
+  status = request_status (0, "/a/once/order", "r-order", "key-small");
   CU_ASSERT_EQUAL (status, BAD_GATEWAY);
   CU_ASSERT_EQUAL (count_runs ("r-order"), 1);
   set_all_faults ("{\"kind\":\"none\"}");
-  CU_ASSERT_TRUE (bt_set_field_fault (field->runner_ports[0], "{\"kind\":\"cut\",\"count\":1}"));
-  for (int32_t i = 0; i < BT_FIELD_RUNNERS * 2; i++)
+  CU_ASSERT_TRUE (bt_set_field_fault (testbed->runner_ports[0], "{\"kind\":\"cut\",\"count\":1}"));
+  for (int32_t i = 0; i < BT_DEFAULT_RUNNERS * 2; i++)
     {
       char id[32];
 
       snprintf (id, sizeof id, "r-lookup-%d", i);
-      CU_ASSERT_EQUAL (ask_status (0, "/a/lookup", id, "key-small"), OK);
+      CU_ASSERT_EQUAL (request_status (0, "/a/lookup", id, "key-small"), OK);
     }
   set_all_faults ("{\"kind\":\"none\"}");
 }
 
 /* A runner that is full says so, and the request has not run: it goes to another. */
 static void
-test_full_runner_costs_nothing (void)
+test_full_runner_is_retried_elsewhere (void)
 {
-  earn_retries (1, BT_FIELD_RUNNERS * 2);
-  CU_ASSERT_TRUE (bt_set_field_fault (field->runner_ports[1], "{\"kind\":\"full\",\"count\":-1}"));
-  for (int32_t i = 0; i < BT_FIELD_RUNNERS * 2; i++)
+  fill_retry_budget (1, BT_DEFAULT_RUNNERS * 2);
+  CU_ASSERT_TRUE (
+      bt_set_field_fault (testbed->runner_ports[1], "{\"kind\":\"full\",\"count\":-1}"));
+  for (int32_t i = 0; i < BT_DEFAULT_RUNNERS * 2; i++)
     {
       char id[32];
 
       snprintf (id, sizeof id, "r-full-%d", i);
-      CU_ASSERT_EQUAL (ask_status (1, "/a/once/order", id, "key-small"), OK);
+      CU_ASSERT_EQUAL (request_status (1, "/a/once/order", id, "key-small"), OK);
       CU_ASSERT_EQUAL (count_runs (id), 1);
     }
   set_all_faults ("{\"kind\":\"none\"}");
@@ -314,10 +317,10 @@
 
 /* A whole answer without the runner's mark is somebody else's bytes: no caller gets it. */
 static void
-test_unmarked_answer_is_not_passed (void)
+test_unmarked_answer_is_not_forwarded (void)
 {
   set_all_faults ("{\"kind\":\"unmarked\",\"count\":-1}");
-  CU_ASSERT_EQUAL (ask_status (0, "/a/once/order", "r-unmarked", "key-small"), BAD_GATEWAY);
+  CU_ASSERT_EQUAL (request_status (0, "/a/once/order", "r-unmarked", "key-small"), BAD_GATEWAY);
   set_all_faults ("{\"kind\":\"none\"}");
 }
 
@@ -326,17 +329,17 @@
 {
   bt_field_call_t call = make_call (gateway, path, id, key);
 
-  return bt_wait_field_status (field, &call, wanted);
+  return bt_wait_call_status (testbed, &call, wanted);
 }
 
 static void
-test_configuration_comes_into_force (void)
+test_new_configuration_is_applied (void)
 {
   char text[4096];
 
-  CU_ASSERT_EQUAL (ask_status (0, "/late/x", "r-early", "key-small"), NOT_FOUND);
+  CU_ASSERT_EQUAL (request_status (0, "/late/x", "r-early", "key-small"), NOT_FOUND);
   write_configuration (text, sizeof text, 2, "", added_route);
-  CU_ASSERT_TRUE (bt_put_field_item (field, "op/config", text));
+  CU_ASSERT_TRUE (bt_put_field_item (testbed, "op/config", text));
   for (int32_t i = 0; i < 2; i++)
     {
       CU_ASSERT_TRUE (wait_status (i, "/late/x", "r-late", "none", OK));
@@ -347,61 +350,61 @@
 /* The operator's text can't be translated: a route names a service that does not exist. What was in
  * force stays in force, and a later good one replaces it. */
 static void
-test_bad_configuration_changes_nothing (void)
+test_invalid_configuration_is_ignored (void)
 {
   char text[4096];
 
   CU_ASSERT_TRUE (bt_put_field_item (
-      field, "op/config",
+      testbed, "op/config",
       "{\"version\":3,\"services\":[],\"routes\":[{\"name\":\"x\",\"host\":\"shop.example\","
       "\"prefix\":\"/a/\",\"kind\":\"idempotent\",\"service\":\"nothing\"}]}"));
   bt_sleep_ms (400);
-  CU_ASSERT_EQUAL (ask_status (0, "/late/x", "r-kept", "none"), OK);
+  CU_ASSERT_EQUAL (request_status (0, "/late/x", "r-kept", "none"), OK);
   write_configuration (text, sizeof text, 4, "", "");
-  CU_ASSERT_TRUE (bt_put_field_item (field, "op/config", text));
+  CU_ASSERT_TRUE (bt_put_field_item (testbed, "op/config", text));
   CU_ASSERT_TRUE (wait_status (0, "/late/x", "r-gone", "none", NOT_FOUND));
 }
 
 /* The store goes away while requests come. What is known goes on to be served. */
 static void
-test_store_outage_changes_nothing (void)
+test_store_outage_stops_no_request (void)
 {
-  CU_ASSERT_TRUE (bt_set_field_fault (field->store_port, "{\"kind\":\"down\",\"count\":-1}"));
+  CU_ASSERT_TRUE (bt_set_field_fault (testbed->store_port, "{\"kind\":\"down\",\"count\":-1}"));
   bt_sleep_ms (600);
-  CU_ASSERT_EQUAL (ask_status (0, "/a/lookup", "r-outage", "key-small"), OK);
-  CU_ASSERT_EQUAL (bt_get_field_status (field->ready_ports[0], "/v1/readiness"), OK);
-  CU_ASSERT_TRUE (bt_set_field_fault (field->store_port, "{\"kind\":\"none\"}"));
+  CU_ASSERT_EQUAL (request_status (0, "/a/lookup", "r-outage", "key-small"), OK);
+  CU_ASSERT_EQUAL (bt_get_http_status (testbed->ready_ports[0], "/v1/readiness"), OK);
+  CU_ASSERT_TRUE (bt_set_field_fault (testbed->store_port, "{\"kind\":\"none\"}"));
 }
 
 /* A gateway has been leaving for so long that no caller can still hold its address, and one slow
  * request keeps it alive. A request that comes now could not be ended before the process has to be
  * gone: it is refused as not run, and the slow one is still answered. */
 static void
-test_late_comers_are_refused_at_the_end (void)
+test_late_requests_are_refused_while_closing (void)
 {
   int status = 0;
-  pid_t asker;
+  pid_t caller;
 
   set_all_faults ("{\"kind\":\"slow\",\"count\":1,\"delay_ms\":2500,\"match\":\"/slow\"}");
-  asker = fork ();
-  if (asker == 0)
-    _exit (ask_status (1, "/a/slow", "r-slow", "key-small") == OK ? 0 : 1);
+  caller = fork ();
+  if (caller == 0)
+    _exit (request_status (1, "/a/slow", "r-slow", "key-small") == OK ? 0 : 1);
   bt_sleep_ms (200);
-  kill (field->gateways[1], SIGTERM);
+  kill (testbed->gateways[1], SIGTERM);
   CU_ASSERT_TRUE (wait_status (1, "/a/lookup", "r-late-comer", "key-small", UNAVAILABLE));
-  waitpid (asker, &status, 0);
+  waitpid (caller, &status, 0);
   CU_ASSERT (WIFEXITED (status) && WEXITSTATUS (status) == 0);
-  waitpid (field->gateways[1], &status, 0);
+  waitpid (testbed->gateways[1], &status, 0);
   CU_ASSERT (WIFEXITED (status) && WEXITSTATUS (status) == 0);
   set_all_faults ("{\"kind\":\"none\"}");
-  bt_start_gateway_process (field, 1);
-  CU_ASSERT_TRUE (bt_wait_gateway_ready (field, 1));
+  bt_start_gateway_process (testbed, 1);
+  CU_ASSERT_TRUE (bt_wait_gateway_ready (testbed, 1));
 }
 
 /* On call, the metrics of a gateway are read after it has served. Every line is a comment or a
  * value, and each step of a request has its histogram, with something in it. */
 static void
-test_metrics_tell_of_each_step (void)
+test_metrics_cover_each_step (void)
 {
   static const char *const families[] = { "bilberry_queue_wait_ms",  "bilberry_first_part_ms",
                                           "bilberry_event_pause_ms", "bilberry_request_ms",
@@ -412,8 +415,8 @@
   char *rest = NULL;
   char *text;
 
-  CU_ASSERT_EQUAL (ask_status (0, "/a/stream/x", "r-metrics", "key-small"), OK);
-  bt_read_gateway_metrics (field, 0, &reply);
+  CU_ASSERT_EQUAL (request_status (0, "/a/stream/x", "r-metrics", "key-small"), OK);
+  bt_read_gateway_metrics (testbed, 0, &reply);
   CU_ASSERT_EQUAL (reply.status, OK);
   text = strdup (bt_get_reply_text (&reply));
   for (size_t i = 0; i < sizeof families / sizeof families[0]; i++)
@@ -432,28 +435,28 @@
 /* A story that says how many endpoints refused says as many as were sent to. How many that are
  * depends on which the router has found to fail before. */
 static void
-check_sends (const char *story)
+check_sends (const char *trace)
 {
-  const char *end = strstr (story, "outcome=\"not-run\"");
+  const char *end = strstr (trace, "outcome=\"not-run\"");
   const char *sends = end == NULL ? NULL : strstr (end, " sends=");
-  char sentence[64];
+  char message[64];
 
   if (sends == NULL || atoi (sends + strlen (" sends=")) == 0)
     return;
-  snprintf (sentence, sizeof sentence, "It did not run: %d endpoints were asked",
+  snprintf (message, sizeof message, "It did not run: %d endpoints were asked",
             atoi (sends + strlen (" sends=")));
-  CU_ASSERT_PTR_NOT_NULL (strstr (story, sentence));
+  CU_ASSERT_PTR_NOT_NULL (strstr (trace, message));
 }
 
 /* Asks the command line what became of a request, by the log of a gateway. */
 static void
-check_story (const char *id, int32_t exit_code, const char *const *wanted)
+check_request_trace (const char *id, int32_t exit_code, const char *const *wanted)
 {
   char line[512];
   char *output = NULL;
 
   snprintf (line, sizeof line, "bilberryd explain --request %s %s/instance=gateway-0.log", id,
-            field->folder);
+            testbed->folder);
   CU_ASSERT_EQUAL (bt_run_program (line, &output), exit_code);
   for (int32_t i = 0; output != NULL && wanted[i] != NULL; i++)
     {
@@ -469,7 +472,7 @@
 /* A caller complains, and has the id of a request only. The logs lead from there to the cause: it
  * was refused by full endpoints, cut after it was sent, or turned away by a configuration. */
 static void
-test_logs_lead_from_an_id_to_its_cause (void)
+test_request_trace_shows_the_cause (void)
 {
   static const char *const full[] = { "retry reason=\"endpoint-full\"", "outcome=\"not-run\"",
                                       "It did not run: ", NULL };
@@ -478,41 +481,41 @@
                                        "was in force at gateway-0 since 20", NULL };
   static const char *const nothing[] = { "No line of these logs names the request r-never", NULL };
 
-  earn_retries (0, MOST_RETRIES);
+  fill_retry_budget (0, MAX_RETRIES);
   set_all_faults ("{\"kind\":\"full\",\"count\":-1}");
-  CU_ASSERT_EQUAL (ask_status (0, "/a/lookup", "r-story-full", "key-small"), UNAVAILABLE);
+  CU_ASSERT_EQUAL (request_status (0, "/a/lookup", "r-story-full", "key-small"), UNAVAILABLE);
   set_all_faults ("{\"kind\":\"cut\",\"count\":-1}");
-  CU_ASSERT_EQUAL (ask_status (0, "/a/once/x", "r-story-cut", "key-small"), BAD_GATEWAY);
+  CU_ASSERT_EQUAL (request_status (0, "/a/once/x", "r-story-cut", "key-small"), BAD_GATEWAY);
   set_all_faults ("{\"kind\":\"none\"}");
-  CU_ASSERT_EQUAL (ask_status (0, "/elsewhere/x", "r-story-route", "key-small"), NOT_FOUND);
-  check_story ("r-story-full", 0, full);
-  check_story ("r-story-cut", 0, cut);
-  check_story ("r-story-route", 0, route);
-  check_story ("r-never", 1, nothing);
+  CU_ASSERT_EQUAL (request_status (0, "/elsewhere/x", "r-story-route", "key-small"), NOT_FOUND);
+  check_request_trace ("r-story-full", 0, full);
+  check_request_trace ("r-story-cut", 0, cut);
+  check_request_trace ("r-story-route", 0, route);
+  check_request_trace ("r-never", 1, nothing);
 }
 
 /* A gateway is told to stop while a stream runs through it. It is out of the address answers and
  * not ready at once, the stream ends whole, and the process ends by itself. */
 static void
-test_stop_cuts_nothing (void)
+test_stop_completes_streams (void)
 {
   bt_reply_t reply;
   int status = 0;
-  pid_t asker = fork ();
+  pid_t caller = fork ();
 
-  if (asker == 0)
+  if (caller == 0)
     {
-      ask (1, "/a/stream/x", "r-stop", "key-small", &reply);
+      send_request (1, "/a/stream/x", "r-stop", "key-small", &reply);
       _exit (reply.curl_code == 0 && strstr (bt_get_reply_text (&reply), "piece-8") != NULL ? 0
                                                                                             : 1);
     }
   bt_sleep_ms (60);
-  kill (field->gateways[1], SIGTERM);
-  waitpid (asker, &status, 0);
+  kill (testbed->gateways[1], SIGTERM);
+  waitpid (caller, &status, 0);
   CU_ASSERT (WIFEXITED (status) && WEXITSTATUS (status) == 0);
-  CU_ASSERT_EQUAL (bt_get_field_status (field->ready_ports[1], "/v1/readiness"), UNAVAILABLE);
-  waitpid (field->gateways[1], &status, 0);
-  field->gateways[1] = 0;
+  CU_ASSERT_EQUAL (bt_get_http_status (testbed->ready_ports[1], "/v1/readiness"), UNAVAILABLE);
+  waitpid (testbed->gateways[1], &status, 0);
+  testbed->gateways[1] = 0;
   CU_ASSERT (WIFEXITED (status) && WEXITSTATUS (status) == 0);
 }
 
@@ -524,21 +527,21 @@
 
   CU_initialize_registry ();
   suite = CU_add_suite ("gateway", start_suite, end_suite);
-  CU_ADD_TEST (suite, test_requests_reach_a_runner_as_they_are);
-  CU_ADD_TEST (suite, test_refusals_tell_why);
-  CU_ADD_TEST (suite, test_streams_come_whole);
-  CU_ADD_TEST (suite, test_cut_stream_goes_on_elsewhere);
-  CU_ADD_TEST (suite, test_refused_resume_is_visibly_cut);
+  CU_ADD_TEST (suite, test_requests_reach_a_runner_with_trusted_headers);
+  CU_ADD_TEST (suite, test_refused_requests_do_not_run);
+  CU_ADD_TEST (suite, test_streams_are_complete);
+  CU_ADD_TEST (suite, test_cut_off_stream_is_resumed_elsewhere);
+  CU_ADD_TEST (suite, test_refused_resume_aborts_the_stream);
   CU_ADD_TEST (suite, test_lost_answers);
-  CU_ADD_TEST (suite, test_full_runner_costs_nothing);
-  CU_ADD_TEST (suite, test_unmarked_answer_is_not_passed);
-  CU_ADD_TEST (suite, test_metrics_tell_of_each_step);
-  CU_ADD_TEST (suite, test_logs_lead_from_an_id_to_its_cause);
-  CU_ADD_TEST (suite, test_configuration_comes_into_force);
-  CU_ADD_TEST (suite, test_bad_configuration_changes_nothing);
-  CU_ADD_TEST (suite, test_store_outage_changes_nothing);
-  CU_ADD_TEST (suite, test_late_comers_are_refused_at_the_end);
-  CU_ADD_TEST (suite, test_stop_cuts_nothing);
+  CU_ADD_TEST (suite, test_full_runner_is_retried_elsewhere);
+  CU_ADD_TEST (suite, test_unmarked_answer_is_not_forwarded);
+  CU_ADD_TEST (suite, test_metrics_cover_each_step);
+  CU_ADD_TEST (suite, test_request_trace_shows_the_cause);
+  CU_ADD_TEST (suite, test_new_configuration_is_applied);
+  CU_ADD_TEST (suite, test_invalid_configuration_is_ignored);
+  CU_ADD_TEST (suite, test_store_outage_stops_no_request);
+  CU_ADD_TEST (suite, test_late_requests_are_refused_while_closing);
+  CU_ADD_TEST (suite, test_stop_completes_streams);
   CU_basic_set_mode (CU_BRM_VERBOSE);
   CU_basic_run_tests ();
   failures = CU_get_number_of_failures ();
--- a/test/process/test_gateway_crashes.c
+++ b/test/process/test_gateway_crashes.c
@@ -13,13 +13,13 @@
   OK = 200,
   UNAVAILABLE = 503,
   /* Ends under one request that are borne, and how much later no instance sends it any more. */
-  BORNE_ENDS = 3,
+  TOLERATED_CRASHES = 3,
   STABLE_MS = 3000,
   /* Sends that may still come behind that. */
-  LATE_SENDS = 3,
-  RETURNS = 14,
-  RETURN_MS = 450,
-  LATE_RETURNS = 9,
+  MAX_LATE_CRASHES = 3,
+  RESENDS = 14,
+  RESEND_INTERVAL_MS = 450,
+  LATE_RESENDS = 9,
   TEXT_BYTES = 64,
 };
 
@@ -32,7 +32,7 @@
     "\"public\":true}],"
     "\"limits\":{\"max_header_bytes\":16384,\"max_body_bytes\":65536,\"idle_timeout_ms\":15000}}";
 
-static bt_field_t *field;
+static bt_field_t *testbed;
 
 static int64_t
 now (void)
@@ -41,124 +41,124 @@
 }
 
 static bool
-start_field (void)
+start_testbed (void)
 {
-  field = bt_new_field (GATEWAYS, configuration);
-  if (field == NULL)
+  testbed = bt_new_field (GATEWAYS, configuration);
+  if (testbed == NULL)
     return false;
   for (int32_t i = 0; i < GATEWAYS; i++)
-    if (!bt_wait_gateway_ready (field, i))
+    if (!bt_wait_gateway_ready (testbed, i))
       return false;
   return true;
 }
 
 static void
-drop_field (void)
+drop_testbed (void)
 {
-  bt_drop_field (field, CU_get_number_of_failures () > 0);
-  field = NULL;
+  bt_drop_field (testbed, CU_get_number_of_failures () > 0);
+  testbed = NULL;
 }
 
 static int32_t
-ask (int32_t gateway, const char *path, const char *id)
+send_request (int32_t gateway, const char *path, const char *id)
 {
   bt_field_call_t call = { .gateway = gateway, .path = path, .id = id, .deadline_ms = 3000 };
 
-  return bt_call_field_status (field, &call);
+  return bt_call_field_status (testbed, &call);
 }
 
 /* Starts runners again that have ended, each under its id; returns how many had. */
 static int32_t
-revive_runners (void)
+restart_crashed_runners (void)
 {
-  int32_t ended = 0;
+  int32_t crashed = 0;
 
-  for (int32_t i = 0; i < BT_FIELD_RUNNERS; i++)
+  for (int32_t i = 0; i < BT_DEFAULT_RUNNERS; i++)
     {
-      if (!bt_reap_runner_process (field, i))
+      if (!bt_reap_runner_process (testbed, i))
         continue;
-      ended++;
-      CU_ASSERT_TRUE (bt_restart_runner_process (field, i));
-      CU_ASSERT_TRUE (bt_list_field_runner (field, i, "ready"));
+      crashed++;
+      CU_ASSERT_TRUE (bt_restart_runner_process (testbed, i));
+      CU_ASSERT_TRUE (bt_list_field_runner (testbed, i, "ready"));
     }
-  return ended;
+  return crashed;
 }
 
 /** What returns of one request did. */
-typedef struct returns
+typedef struct crash_counts
 {
-  int32_t ends;     /* of runners */
-  int64_t third_ms; /* when the third one was seen; 0: not yet */
-  int32_t late;     /* ends seen too long behind it */
-} returns_t;
+  int32_t crashes;        /* of runners */
+  int64_t third_crash_ms; /* when the third one was seen; 0: not yet */
+  int32_t late_crashes;   /* ends seen too long behind it */
+} crash_counts_t;
 
 static void
-send_again (returns_t *returns, const char *path, int32_t number)
+resend_request (crash_counts_t *counts, const char *path, int32_t number)
 {
   char id[TEXT_BYTES];
-  int32_t ended;
+  int32_t crashed;
 
   snprintf (id, sizeof id, "r-return-%d", number);
-  ask (number % GATEWAYS, path, id);
-  bt_sleep_ms (RETURN_MS);
-  ended = revive_runners ();
-  returns->ends += ended;
-  if (returns->third_ms > 0 && now () - returns->third_ms > STABLE_MS)
-    returns->late += ended;
-  if (returns->third_ms == 0 && returns->ends >= BORNE_ENDS)
-    returns->third_ms = now ();
+  send_request (number % GATEWAYS, path, id);
+  bt_sleep_ms (RESEND_INTERVAL_MS);
+  crashed = restart_crashed_runners ();
+  counts->crashes += crashed;
+  if (counts->third_crash_ms > 0 && now () - counts->third_crash_ms > STABLE_MS)
+    counts->late_crashes += crashed;
+  if (counts->third_crash_ms == 0 && counts->crashes >= TOLERATED_CRASHES)
+    counts->third_crash_ms = now ();
 }
 
 /* Guards against a request that crashes its endpoints being sent on and on, as it returns under new
  * ids and at other entries. */
 static void
-check_request_is_sent_no_more (const char *path)
-{
-  returns_t returns = { 0 };
-
-  CU_ASSERT_TRUE_FATAL (start_field ());
-  for (int32_t i = 0; i < RETURNS; i++)
-    send_again (&returns, path, i);
-  printf ("%d ends, %d late ", returns.ends, returns.late);
-  CU_ASSERT (returns.ends >= BORNE_ENDS);
-  CU_ASSERT (returns.late <= LATE_SENDS);
-  CU_ASSERT_EQUAL (ask (0, "/a/lookup", "r-innocent"), OK);
-  drop_field ();
+check_crashing_request_is_blocked (const char *path)
+{
+  crash_counts_t counts = { 0 };
+
+  CU_ASSERT_TRUE_FATAL (start_testbed ());
+  for (int32_t i = 0; i < RESENDS; i++)
+    resend_request (&counts, path, i);
+  printf ("%d ends, %d late ", counts.crashes, counts.late_crashes);
+  CU_ASSERT (counts.crashes >= TOLERATED_CRASHES);
+  CU_ASSERT (counts.late_crashes <= MAX_LATE_CRASHES);
+  CU_ASSERT_EQUAL (send_request (0, "/a/lookup", "r-innocent"), OK);
+  drop_testbed ();
 }
 
 static void
-test_crashing_order_is_sent_no_more (void)
+test_crashing_order_is_blocked (void)
 {
-  check_request_is_sent_no_more ("/a/once/poison");
+  check_crashing_request_is_blocked ("/a/once/poison");
 }
 
 static void
-test_crashing_lookup_is_sent_no_more (void)
+test_crashing_lookup_is_blocked (void)
 {
-  check_request_is_sent_no_more ("/a/poison");
+  check_crashing_request_is_blocked ("/a/poison");
 }
 
 /* Sends a request until three runners have ended under it. */
 static void
 crash_three_runners (const char *path)
 {
-  returns_t returns = { 0 };
+  crash_counts_t counts = { 0 };
 
-  for (int32_t i = 0; i < RETURNS && returns.third_ms == 0; i++)
-    send_again (&returns, path, i);
-  CU_ASSERT (returns.third_ms > 0);
+  for (int32_t i = 0; i < RESENDS && counts.third_crash_ms == 0; i++)
+    resend_request (&counts, path, i);
+  CU_ASSERT (counts.third_crash_ms > 0);
 }
 
 /* Ends under a request that returns when the fleet has had time to learn of it. */
 static int32_t
-count_late_ends (const char *path)
+count_late_crashes (const char *path)
 {
-  returns_t returns = { .third_ms = now () };
+  crash_counts_t counts = { .third_crash_ms = now () };
 
   bt_sleep_ms (STABLE_MS);
-  for (int32_t i = 0; i < LATE_RETURNS; i++)
-    send_again (&returns, path, i);
-  return returns.late;
+  for (int32_t i = 0; i < LATE_RESENDS; i++)
+    resend_request (&counts, path, i);
+  return counts.late_crashes;
 }
 
 static void
@@ -166,54 +166,54 @@
 {
   for (int32_t i = 0; i < GATEWAYS; i++)
     {
-      kill (field->gateways[i], SIGKILL);
-      waitpid (field->gateways[i], NULL, 0);
+      kill (testbed->gateways[i], SIGKILL);
+      waitpid (testbed->gateways[i], NULL, 0);
     }
   for (int32_t i = 0; i < GATEWAYS; i++)
-    bt_start_gateway_process (field, i);
+    bt_start_gateway_process (testbed, i);
   for (int32_t i = 0; i < GATEWAYS; i++)
-    CU_ASSERT_TRUE (bt_wait_gateway_ready (field, i));
+    CU_ASSERT_TRUE (bt_wait_gateway_ready (testbed, i));
 }
 
 /* Guards against a fleet that forgets what crashes endpoints when all its instances die. */
 static void
-test_crashing_order_is_known_after_all_gateways_died (void)
+test_crashing_order_is_blocked_after_restart_of_all_gateways (void)
 {
-  CU_ASSERT_TRUE_FATAL (start_field ());
+  CU_ASSERT_TRUE_FATAL (start_testbed ());
   crash_three_runners ("/a/once/poison");
-  bt_sleep_ms (RETURN_MS);
+  bt_sleep_ms (RESEND_INTERVAL_MS);
   restart_all_gateways ();
   for (int32_t i = 0; i < GATEWAYS; i++)
-    CU_ASSERT_EQUAL (ask (i, "/a/once/poison", "r-after"), UNAVAILABLE);
-  CU_ASSERT_EQUAL (revive_runners (), 0);
-  CU_ASSERT_EQUAL (ask (0, "/a/lookup", "r-innocent"), OK);
-  drop_field ();
+    CU_ASSERT_EQUAL (send_request (i, "/a/once/poison", "r-after"), UNAVAILABLE);
+  CU_ASSERT_EQUAL (restart_crashed_runners (), 0);
+  CU_ASSERT_EQUAL (send_request (0, "/a/lookup", "r-innocent"), OK);
+  drop_testbed ();
 }
 
 /* Guards against crashes that are told to nobody since the store was away at that moment. */
 static void
-test_crashes_are_told_when_the_store_is_back (void)
+test_crashes_are_reported_after_a_store_outage (void)
 {
   int64_t known[GATEWAYS];
 
-  CU_ASSERT_TRUE_FATAL (start_field ());
-  CU_ASSERT_TRUE (bt_set_field_fault (field->store_port, "{\"kind\":\"refuse\",\"count\":-1}"));
+  CU_ASSERT_TRUE_FATAL (start_testbed ());
+  CU_ASSERT_TRUE (bt_set_field_fault (testbed->store_port, "{\"kind\":\"refuse\",\"count\":-1}"));
   crash_three_runners ("/a/once/poison");
   /* Nobody is told of anything but by a second try. */
   bt_sleep_ms (STABLE_MS);
-  CU_ASSERT_TRUE (bt_set_field_fault (field->store_port, "{\"kind\":\"none\"}"));
+  CU_ASSERT_TRUE (bt_set_field_fault (testbed->store_port, "{\"kind\":\"none\"}"));
   bt_sleep_ms (STABLE_MS);
   for (int32_t i = 0; i < GATEWAYS; i++)
     {
-      known[i] = bt_read_gateway_metric (field, i, "bilberry_known_crashes");
+      known[i] = bt_read_gateway_metric (testbed, i, "bilberry_known_crashes");
       CU_ASSERT (
-          bt_read_gateway_metric (field, i, "bilberry_crash_reports_total{outcome=\"written\"}")
+          bt_read_gateway_metric (testbed, i, "bilberry_crash_reports_total{outcome=\"written\"}")
           >= 1);
     }
-  CU_ASSERT (count_late_ends ("/a/once/poison") <= LATE_SENDS);
+  CU_ASSERT (count_late_crashes ("/a/once/poison") <= MAX_LATE_CRASHES);
   for (int32_t i = 0; i < GATEWAYS; i++)
     CU_ASSERT (known[i] >= 1 && known[i] == known[0]);
-  drop_field ();
+  drop_testbed ();
 }
 
 int
@@ -224,10 +224,10 @@
 
   CU_initialize_registry ();
   suite = CU_add_suite ("gateway_crashes", NULL, NULL);
-  CU_ADD_TEST (suite, test_crashing_order_is_sent_no_more);
-  CU_ADD_TEST (suite, test_crashing_lookup_is_sent_no_more);
-  CU_ADD_TEST (suite, test_crashing_order_is_known_after_all_gateways_died);
-  CU_ADD_TEST (suite, test_crashes_are_told_when_the_store_is_back);
+  CU_ADD_TEST (suite, test_crashing_order_is_blocked);
+  CU_ADD_TEST (suite, test_crashing_lookup_is_blocked);
+  CU_ADD_TEST (suite, test_crashing_order_is_blocked_after_restart_of_all_gateways);
+  CU_ADD_TEST (suite, test_crashes_are_reported_after_a_store_outage);
   CU_basic_set_mode (CU_BRM_VERBOSE);
   CU_basic_run_tests ();
   failures = CU_get_number_of_failures ();
--- a/test/process/test_gateway_foreign.c
+++ b/test/process/test_gateway_foreign.c
@@ -23,28 +23,28 @@
     "\"public\":true}],"
     "\"limits\":{\"max_header_bytes\":16384,\"max_body_bytes\":65536,\"idle_timeout_ms\":15000}}";
 
-static bt_field_t *field;
+static bt_field_t *testbed;
 
 static int
 start_suite (void)
 {
-  field = bt_new_field (1, configuration);
-  return field == NULL || !bt_wait_gateway_ready (field, 0) ? 1 : 0;
+  testbed = bt_new_field (1, configuration);
+  return testbed == NULL || !bt_wait_gateway_ready (testbed, 0) ? 1 : 0;
 }
 
 static int
 end_suite (void)
 {
-  bt_drop_field (field, CU_get_number_of_failures () > 0);
+  bt_drop_field (testbed, CU_get_number_of_failures () > 0);
   return 0;
 }
 
 static int32_t
-ask_status (const char *id)
+request_status (const char *id)
 {
   bt_field_call_t call = { .path = "/a/order", .id = id, .deadline_ms = 3000 };
 
-  return bt_call_field_status (field, &call);
+  return bt_call_field_status (testbed, &call);
 }
 
 static bool
@@ -52,7 +52,7 @@
 {
   bt_field_call_t call = { .path = "/a/order", .id = id, .deadline_ms = 3000 };
 
-  return bt_wait_field_status (field, &call, wanted);
+  return bt_wait_call_status (testbed, &call, wanted);
 }
 
 /* Lines of the gateway's log in which both texts stand. */
@@ -64,7 +64,7 @@
   int32_t lines = 0;
   FILE *file;
 
-  snprintf (path, sizeof path, "%s/instance=gateway-0.log", field->folder);
+  snprintf (path, sizeof path, "%s/instance=gateway-0.log", testbed->folder);
   file = fopen (path, "r");
   while (file != NULL && fgets (line, sizeof line, file) != NULL)
     lines += strstr (line, text) != NULL && strstr (line, other) != NULL ? 1 : 0;
@@ -76,7 +76,7 @@
 static bool
 wait_log_line (const char *text, const char *other)
 {
-  int64_t limit_ms = bt_read_clock_ms (bt_system_clock ()) + BT_STAGE_WAIT_MS;
+  int64_t limit_ms = bt_read_clock_ms (bt_system_clock ()) + BT_WAIT_LIMIT_MS;
 
   while (count_log_lines (text, other) == 0)
     {
@@ -89,49 +89,50 @@
 
 /* Writes an entry as nobody should, at the address of a good runner. */
 static void
-put_foreign (const char *key, const char *format)
+put_invalid_item (const char *key, const char *format)
 {
   char value[LINE_BYTES];
 
-  snprintf (value, sizeof value, format, field->runner_ports[0]);
-  CU_ASSERT_TRUE (bt_put_field_item (field, key, value));
+  snprintf (value, sizeof value, format, testbed->runner_ports[0]);
+  CU_ASSERT_TRUE (bt_put_field_item (testbed, key, value));
 }
 
 static void
-put_all_foreign (void)
+put_all_invalid_items (void)
 {
-  put_foreign ("servers/x-none", "");
-  put_foreign ("servers/x-bytes", "\xff\xfe{");
-  put_foreign ("servers/x-list", "[\"127.0.0.1:%d\"]");
-  put_foreign ("servers/x-missing",
-               "{\"service\":\"svc\",\"address\":\"127.0.0.1:%d\",\"born\":9}");
-  put_foreign (
+  put_invalid_item ("servers/x-none", "");
+  put_invalid_item ("servers/x-bytes", "\xff\xfe{");
+  put_invalid_item ("servers/x-list", "[\"127.0.0.1:%d\"]");
+  put_invalid_item ("servers/x-missing",
+                    "{\"service\":\"svc\",\"address\":\"127.0.0.1:%d\",\"born\":9}");
+  put_invalid_item (
       "servers/x-type",
       "{\"service\":\"svc\",\"address\":\"127.0.0.1:%d\",\"zone\":\"a\",\"version\":\"v1\","
       "\"slots\":\"8\",\"state\":\"ready\",\"cold_left_ms\":0,\"sequence\":1}");
-  put_foreign (
+  put_invalid_item (
       "servers/x-state",
       "{\"service\":\"svc\",\"address\":\"127.0.0.1:%d\",\"zone\":\"a\",\"version\":\"v1\","
       "\"slots\":8,\"state\":\"waking\",\"cold_left_ms\":0,\"sequence\":1}");
-  put_foreign ("servers/x-service",
-               "{\"service\":\"nobodys\",\"address\":\"127.0.0.1:%d\",\"zone\":\"a\","
-               "\"version\":\"v1\",\"slots\":8,\"state\":\"ready\",\"cold_left_ms\":0,"
-               "\"sequence\":1,\"born\":9999999999999}");
-  put_foreign (
+  put_invalid_item ("servers/x-service",
+                    "{\"service\":\"nobodys\",\"address\":\"127.0.0.1:%d\",\"zone\":\"a\","
+                    "\"version\":\"v1\",\"slots\":8,\"state\":\"ready\",\"cold_left_ms\":0,"
+                    "\"sequence\":1,\"born\":9999999999999}");
+  put_invalid_item (
       "servers/x-address",
       "{\"service\":\"svc\",\"address\":\"localhost:%d\",\"zone\":\"a\",\"version\":\"v1\","
       "\"slots\":8,\"state\":\"ready\",\"cold_left_ms\":0,\"sequence\":1}");
-  put_foreign ("bilberrytray/entries/x", "{\"callers\":\"nowhere\",\"links\":\"127.0.0.1:%d\"}");
-  put_foreign ("bilberrytray/maps/groups/controller", "{\"no\":\"instance\"}");
+  put_invalid_item ("bilberrytray/entries/x",
+                    "{\"callers\":\"nowhere\",\"links\":\"127.0.0.1:%d\"}");
+  put_invalid_item ("bilberrytray/maps/groups/controller", "{\"no\":\"instance\"}");
 }
 
 /* Another writer puts entries of all sorts beside those of the runners, some at a runner's address,
  * again and again. Orders go to the runners as before, and the log tells of each writing once. */
 static void
-test_runners_are_used_beside_foreign_entries (void)
+test_runners_are_used_beside_invalid_items (void)
 {
-  CU_ASSERT_EQUAL (ask_status ("r-before"), OK);
-  put_all_foreign ();
+  CU_ASSERT_EQUAL (request_status ("r-before"), OK);
+  put_all_invalid_items ();
   CU_ASSERT_TRUE (wait_log_line ("entry-unreadable", "bilberrytray/entries/x"));
   CU_ASSERT_TRUE (wait_log_line ("endpoint-unreadable", "servers/x-address"));
   for (int32_t i = 0; i < REQUESTS; i++)
@@ -139,14 +140,14 @@
       char id[32];
 
       snprintf (id, sizeof id, "r-%d", i);
-      CU_ASSERT_EQUAL (ask_status (id), OK);
+      CU_ASSERT_EQUAL (request_status (id), OK);
       /* A change of something else, with which a view is made. */
       if (i % 6 == 0)
-        bt_put_field_item (field, "other/key", id);
+        bt_put_field_item (testbed, "other/key", id);
     }
-  put_foreign ("servers/x-last", "%d");
+  put_invalid_item ("servers/x-last", "%d");
   CU_ASSERT_TRUE (wait_log_line ("endpoint-unreadable", "servers/x-last"));
-  CU_ASSERT_EQUAL (ask_status ("r-last"), OK);
+  CU_ASSERT_EQUAL (request_status ("r-last"), OK);
   CU_ASSERT_EQUAL (count_log_lines ("endpoint-unreadable", "servers/x-"), 9);
   CU_ASSERT_EQUAL (count_log_lines ("endpoint-unreadable", "slots"), 1);
   CU_ASSERT_EQUAL (count_log_lines ("entry-unreadable", "bilberrytray/entries/x"), 1);
@@ -154,13 +155,13 @@
 
 /* Callers ask which addresses to use. What was scribbled is not told to them. */
 static void
-test_scribbled_address_is_not_told_to_callers (void)
+test_invalid_address_is_not_advertised (void)
 {
   char url[LINE_BYTES];
   bt_reply_t reply;
 
   snprintf (url, sizeof url, "http://127.0.0.1:%d/v1/resolve?name=shop.example",
-            field->address_ports[0]);
+            testbed->address_ports[0]);
   bt_perform_request (url, NULL, NULL, NULL, &reply);
   CU_ASSERT_EQUAL (reply.status, OK);
   CU_ASSERT_PTR_NULL (strstr (bt_get_reply_text (&reply), "nowhere"));
@@ -170,18 +171,18 @@
 /* Another writer overwrites the runners' own entries. They name no runner then, until the runners
  * write again. */
 static void
-test_overwritten_entry_names_no_runner_until_it_writes_again (void)
+test_overwritten_runner_is_unused_until_it_writes_again (void)
 {
-  for (int32_t i = 0; i < BT_FIELD_RUNNERS; i++)
+  for (int32_t i = 0; i < BT_DEFAULT_RUNNERS; i++)
     {
       char key[64];
 
       snprintf (key, sizeof key, "servers/i-%d", i);
-      put_foreign (key, "{\"address\":\"127.0.0.1:%d\"}");
+      put_invalid_item (key, "{\"address\":\"127.0.0.1:%d\"}");
     }
   CU_ASSERT_TRUE (wait_status ("r-overwritten", UNAVAILABLE));
-  for (int32_t i = 0; i < BT_FIELD_RUNNERS; i++)
-    CU_ASSERT_TRUE (bt_list_field_runner (field, i, "ready"));
+  for (int32_t i = 0; i < BT_DEFAULT_RUNNERS; i++)
+    CU_ASSERT_TRUE (bt_list_field_runner (testbed, i, "ready"));
   CU_ASSERT_TRUE (wait_status ("r-again", OK));
 }
 
@@ -193,9 +194,9 @@
 
   CU_initialize_registry ();
   suite = CU_add_suite ("gateway_foreign", start_suite, end_suite);
-  CU_ADD_TEST (suite, test_runners_are_used_beside_foreign_entries);
-  CU_ADD_TEST (suite, test_scribbled_address_is_not_told_to_callers);
-  CU_ADD_TEST (suite, test_overwritten_entry_names_no_runner_until_it_writes_again);
+  CU_ADD_TEST (suite, test_runners_are_used_beside_invalid_items);
+  CU_ADD_TEST (suite, test_invalid_address_is_not_advertised);
+  CU_ADD_TEST (suite, test_overwritten_runner_is_unused_until_it_writes_again);
   CU_basic_set_mode (CU_BRM_VERBOSE);
   CU_basic_run_tests ();
   failures = CU_get_number_of_failures ();
--- a/test/process/test_gateway_logs.c
+++ b/test/process/test_gateway_logs.c
@@ -13,10 +13,10 @@
 {
   OK = 200,
   NOT_FOUND = 404,
-  USUAL = 100,        /* requests */
-  BURST = 10 * USUAL, /* those of a burst */
-  ASKERS = 8,
-  ASKERS_ASTRAY = 2, /* whose path has no route */
+  NORMAL_REQUESTS = 100,                 /* requests */
+  BURST_REQUESTS = 10 * NORMAL_REQUESTS, /* those of a burst */
+  CALLERS = 8,
+  CALLERS_WITHOUT_ROUTE = 2, /* whose path has no route */
   LINE_BYTES = 128,
   BASE_TEN = 10,
 };
@@ -29,7 +29,7 @@
     "\"public\":false}],"
     "\"limits\":{\"max_header_bytes\":16384,\"max_body_bytes\":65536,\"idle_timeout_ms\":15000}}";
 
-static bt_field_t *field;
+static bt_field_t *testbed;
 static log_pipe_t gateway_log;
 
 /* The second gateway is started anew with its output in a pipe, so that the first one's log shows
@@ -37,61 +37,63 @@
 static int
 start_suite (void)
 {
-  field = bt_new_field (2, configuration);
-  if (field == NULL || !bt_wait_gateway_ready (field, 1) || !open_log_pipe (&gateway_log))
+  testbed = bt_new_field (2, configuration);
+  if (testbed == NULL || !bt_wait_gateway_ready (testbed, 1) || !open_log_pipe (&gateway_log))
     return 1;
-  kill (field->gateways[1], SIGKILL);
-  waitpid (field->gateways[1], NULL, 0);
-  bt_set_program_output (gateway_log.out);
-  bt_start_gateway_process (field, 1);
+  kill (testbed->gateways[1], SIGKILL);
+  waitpid (testbed->gateways[1], NULL, 0);
+  bt_set_program_output (gateway_log.write_fd);
+  bt_start_gateway_process (testbed, 1);
   bt_set_program_output (-1);
-  return bt_wait_gateway_ready (field, 1) ? 0 : 1;
+  return bt_wait_gateway_ready (testbed, 1) ? 0 : 1;
 }
 
 static int
 end_suite (void)
 {
-  bt_drop_field (field, CU_get_number_of_failures () > 0);
+  bt_drop_field (testbed, CU_get_number_of_failures () > 0);
   close_log_pipe (&gateway_log);
   return 0;
 }
 
 static int32_t
-ask_status (const char *path)
+request_status (const char *path)
 {
   bt_field_call_t call = {
     .gateway = 1, .path = path, .id = "r-logs", .key = "key-small", .deadline_ms = 20000
   };
 
-  return bt_call_field_status (field, &call);
+  return bt_call_field_status (testbed, &call);
 }
 
 /* True when each of so many requests was answered as it had to be. */
 static bool
-ask_many (int32_t count, bool astray)
+send_requests (int32_t count, bool without_route)
 {
-  bool good = true;
+  bool ok = true;
 
   for (int32_t i = 0; i < count; i++)
-    good = ask_status (astray ? "/elsewhere/x" : "/a/lookup") == (astray ? NOT_FOUND : OK) && good;
-  return good;
+    ok = request_status (without_route ? "/elsewhere/x" : "/a/lookup")
+             == (without_route ? NOT_FOUND : OK)
+         && ok;
+  return ok;
 }
 
 static void
-ask_together (void)
+send_requests_in_parallel (void)
 {
-  pid_t askers[ASKERS];
+  pid_t callers[CALLERS];
   int status = 0;
 
-  for (int32_t i = 0; i < ASKERS; i++)
+  for (int32_t i = 0; i < CALLERS; i++)
     {
-      askers[i] = fork ();
-      if (askers[i] == 0)
-        _exit (ask_many (BURST / ASKERS, i < ASKERS_ASTRAY) ? 0 : 1);
+      callers[i] = fork ();
+      if (callers[i] == 0)
+        _exit (send_requests (BURST_REQUESTS / CALLERS, i < CALLERS_WITHOUT_ROUTE) ? 0 : 1);
     }
-  for (int32_t i = 0; i < ASKERS; i++)
+  for (int32_t i = 0; i < CALLERS; i++)
     {
-      waitpid (askers[i], &status, 0);
+      waitpid (callers[i], &status, 0);
       CU_ASSERT (WIFEXITED (status) && WEXITSTATUS (status) == 0);
     }
 }
@@ -104,7 +106,7 @@
   const char *at;
   int64_t value = -1;
 
-  bt_read_gateway_metrics (field, 1, &reply);
+  bt_read_gateway_metrics (testbed, 1, &reply);
   at = strstr (bt_get_reply_text (&reply), name);
   if (at != NULL)
     value = strtoll (at + strlen (name), NULL, BASE_TEN);
@@ -116,17 +118,17 @@
  * astray. Every request is answered as before. The page says how many lines were lost. When the
  * reader goes on, every line is whole and one says how many are missing. */
 static void
-test_stopped_reader_harms_no_request (void)
+test_stalled_log_reader_affects_no_request (void)
 {
   const char *lost = "bilberry_log_lines_lost_total{cause=\"reader\"} ";
 
-  CU_ASSERT_TRUE (ask_many (USUAL, false));
+  CU_ASSERT_TRUE (send_requests (NORMAL_REQUESTS, false));
   read_log_pipe (&gateway_log);
-  ask_together ();
+  send_requests_in_parallel ();
   CU_ASSERT (read_value (lost) > 0);
   CU_ASSERT (read_value ("bilberry_log_lines_lost_total{cause=\"budget\"} ") >= 0);
   read_log_pipe (&gateway_log);
-  CU_ASSERT_EQUAL (ask_status ("/a/lookup"), OK);
+  CU_ASSERT_EQUAL (request_status ("/a/lookup"), OK);
   read_log_pipe (&gateway_log);
   CU_ASSERT (sum_log_pipe (&gateway_log, "request", NULL, NULL) > 0);
   CU_ASSERT_EQUAL (sum_log_pipe (&gateway_log, "log-left-out", "reader", "lines"),
@@ -136,14 +138,14 @@
 
 /* The reader never comes back, and the gateway is told to stop. It ends all the same. */
 static void
-test_stopped_reader_holds_up_no_stop (void)
+test_stalled_log_reader_delays_no_stop (void)
 {
   int status = 0;
 
-  ask_together ();
-  kill (field->gateways[1], SIGTERM);
-  waitpid (field->gateways[1], &status, 0);
-  field->gateways[1] = 0;
+  send_requests_in_parallel ();
+  kill (testbed->gateways[1], SIGTERM);
+  waitpid (testbed->gateways[1], &status, 0);
+  testbed->gateways[1] = 0;
   CU_ASSERT (WIFEXITED (status) && WEXITSTATUS (status) == 0);
 }
 
@@ -155,8 +157,8 @@
 
   CU_initialize_registry ();
   suite = CU_add_suite ("gateway_logs", start_suite, end_suite);
-  CU_ADD_TEST (suite, test_stopped_reader_harms_no_request);
-  CU_ADD_TEST (suite, test_stopped_reader_holds_up_no_stop);
+  CU_ADD_TEST (suite, test_stalled_log_reader_affects_no_request);
+  CU_ADD_TEST (suite, test_stalled_log_reader_delays_no_stop);
   CU_basic_set_mode (CU_BRM_VERBOSE);
   CU_basic_run_tests ();
   failures = CU_get_number_of_failures ();
--- a/test/process/test_gateway_peers.c
+++ b/test/process/test_gateway_peers.c
@@ -26,7 +26,7 @@
     "\"public\":false}],"
     "\"limits\":{\"max_header_bytes\":16384,\"max_body_bytes\":65536,\"idle_timeout_ms\":15000}}";
 
-static bt_field_t *field;
+static bt_field_t *testbed;
 
 static bool
 put_configuration (int32_t version, const char *keys)
@@ -34,7 +34,7 @@
   char text[2048];
 
   snprintf (text, sizeof text, configuration, version, keys);
-  return bt_put_field_item (field, "op/config", text);
+  return bt_put_field_item (testbed, "op/config", text);
 }
 
 static int
@@ -43,11 +43,11 @@
   char text[2048];
 
   snprintf (text, sizeof text, configuration, 1, ",\"key-other\"");
-  field = bt_new_field (GATEWAYS, text);
-  if (field == NULL)
+  testbed = bt_new_field (GATEWAYS, text);
+  if (testbed == NULL)
     return 1;
   for (int32_t i = 0; i < GATEWAYS; i++)
-    if (!bt_wait_gateway_ready (field, i))
+    if (!bt_wait_gateway_ready (testbed, i))
       return 1;
   return 0;
 }
@@ -55,7 +55,7 @@
 static int
 end_suite (void)
 {
-  bt_drop_field (field, CU_get_number_of_failures () > 0);
+  bt_drop_field (testbed, CU_get_number_of_failures () > 0);
   return 0;
 }
 
@@ -68,11 +68,11 @@
 }
 
 static int32_t
-ask_status (int32_t gateway, const char *key)
+request_status (int32_t gateway, const char *key)
 {
   bt_field_call_t call = make_call (gateway, key);
 
-  return bt_call_field_status (field, &call);
+  return bt_call_field_status (testbed, &call);
 }
 
 static bool
@@ -80,21 +80,21 @@
 {
   bt_field_call_t call = make_call (gateway, key);
 
-  return bt_wait_field_status (field, &call, status);
+  return bt_wait_call_status (testbed, &call, status);
 }
 
 static int64_t
 count_watches (int32_t gateway)
 {
-  return bt_read_gateway_metric (field, gateway, "bilberry_store_calls_total{kind=\"watch\"}");
+  return bt_read_gateway_metric (testbed, gateway, "bilberry_store_calls_total{kind=\"watch\"}");
 }
 
 /* Four entries of one failure domain stand before a store that counts every call. One of them reads
  * it, the others learn from that one and stop asking the store. */
 static void
-test_one_reads_for_all (void)
+test_one_gateway_reads_the_store (void)
 {
-  int64_t limit_ms = bt_read_clock_ms (bt_system_clock ()) + BT_STAGE_WAIT_MS;
+  int64_t limit_ms = bt_read_clock_ms (bt_system_clock ()) + BT_WAIT_LIMIT_MS;
   int32_t readers = GATEWAYS;
 
   while (readers != 1 && bt_read_clock_ms (bt_system_clock ()) < limit_ms)
@@ -114,14 +114,14 @@
 static void
 set_hop_fault (int32_t gateway, bt_hop_fault_t fault)
 {
-  CU_ASSERT_TRUE (bt_set_hop_fault (field->hop_ports[gateway], fault, 0));
+  CU_ASSERT_TRUE (bt_set_hop_fault (testbed->hop_ports[gateway], fault, 0));
 }
 
 /* The store turns one entry after the other away while it serves the rest, and each time a key is
  * taken away from a caller. The entry that is turned away learns it from a peer, whether it read
  * the store before or not, and refuses the key. */
 static void
-test_entry_turned_away_learns_from_a_peer (void)
+test_refused_entry_learns_from_a_peer (void)
 {
   int32_t version = 2;
 
@@ -132,7 +132,7 @@
       set_hop_fault (i, i % 2 == 0 ? BT_HOP_REFUSE : BT_HOP_CUT);
       CU_ASSERT_TRUE (put_configuration (version++, ""));
       CU_ASSERT_TRUE (wait_status (i, "key-other", UNAUTHORIZED));
-      CU_ASSERT_EQUAL (ask_status (i, "key-small"), OK);
+      CU_ASSERT_EQUAL (request_status (i, "key-small"), OK);
       set_hop_fault (i, BT_HOP_NONE);
     }
 }
@@ -145,30 +145,30 @@
   CU_ASSERT_TRUE (put_configuration (100, ",\"key-late\""));
   CU_ASSERT_TRUE (wait_status (0, "key-late", OK));
   set_hop_fault (1, BT_HOP_REFUSE);
-  kill (field->gateways[1], SIGKILL);
-  waitpid (field->gateways[1], NULL, 0);
-  bt_start_gateway_process (field, 1);
-  CU_ASSERT_TRUE (bt_wait_gateway_ready (field, 1));
-  CU_ASSERT_EQUAL (ask_status (1, "key-late"), OK);
-  CU_ASSERT_EQUAL (ask_status (1, "key-other"), UNAUTHORIZED);
+  kill (testbed->gateways[1], SIGKILL);
+  waitpid (testbed->gateways[1], NULL, 0);
+  bt_start_gateway_process (testbed, 1);
+  CU_ASSERT_TRUE (bt_wait_gateway_ready (testbed, 1));
+  CU_ASSERT_EQUAL (request_status (1, "key-late"), OK);
+  CU_ASSERT_EQUAL (request_status (1, "key-other"), UNAUTHORIZED);
   set_hop_fault (1, BT_HOP_NONE);
 }
 
 /* The process that reads the store for all stands still: its connections stay open and nothing
  * comes. The others notice the silence and read the store themselves. */
 static void
-test_frozen_reader_is_left (void)
+test_frozen_reader_is_replaced (void)
 {
   int32_t version = 200;
 
   for (int32_t i = 0; i < GATEWAYS; i++)
     {
-      kill (field->gateways[i], SIGSTOP);
+      kill (testbed->gateways[i], SIGSTOP);
       CU_ASSERT_TRUE (put_configuration (version++, ",\"key-frozen\""));
       for (int32_t k = 0; k < GATEWAYS; k++)
         if (k != i)
           CU_ASSERT_TRUE (wait_status (k, "key-frozen", OK));
-      kill (field->gateways[i], SIGCONT);
+      kill (testbed->gateways[i], SIGCONT);
       CU_ASSERT_TRUE (put_configuration (version++, ""));
       for (int32_t k = 0; k < GATEWAYS; k++)
         CU_ASSERT_TRUE (wait_status (k, "key-frozen", UNAUTHORIZED));
@@ -177,28 +177,28 @@
 
 /* Whether a gateway tells callers the address of another one. */
 static bool
-is_told (int32_t asked, int32_t named)
+is_advertised (int32_t gateway, int32_t other)
 {
   char url[PAGE_LINE_BYTES];
   char address[PAGE_LINE_BYTES];
   bt_reply_t reply;
-  bool told;
+  bool advertised;
 
-  snprintf (url, sizeof url, "http://127.0.0.1:%d/v1/resolve", field->address_ports[asked]);
-  snprintf (address, sizeof address, "127.0.0.1:%d", field->caller_ports[named]);
+  snprintf (url, sizeof url, "http://127.0.0.1:%d/v1/resolve", testbed->address_ports[gateway]);
+  snprintf (address, sizeof address, "127.0.0.1:%d", testbed->caller_ports[other]);
   bt_perform_request (url, NULL, NULL, NULL, &reply);
   CU_ASSERT_EQUAL (reply.status, OK);
-  told = strstr (bt_get_reply_text (&reply), address) != NULL;
+  advertised = strstr (bt_get_reply_text (&reply), address) != NULL;
   bt_clear_reply (&reply);
-  return told;
+  return advertised;
 }
 
 static bool
-wait_told (int32_t asked, int32_t named, bool told)
+wait_advertised (int32_t gateway, int32_t other, bool advertised)
 {
-  int64_t limit_ms = bt_read_clock_ms (bt_system_clock ()) + BT_STAGE_WAIT_MS;
+  int64_t limit_ms = bt_read_clock_ms (bt_system_clock ()) + BT_WAIT_LIMIT_MS;
 
-  while (is_told (asked, named) != told)
+  while (is_advertised (gateway, other) != advertised)
     {
       if (bt_read_clock_ms (bt_system_clock ()) > limit_ms)
         return false;
@@ -211,23 +211,23 @@
  * store was away, so that it could not take back its listing, and all others went on telling its
  * address. The others hear of its leaving from itself. */
 static void
-test_leaving_entry_is_not_told_while_the_store_is_away (void)
+test_departed_peer_is_not_advertised (void)
 {
   int32_t last = GATEWAYS - 1;
 
   for (int32_t i = 0; i < last; i++)
-    CU_ASSERT_TRUE (wait_told (i, last, true));
+    CU_ASSERT_TRUE (wait_advertised (i, last, true));
   for (int32_t i = 0; i < GATEWAYS; i++)
     set_hop_fault (i, BT_HOP_CUT);
-  kill (field->gateways[last], SIGTERM);
+  kill (testbed->gateways[last], SIGTERM);
   for (int32_t i = 0; i < last; i++)
-    CU_ASSERT_TRUE (wait_told (i, last, false));
-  waitpid (field->gateways[last], NULL, 0);
-  field->gateways[last] = 0;
+    CU_ASSERT_TRUE (wait_advertised (i, last, false));
+  waitpid (testbed->gateways[last], NULL, 0);
+  testbed->gateways[last] = 0;
   for (int32_t i = 0; i < last; i++)
     {
-      CU_ASSERT_FALSE (is_told (i, last));
-      CU_ASSERT_TRUE (is_told (i, i));
+      CU_ASSERT_FALSE (is_advertised (i, last));
+      CU_ASSERT_TRUE (is_advertised (i, i));
     }
   for (int32_t i = 0; i < GATEWAYS; i++)
     set_hop_fault (i, BT_HOP_NONE);
@@ -241,11 +241,11 @@
 
   CU_initialize_registry ();
   suite = CU_add_suite ("gateway_peers", start_suite, end_suite);
-  CU_ADD_TEST (suite, test_one_reads_for_all);
-  CU_ADD_TEST (suite, test_entry_turned_away_learns_from_a_peer);
+  CU_ADD_TEST (suite, test_one_gateway_reads_the_store);
+  CU_ADD_TEST (suite, test_refused_entry_learns_from_a_peer);
   CU_ADD_TEST (suite, test_entry_starts_without_the_store);
-  CU_ADD_TEST (suite, test_frozen_reader_is_left);
-  CU_ADD_TEST (suite, test_leaving_entry_is_not_told_while_the_store_is_away);
+  CU_ADD_TEST (suite, test_frozen_reader_is_replaced);
+  CU_ADD_TEST (suite, test_departed_peer_is_not_advertised);
   CU_basic_set_mode (CU_BRM_VERBOSE);
   CU_basic_run_tests ();
   failures = CU_get_number_of_failures ();
--- a/test/process/test_gateway_stop.c
+++ b/test/process/test_gateway_stop.c
@@ -22,8 +22,8 @@
   /* Shorter than the run of the slow request, and longer than address answers are believed. */
   SHORT_DRAIN_MS = 1600,
   LONG_DRAIN_MS = 8000,
-  KEPT_CONNECTIONS = 250,
-  KEPT_PAUSE_MS = 8,
+  IDLE_CONNECTIONS = 250,
+  IDLE_PAUSE_MS = 8,
   HEAD_BYTES = 512,
   ANSWER_BYTES = 2048,
 };
@@ -39,32 +39,33 @@
     "\"public\":false}],"
     "\"limits\":{\"max_header_bytes\":16384,\"max_body_bytes\":65536,\"idle_timeout_ms\":15000}}";
 
-static bt_field_t *field;
+static bt_field_t *testbed;
 static long log_start; /* where the log of the stopped gateway's present start begins */
 
 static int
 start_suite (void)
 {
-  field = bt_new_field (2, configuration);
-  return field != NULL && bt_wait_gateway_ready (field, 0) && bt_wait_gateway_ready (field, 1) ? 0
-                                                                                               : 1;
+  testbed = bt_new_field (2, configuration);
+  return testbed != NULL && bt_wait_gateway_ready (testbed, 0) && bt_wait_gateway_ready (testbed, 1)
+             ? 0
+             : 1;
 }
 
 static int
 end_suite (void)
 {
-  bt_drop_field (field, CU_get_number_of_failures () > 0);
+  bt_drop_field (testbed, CU_get_number_of_failures () > 0);
   return 0;
 }
 
 static void
-ask (const char *path, const char *id, bt_reply_t *reply)
+send_request (const char *path, const char *id, bt_reply_t *reply)
 {
   bt_field_call_t call = {
     .gateway = 1, .path = path, .id = id, .key = "key-small", .deadline_ms = 6000
   };
 
-  bt_call_field (field, &call, reply);
+  bt_send_gateway_call (testbed, &call, reply);
 }
 
 /** What callers got from a gateway that stops, each on a connection of its own. */
@@ -100,7 +101,7 @@
   bt_reply_t reply;
 
   snprintf (id, sizeof id, "r-stop-%d", number);
-  ask ("/a/lookup", id, &reply);
+  send_request ("/a/lookup", id, &reply);
   if (reply.curl_code == CURLE_COULDNT_CONNECT)
     tally->unconnected++;
   else if (reply.curl_code == 0)
@@ -120,12 +121,12 @@
 {
   int32_t number = 0;
 
-  while (waitpid (field->gateways[1], &tally->status, WNOHANG) == 0)
+  while (waitpid (testbed->gateways[1], &tally->status, WNOHANG) == 0)
     {
       count_caller (tally, number++);
       bt_sleep_ms (CALLER_PAUSE_MS);
     }
-  field->gateways[1] = 0;
+  testbed->gateways[1] = 0;
 }
 
 /* Opens the log of the stopped gateway at its present start. */
@@ -135,7 +136,7 @@
   char path[256];
   FILE *log;
 
-  snprintf (path, sizeof path, "%s/instance=gateway-1.log", field->folder);
+  snprintf (path, sizeof path, "%s/instance=gateway-1.log", testbed->folder);
   log = fopen (path, "r");
   if (log != NULL)
     fseek (log, log_start, SEEK_SET);
@@ -152,7 +153,7 @@
   int32_t accepted = -1;
   FILE *log = open_log ();
 
-  snprintf (wanted, sizeof wanted, "\"port\":%d,\"connections\":", field->caller_ports[1]);
+  snprintf (wanted, sizeof wanted, "\"port\":%d,\"connections\":", testbed->caller_ports[1]);
   while (log != NULL && fgets (line, sizeof line, log) != NULL)
     if (strstr (line, "front-closed") != NULL && strstr (line, wanted) != NULL)
       accepted = (int32_t)strtol (strstr (line, wanted) + strlen (wanted), NULL, 10);
@@ -175,7 +176,7 @@
 }
 
 static void
-start_again (int32_t drain_ms)
+restart_gateway (int32_t drain_ms)
 {
   FILE *log = open_log ();
 
@@ -185,16 +186,16 @@
       log_start = ftell (log);
       fclose (log);
     }
-  field->drain_ms = drain_ms;
-  bt_start_gateway_process (field, 1);
-  CU_ASSERT_TRUE (bt_wait_gateway_ready (field, 1));
+  testbed->drain_ms = drain_ms;
+  bt_start_gateway_process (testbed, 1);
+  CU_ASSERT_TRUE (bt_wait_gateway_ready (testbed, 1));
 }
 
 static void
 set_all_faults (const char *fault)
 {
-  for (int32_t i = 0; i < BT_FIELD_RUNNERS; i++)
-    CU_ASSERT_TRUE (bt_set_field_fault (field->runner_ports[i], fault));
+  for (int32_t i = 0; i < BT_DEFAULT_RUNNERS; i++)
+    CU_ASSERT_TRUE (bt_set_field_fault (testbed->runner_ports[i], fault));
 }
 
 /* A caller whose request lasts longer than any stop here; its process ends with 0 when it was told
@@ -202,12 +203,12 @@
 static pid_t
 start_slow_caller (const char *id)
 {
-  pid_t asker = fork ();
+  pid_t caller = fork ();
   bt_reply_t reply;
 
-  if (asker != 0)
-    return asker;
-  ask ("/a/slow", id, &reply);
+  if (caller != 0)
+    return caller;
+  send_request ("/a/slow", id, &reply);
   _exit (reply.curl_code == 0 && reply.status == BAD_GATEWAY
                  && strcmp (reply.reason, "stopped-midway") == 0
              ? 0
@@ -215,23 +216,23 @@
 }
 
 static void
-wait_slow_caller (pid_t asker)
+wait_slow_caller (pid_t caller)
 {
   int status = 1;
 
-  waitpid (asker, &status, 0);
+  waitpid (caller, &status, 0);
   CU_ASSERT (WIFEXITED (status) && WEXITSTATUS (status) == 0);
 }
 
 static bool
-has_run (const char *id)
+wait_for_run (const char *id)
 {
-  int64_t limit_ms = bt_read_clock_ms (bt_system_clock ()) + BT_STAGE_WAIT_MS;
+  int64_t limit_ms = bt_read_clock_ms (bt_system_clock ()) + BT_WAIT_LIMIT_MS;
   size_t runs = 0;
 
   while (runs == 0 && bt_read_clock_ms (bt_system_clock ()) < limit_ms)
     {
-      json_t *found = bt_find_field_runs (field, id);
+      json_t *found = bt_find_request_runs (testbed, id);
 
       runs = json_array_size (found);
       json_decref (found);
@@ -241,7 +242,7 @@
 }
 
 /* Runners begin at once with what the path names, and answer after seconds. */
-static const char *const late = "{\"kind\":\"late\",\"count\":-1,\"match\":\"/slow\"}";
+static const char *const late_fault = "{\"kind\":\"late\",\"count\":-1,\"match\":\"/slow\"}";
 
 /* A caller sees its connection made, sends a request and gets no answer; seconds later the
  * connection breaks. The entry was told to stop while the store was silent. Its loop had ended, and
@@ -251,12 +252,12 @@
 {
   stop_tally_t tally = { 0 };
 
-  CU_ASSERT_TRUE (bt_set_hop_fault (field->hop_ports[1], BT_HOP_CUT, 0));
-  kill (field->gateways[1], SIGTERM);
+  CU_ASSERT_TRUE (bt_set_hop_fault (testbed->hop_ports[1], BT_HOP_CUT, 0));
+  kill (testbed->gateways[1], SIGTERM);
   call_until_gone (&tally);
   check_stop (&tally, 0);
   CU_ASSERT (tally.unconnected > 0);
-  CU_ASSERT_TRUE (bt_set_hop_fault (field->hop_ports[1], BT_HOP_NONE, 0));
+  CU_ASSERT_TRUE (bt_set_hop_fault (testbed->hop_ports[1], BT_HOP_NONE, 0));
 }
 
 /* A request outlasts the time that a stop may take, and callers that hold an old answer keep
@@ -264,20 +265,20 @@
  * sleep for a loop that had ended, and the HTTP library aborted the process over it: the caller got
  * no answer, and whatever the process still had to do was not done. */
 static void
-test_stop_with_a_request_that_outlasts_it (void)
+test_stop_with_a_request_beyond_the_drain_time (void)
 {
   stop_tally_t tally = { 0 };
-  pid_t asker;
+  pid_t caller;
 
-  start_again (SHORT_DRAIN_MS);
-  set_all_faults (late);
-  asker = start_slow_caller ("r-outlasts");
-  CU_ASSERT_TRUE (has_run ("r-outlasts"));
-  kill (field->gateways[1], SIGTERM);
+  restart_gateway (SHORT_DRAIN_MS);
+  set_all_faults (late_fault);
+  caller = start_slow_caller ("r-outlasts");
+  CU_ASSERT_TRUE (wait_for_run ("r-outlasts"));
+  kill (testbed->gateways[1], SIGTERM);
   call_until_gone (&tally);
   check_stop (&tally, 1);
   CU_ASSERT (tally.refused > 0);
-  wait_slow_caller (asker);
+  wait_slow_caller (caller);
   set_all_faults ("{\"kind\":\"none\"}");
 }
 
@@ -288,7 +289,7 @@
   struct sockaddr_in address = { .sin_family = AF_INET, .sin_addr = { htonl (INADDR_LOOPBACK) } };
   int fd = socket (AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
 
-  address.sin_port = htons ((uint16_t)field->caller_ports[1]);
+  address.sin_port = htons ((uint16_t)testbed->caller_ports[1]);
   if (connect (fd, (struct sockaddr *)&address, sizeof address) == 0)
     return fd;
   close (fd);
@@ -304,7 +305,7 @@
 }
 
 static bool
-send_on (int fd, int32_t number)
+send_request_on (int fd, int32_t number)
 {
   char head[HEAD_BYTES];
   int bytes = snprintf (head, sizeof head,
@@ -319,7 +320,7 @@
 /* What became of a request that was sent on a kept connection. The gateway closes it behind its
  * answer. */
 static void
-count_kept (stop_tally_t *tally, int fd, int32_t number)
+count_answer_on_idle (stop_tally_t *tally, int fd, int32_t number)
 {
   char answer[ANSWER_BYTES] = "";
   char id[64];
@@ -339,44 +340,44 @@
  * each once. One that sees its connection closed goes elsewhere; one that has sent its request on
  * an open connection must be answered, until the very end of the process. */
 static void
-test_stop_with_kept_connections (void)
+test_stop_with_idle_connections (void)
 {
   stop_tally_t tally = { 0 };
-  int fds[KEPT_CONNECTIONS];
+  int fds[IDLE_CONNECTIONS];
   int32_t sent = 0;
-  pid_t asker;
+  pid_t caller;
 
-  start_again (SHORT_DRAIN_MS);
-  set_all_faults (late);
-  for (int32_t i = 0; i < KEPT_CONNECTIONS; i++)
+  restart_gateway (SHORT_DRAIN_MS);
+  set_all_faults (late_fault);
+  for (int32_t i = 0; i < IDLE_CONNECTIONS; i++)
     fds[i] = connect_to_gateway ();
-  asker = start_slow_caller ("r-kept-slow");
-  CU_ASSERT_TRUE (has_run ("r-kept-slow"));
-  kill (field->gateways[1], SIGTERM);
-  while (sent < KEPT_CONNECTIONS && !is_closed (fds[sent]) && send_on (fds[sent], sent))
+  caller = start_slow_caller ("r-kept-slow");
+  CU_ASSERT_TRUE (wait_for_run ("r-kept-slow"));
+  kill (testbed->gateways[1], SIGTERM);
+  while (sent < IDLE_CONNECTIONS && !is_closed (fds[sent]) && send_request_on (fds[sent], sent))
     {
       sent++;
-      bt_sleep_ms (KEPT_PAUSE_MS);
+      bt_sleep_ms (IDLE_PAUSE_MS);
     }
-  waitpid (field->gateways[1], &tally.status, 0);
-  field->gateways[1] = 0;
-  for (int32_t i = 0; i < KEPT_CONNECTIONS; i++)
+  waitpid (testbed->gateways[1], &tally.status, 0);
+  testbed->gateways[1] = 0;
+  for (int32_t i = 0; i < IDLE_CONNECTIONS; i++)
     {
       if (i < sent)
-        count_kept (&tally, fds[i], i);
+        count_answer_on_idle (&tally, fds[i], i);
       close (fds[i]);
     }
-  check_stop (&tally, 1 + KEPT_CONNECTIONS - sent);
+  check_stop (&tally, 1 + IDLE_CONNECTIONS - sent);
   CU_ASSERT_EQUAL (tally.lost, 0);
   CU_ASSERT (tally.refused > 0);
-  wait_slow_caller (asker);
+  wait_slow_caller (caller);
   set_all_faults ("{\"kind\":\"none\"}");
 }
 
 static bool
 wait_for_log (const char *wanted)
 {
-  int64_t limit_ms = bt_read_clock_ms (bt_system_clock ()) + BT_STAGE_WAIT_MS;
+  int64_t limit_ms = bt_read_clock_ms (bt_system_clock ()) + BT_WAIT_LIMIT_MS;
   char line[1024];
 
   while (bt_read_clock_ms (bt_system_clock ()) < limit_ms)
@@ -399,8 +400,8 @@
 static int32_t
 find_runner (const char *id)
 {
-  for (int32_t i = 0; i < BT_FIELD_RUNNERS; i++)
-    if (bt_count_runner_runs (field, i, id) > 0)
+  for (int32_t i = 0; i < BT_DEFAULT_RUNNERS; i++)
+    if (bt_count_runner_runs (testbed, i, id) > 0)
       return i;
   return -1;
 }
@@ -409,45 +410,45 @@
  * in which it refuses late comers. One of them fails at its endpoint and is sent on: the entry no
  * longer followed the store, and sent it to the endpoint that leaves. */
 static void
-test_endpoint_leaves_while_the_entry_closes (void)
+test_endpoint_drains_while_the_entry_closes (void)
 {
   int32_t first;
-  pid_t asker;
+  pid_t caller;
 
-  start_again (LONG_DRAIN_MS);
-  set_all_faults (late);
-  asker = fork ();
-  if (asker == 0)
+  restart_gateway (LONG_DRAIN_MS);
+  set_all_faults (late_fault);
+  caller = fork ();
+  if (caller == 0)
     {
       bt_reply_t reply;
 
-      ask ("/a/twice/slow", "r-sent-on", &reply);
+      send_request ("/a/twice/slow", "r-sent-on", &reply);
       _exit (0);
     }
-  CU_ASSERT_TRUE (has_run ("r-sent-on"));
-  kill (field->gateways[1], SIGTERM);
+  CU_ASSERT_TRUE (wait_for_run ("r-sent-on"));
+  kill (testbed->gateways[1], SIGTERM);
   CU_ASSERT_TRUE (wait_for_log ("\"phase\":\"closing\""));
   first = find_runner ("r-sent-on");
   CU_ASSERT (first >= 0);
-  for (int32_t i = 0; i < BT_FIELD_RUNNERS; i++)
+  for (int32_t i = 0; i < BT_DEFAULT_RUNNERS; i++)
     if (i != first)
-      CU_ASSERT_TRUE (bt_list_field_runner (field, i, "draining"));
-  for (int32_t i = 0; i < BT_FIELD_RUNNERS; i++)
+      CU_ASSERT_TRUE (bt_list_field_runner (testbed, i, "draining"));
+  for (int32_t i = 0; i < BT_DEFAULT_RUNNERS; i++)
     {
       char event[128];
 
       snprintf (event, sizeof event, "\"endpoint-leaving\",\"endpoint\":\"i-%d\"", i);
       CU_ASSERT_TRUE (i == first || wait_for_log (event));
     }
-  kill (field->runners[first], SIGKILL);
-  waitpid (field->runners[first], NULL, 0);
-  field->runners[first] = 0;
-  waitpid (asker, NULL, 0);
-  for (int32_t i = 0; i < BT_FIELD_RUNNERS; i++)
+  kill (testbed->runners[first], SIGKILL);
+  waitpid (testbed->runners[first], NULL, 0);
+  testbed->runners[first] = 0;
+  waitpid (caller, NULL, 0);
+  for (int32_t i = 0; i < BT_DEFAULT_RUNNERS; i++)
     if (i != first)
-      CU_ASSERT_EQUAL (bt_count_runner_runs (field, i, "r-sent-on"), 0);
-  waitpid (field->gateways[1], NULL, 0);
-  field->gateways[1] = 0;
+      CU_ASSERT_EQUAL (bt_count_runner_runs (testbed, i, "r-sent-on"), 0);
+  waitpid (testbed->gateways[1], NULL, 0);
+  testbed->gateways[1] = 0;
 }
 
 int
@@ -459,9 +460,9 @@
   CU_initialize_registry ();
   suite = CU_add_suite ("gateway_stop", start_suite, end_suite);
   CU_ADD_TEST (suite, test_stop_while_the_store_is_silent);
-  CU_ADD_TEST (suite, test_stop_with_a_request_that_outlasts_it);
-  CU_ADD_TEST (suite, test_stop_with_kept_connections);
-  CU_ADD_TEST (suite, test_endpoint_leaves_while_the_entry_closes);
+  CU_ADD_TEST (suite, test_stop_with_a_request_beyond_the_drain_time);
+  CU_ADD_TEST (suite, test_stop_with_idle_connections);
+  CU_ADD_TEST (suite, test_endpoint_drains_while_the_entry_closes);
   CU_basic_set_mode (CU_BRM_VERBOSE);
   CU_basic_run_tests ();
   failures = CU_get_number_of_failures ();
--- a/test/process/test_hostile.c
+++ b/test/process/test_hostile.c
@@ -29,20 +29,20 @@
 
 static const char *const entry_arguments[] = { "--caller-idle-ms", "1000", NULL };
 
-static bt_stage_t *stage;
+static bt_stage_t *testbed;
 
 static int
 start_suite (void)
 {
   bt_set_stage_arguments (entry_arguments, NULL);
-  stage = bt_new_stage (1, 0, 1, 0, rules);
-  return stage == NULL ? 1 : 0;
+  testbed = bt_new_stage (1, 0, 1, 0, rules);
+  return testbed == NULL ? 1 : 0;
 }
 
 static int
 end_suite (void)
 {
-  bt_drop_stage (stage, CU_get_number_of_failures () > 0);
+  bt_drop_stage (testbed, CU_get_number_of_failures () > 0);
   return 0;
 }
 
@@ -65,7 +65,7 @@
 static int
 connect_entry (void)
 {
-  return connect_port (bt_get_stage_port (stage, "entry-0"));
+  return connect_port (bt_get_stage_port (testbed, "entry-0"));
 }
 
 static void
@@ -84,11 +84,11 @@
 }
 
 static void
-check_still_serves (void)
+check_entry_serves (void)
 {
   bt_reply_t reply;
 
-  bt_ask (stage, "entry-0", "small", "/anything", NULL, "body", &reply);
+  bt_send_entry_request (testbed, "entry-0", "small", "/anything", NULL, "body", &reply);
   CU_ASSERT_EQUAL (reply.status, 200);
   bt_clear_reply (&reply);
 }
@@ -107,11 +107,11 @@
   read_answer (fd, answer);
   CU_ASSERT_TRUE (answer[0] == '\0' || strncmp (answer, "HTTP/1.1 4", 10) == 0);
   close (fd);
-  check_still_serves ();
+  check_entry_serves ();
 }
 
 static void
-check_bad_start (const char *text)
+check_malformed_request (const char *text)
 {
   char answer[ANSWER_BYTES];
   int fd = connect_entry ();
@@ -126,20 +126,20 @@
 static void
 test_malformed_requests_are_refused (void)
 {
-  check_bad_start ("\r\n\r\n\r\n");
-  check_bad_start ("GET\r\n\r\n");
-  check_bad_start ("POST /x HTTP/1.1\r\nHost: x\r\nContent-Length: -5\r\n\r\nabc");
-  check_bad_start ("POST /x HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer token-small\r\n"
-                   "Content-Length: 100\r\n\r\ncut short");
-  check_bad_start ("POST /x HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer token-small\r\n"
-                   "Transfer-Encoding: chunked\r\n\r\nzz\r\nnot a chunk");
-  check_still_serves ();
+  check_malformed_request ("\r\n\r\n\r\n");
+  check_malformed_request ("GET\r\n\r\n");
+  check_malformed_request ("POST /x HTTP/1.1\r\nHost: x\r\nContent-Length: -5\r\n\r\nabc");
+  check_malformed_request ("POST /x HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer token-small\r\n"
+                           "Content-Length: 100\r\n\r\ncut short");
+  check_malformed_request ("POST /x HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer token-small\r\n"
+                           "Transfer-Encoding: chunked\r\n\r\nzz\r\nnot a chunk");
+  check_entry_serves ();
 }
 
 /* Many callers open a request and then send nothing. Their connections are closed after the idle
  * limit, and others are served meanwhile. */
 static void
-test_slow_writers_are_closed (void)
+test_stalled_requests_are_closed (void)
 {
   static const char *const start = "POST /x HTTP/1.1\r\nHost: x\r\nContent-Le";
   char answer[ANSWER_BYTES];
@@ -150,7 +150,7 @@
       fds[i] = connect_entry ();
       CU_ASSERT_TRUE (send (fds[i], start, strlen (start), MSG_NOSIGNAL) >= 0);
     }
-  check_still_serves ();
+  check_entry_serves ();
   for (int32_t i = 0; i < STALLED_CONNECTIONS; i++)
     {
       read_answer (fds[i], answer);
@@ -167,9 +167,9 @@
   int64_t resident_kb = 0;
   FILE *file;
 
-  for (int32_t i = 0; i < stage->process_count; i++)
-    if (strcmp (stage->processes[i].name, name) == 0)
-      snprintf (path, sizeof path, "/proc/%d/status", (int)stage->processes[i].pid);
+  for (int32_t i = 0; i < testbed->process_count; i++)
+    if (strcmp (testbed->processes[i].name, name) == 0)
+      snprintf (path, sizeof path, "/proc/%d/status", (int)testbed->processes[i].pid);
   file = fopen (path, "r");
   while (file != NULL && fgets (line, sizeof line, file) != NULL)
     if (strncmp (line, "VmRSS:", strlen ("VmRSS:")) == 0)
@@ -199,7 +199,7 @@
  * the same with bodies over the limit. What the entry holds grows by what was sent, not by what was
  * announced: by far less than the hundreds of megabytes named. */
 static void
-test_announced_bodies_take_no_memory (void)
+test_announced_bodies_allocate_no_memory (void)
 {
   static const char *const start = "POST /x HTTP/1.1\r\nHost: x\r\n"
                                    "Authorization: Bearer token-small\r\n"
@@ -212,7 +212,7 @@
       fds[i] = connect_entry ();
       CU_ASSERT_TRUE (send (fds[i], start, strlen (start), MSG_NOSIGNAL) >= 0);
     }
-  check_still_serves ();
+  check_entry_serves ();
   CU_ASSERT_TRUE (before_kb > 0);
   CU_ASSERT_TRUE (read_resident_kb ("entry-0") - before_kb < MEMORY_LIMIT_KB);
   for (int32_t i = 0; i < STALLED_CONNECTIONS * 4; i++)
@@ -222,9 +222,9 @@
 /* Strangers send noise to the callers' port and to the ports for links of an entry and an agent.
  * The processes close those connections and go on serving. */
 static void
-test_noise_at_each_port_does_no_harm (void)
+test_random_bytes_at_each_port_do_no_harm (void)
 {
-  int32_t entry = bt_get_stage_port (stage, "entry-0");
+  int32_t entry = bt_get_stage_port (testbed, "entry-0");
 
   for (uint64_t seed = 1; seed <= NOISE_ROUNDS; seed++)
     {
@@ -232,7 +232,7 @@
       send_noise (entry + LINK_PORT_OFFSET, seed);
       send_noise (entry + 3 * LINK_PORT_OFFSET, seed);
     }
-  check_still_serves ();
+  check_entry_serves ();
 }
 
 int
@@ -245,9 +245,9 @@
   suite = CU_add_suite ("hostile", start_suite, end_suite);
   CU_ADD_TEST (suite, test_oversized_head_gets_an_error);
   CU_ADD_TEST (suite, test_malformed_requests_are_refused);
-  CU_ADD_TEST (suite, test_slow_writers_are_closed);
-  CU_ADD_TEST (suite, test_announced_bodies_take_no_memory);
-  CU_ADD_TEST (suite, test_noise_at_each_port_does_no_harm);
+  CU_ADD_TEST (suite, test_stalled_requests_are_closed);
+  CU_ADD_TEST (suite, test_announced_bodies_allocate_no_memory);
+  CU_ADD_TEST (suite, test_random_bytes_at_each_port_do_no_harm);
   CU_basic_set_mode (CU_BRM_VERBOSE);
   CU_basic_run_tests ();
   failed = CU_get_number_of_failures () + CU_get_number_of_suites_failed ();
--- a/test/process/test_map_group.c
+++ b/test/process/test_map_group.c
@@ -34,10 +34,10 @@
                                                   "--expert-slots", "5",       "--plan-ms",   "500",
                                                   "--expert-bytes", "1000000", NULL };
 
-static bt_stage_t *stage;
+static bt_stage_t *testbed;
 static pid_t group_pid;
 static int group_port;
-static int64_t last_map = 1;
+static int64_t wanted_map = 1;
 
 static bool
 start_group (void)
@@ -76,12 +76,12 @@
   setenv ("BILBERRY_RANK", text, 1);
   snprintf (text, sizeof text, "http://127.0.0.1:%d/ranks/%d", group_port, rank);
   setenv ("BILBERRY_RANK_URL", text, 1);
-  snprintf (text, sizeof text, "http://127.0.0.1:%d", stage->kv_port);
+  snprintf (text, sizeof text, "http://127.0.0.1:%d", testbed->kv_port);
   setenv ("BILBERRY_STORE_URL", text, 1);
   setenv ("BILBERRY_GROUP", "drafts", 1);
   setenv ("BILBERRY_MAP_GIVE_UP_MS", "1500", 1);
   snprintf (text, sizeof text, "agent-%d", rank);
-  return bt_start_process (stage, text);
+  return bt_start_process (testbed, text);
 }
 
 static bool
@@ -90,19 +90,19 @@
   char name[TEXT_BYTES];
 
   snprintf (name, sizeof name, "agent-%d", rank);
-  return bt_signal_process (stage, name, SIGKILL);
+  return bt_signal_process (testbed, name, SIGKILL);
 }
 
 /* The harness starts agents that know of no group; they are started again with it. */
 static int
-start_with (const char *const *arguments)
+start_testbed (const char *const *arguments)
 {
   unsetenv ("BILBERRY_GROUP");
   bt_set_stage_arguments (arguments, NULL);
   if (!start_group ())
     return 1;
-  stage = bt_new_stage (ENTRIES, RANKS, 0, 1000, rules);
-  if (stage == NULL)
+  testbed = bt_new_stage (ENTRIES, RANKS, 0, 1000, rules);
+  if (testbed == NULL)
     return 1;
   for (int32_t rank = 0; rank < RANKS; rank++)
     if (!kill_agent (rank) || !start_agent (rank))
@@ -113,26 +113,26 @@
 static int
 start_suite (void)
 {
-  return start_with (entry_arguments);
+  return start_testbed (entry_arguments);
 }
 
 static int
 start_planned_suite (void)
 {
-  return start_with (planning_arguments);
+  return start_testbed (planning_arguments);
 }
 
 static int
 end_suite (void)
 {
-  bt_drop_stage (stage, CU_get_number_of_failures () > 0);
+  bt_drop_stage (testbed, CU_get_number_of_failures () > 0);
   kill (group_pid, SIGTERM);
   waitpid (group_pid, NULL, 0);
   return 0;
 }
 
 static size_t
-take_bytes (char *data, size_t size, size_t count, void *argument)
+append_bytes (char *data, size_t size, size_t count, void *argument)
 {
   char *text = argument;
 
@@ -153,7 +153,7 @@
   snprintf (url, sizeof url, "http://127.0.0.1:%d%s", group_port, path);
   curl_easy_setopt (curl, CURLOPT_URL, url);
   curl_easy_setopt (curl, CURLOPT_TIMEOUT_MS, (long)CALL_MS);
-  curl_easy_setopt (curl, CURLOPT_WRITEFUNCTION, take_bytes);
+  curl_easy_setopt (curl, CURLOPT_WRITEFUNCTION, append_bytes);
   curl_easy_setopt (curl, CURLOPT_WRITEDATA, text);
   if (body != NULL)
     curl_easy_setopt (curl, CURLOPT_POSTFIELDS, body);
@@ -189,7 +189,7 @@
 }
 
 static bool
-use_map (void *argument)
+all_use_map (void *argument)
 {
   for (int32_t rank = 0; rank < RANKS; rank++)
     if (!uses_map (rank, *(int64_t *)argument))
@@ -209,20 +209,20 @@
 {
   int64_t steps = read_steps ();
 
-  CU_ASSERT_TRUE (bt_wait_until (use_map, &last_map));
+  CU_ASSERT_TRUE (bt_wait_until (all_use_map, &wanted_map));
   CU_ASSERT_TRUE (steps >= 0);
   CU_ASSERT_TRUE (bt_wait_until (has_stepped, &steps));
   CU_ASSERT_EQUAL (waitpid (group_pid, NULL, WNOHANG), 0);
 }
 
 static void
-fail (const char *body)
+set_group_fault (const char *body)
 {
   json_decref (call_group ("/fault", body));
 }
 
 static void
-want_next_map (void)
+request_next_map (void)
 {
   char body[TEXT_BYTES];
   /* "bilberrytray-maps/drafts/wanted" in base 64 */
@@ -230,9 +230,9 @@
   static const char *const values[] = { "MA==", "MQ==", "Mg==", "Mw==", "NA==",
                                         "NQ==", "Ng==", "Nw==", "OA==", "OQ==" };
 
-  last_map++;
-  snprintf (body, sizeof body, "{\"key\":\"%s\",\"value\":\"%s\"}", key, values[last_map]);
-  json_decref (bt_call_standin (stage, "kv", "/v3/kv/put", body));
+  wanted_map++;
+  snprintf (body, sizeof body, "{\"key\":\"%s\",\"value\":\"%s\"}", key, values[wanted_map]);
+  json_decref (bt_call_standin (testbed, "kv", "/v3/kv/put", body));
 }
 
 /* A stopped entry is not asked: its page would not answer. */
@@ -246,7 +246,7 @@
       if (i == stopped)
         continue;
       snprintf (name, sizeof name, "entry-%d", i);
-      if (bt_read_stage_counter (stage, name, "bilberry_map_controller") == 1)
+      if (bt_read_testbed_counter (testbed, name, "bilberry_map_controller") == 1)
         return i;
     }
   return -1;
@@ -277,40 +277,40 @@
 }
 
 static bool
-is_rank_0_taken (void *argument)
+has_rank_0_applied (void *argument)
 {
   json_t *page = call_group ("/ranks/0/state", NULL);
   json_t *decided = json_object_get (page, "decided");
-  bool taken = json_is_true (json_object_get (page, "decided_apply"))
-               && !json_equal (decided, argument)
-               && json_integer_value (json_array_get (decided, 0)) > 0;
+  bool applied = json_is_true (json_object_get (page, "decided_apply"))
+                 && !json_equal (decided, argument)
+                 && json_integer_value (json_array_get (decided, 0)) > 0;
 
   json_decref (page);
-  return taken;
+  return applied;
 }
 
 static void
 test_group_forms_and_changes_its_map (void)
 {
   check_group ();
-  want_next_map ();
+  request_next_map ();
   check_group ();
 }
 
 /* One rank steps with the old map or the group stands still for good: the decision of a round never
  * reaches rank 1 from the controller, three times over. */
 static void
-test_decision_is_lost_to_one_rank (void)
+test_lost_decision_reaches_one_rank (void)
 {
-  fail ("{\"kind\":\"down\",\"count\":3,\"match\":\"1/learn\"}");
-  want_next_map ();
+  set_group_fault ("{\"kind\":\"down\",\"count\":3,\"match\":\"1/learn\"}");
+  request_next_map ();
   check_group ();
 }
 
 /* A group with two maps. The entry that controls it is stopped in the middle of a round; another
  * takes over; the first wakes and goes on where it was. Its orders are refused. */
 static void
-test_controller_is_frozen_and_woken (void)
+test_resumed_controller_is_fenced (void)
 {
   int32_t frozen = -1;
   int32_t rank = 1;
@@ -318,15 +318,15 @@
 
   CU_ASSERT_TRUE_FATAL (bt_wait_until (has_controller, &frozen));
   snprintf (name, sizeof name, "entry-%d", frozen);
-  fail ("{\"kind\":\"down\",\"count\":-1,\"match\":\"0/decide\"}");
-  want_next_map ();
+  set_group_fault ("{\"kind\":\"down\",\"count\":-1,\"match\":\"0/decide\"}");
+  request_next_map ();
   CU_ASSERT_TRUE (bt_wait_until (is_rank_undecided, &rank));
-  CU_ASSERT_TRUE (bt_signal_process (stage, name, SIGSTOP));
-  fail ("{\"kind\":\"none\"}");
+  CU_ASSERT_TRUE (bt_signal_process (testbed, name, SIGSTOP));
+  set_group_fault ("{\"kind\":\"none\"}");
   check_group ();
   CU_ASSERT_NOT_EQUAL (find_running_controller (frozen), frozen);
-  CU_ASSERT_TRUE (bt_signal_process (stage, name, SIGCONT));
-  want_next_map ();
+  CU_ASSERT_TRUE (bt_signal_process (testbed, name, SIGCONT));
+  request_next_map ();
   check_group ();
 }
 
@@ -337,9 +337,9 @@
 {
   json_t *page = call_group ("/ranks/0/state", NULL);
 
-  fail ("{\"kind\":\"lost-answer\",\"count\":1,\"match\":\"0/decide\"}");
-  want_next_map ();
-  CU_ASSERT_TRUE (bt_wait_until (is_rank_0_taken, json_object_get (page, "decided")));
+  set_group_fault ("{\"kind\":\"lost-answer\",\"count\":1,\"match\":\"0/decide\"}");
+  request_next_map ();
+  CU_ASSERT_TRUE (bt_wait_until (has_rank_0_applied, json_object_get (page, "decided")));
   CU_ASSERT_TRUE (kill_agent (0));
   json_decref (page);
   CU_ASSERT_TRUE (start_agent (0));
@@ -353,11 +353,11 @@
 {
   int32_t rank = 0;
 
-  fail ("{\"kind\":\"down\",\"count\":-1,\"match\":\"0/decide\"}");
-  want_next_map ();
+  set_group_fault ("{\"kind\":\"down\",\"count\":-1,\"match\":\"0/decide\"}");
+  request_next_map ();
   CU_ASSERT_TRUE (bt_wait_until (is_rank_undecided, &rank));
   CU_ASSERT_TRUE (kill_agent (0));
-  fail ("{\"kind\":\"none\"}");
+  set_group_fault ("{\"kind\":\"none\"}");
   CU_ASSERT_TRUE (start_agent (0));
   check_group ();
 }
@@ -365,15 +365,15 @@
 /* The service is down, and the group's steps go on; a map that is wanted comes into use once it is
  * back. */
 static void
-test_service_is_down (void)
+test_store_outage_stops_no_step (void)
 {
   int64_t steps;
 
-  json_decref (bt_call_standin (stage, "kv", "/fault", "{\"kind\":\"down\",\"count\":-1}"));
+  json_decref (bt_call_standin (testbed, "kv", "/fault", "{\"kind\":\"down\",\"count\":-1}"));
   steps = read_steps ();
   CU_ASSERT_TRUE (bt_wait_until (has_stepped, &steps));
-  json_decref (bt_call_standin (stage, "kv", "/fault", "{\"kind\":\"none\"}"));
-  want_next_map ();
+  json_decref (bt_call_standin (testbed, "kv", "/fault", "{\"kind\":\"none\"}"));
+  request_next_map ();
   check_group ();
 }
 
@@ -381,7 +381,7 @@
 static void
 test_rank_0_is_replaced (void)
 {
-  fail ("{\"kind\":\"replace-0\"}");
+  set_group_fault ("{\"kind\":\"replace-0\"}");
   check_group ();
 }
 
@@ -426,7 +426,7 @@
 /* One expert in each layer is hot and slows every step. The planner's map comes into use by itself,
  * and stays: a second plan finds nothing that pays. */
 static void
-test_planned_map_comes_into_use (void)
+test_planned_map_is_applied (void)
 {
   uint64_t first = 0;
   uint64_t planned;
@@ -451,8 +451,8 @@
 
   CU_ASSERT_TRUE_FATAL (bt_wait_until (has_controller, &controller));
   snprintf (name, sizeof name, "entry-%d", controller);
-  CU_ASSERT_TRUE (bt_signal_process (stage, name, SIGKILL));
-  fail ("{\"kind\":\"replace-0\"}");
+  CU_ASSERT_TRUE (bt_signal_process (testbed, name, SIGKILL));
+  set_group_fault ("{\"kind\":\"replace-0\"}");
   CU_ASSERT_TRUE (bt_wait_until (has_same_map, &planned));
   CU_ASSERT_TRUE (bt_wait_until (has_stepped, &steps));
   CU_ASSERT_EQUAL (waitpid (group_pid, NULL, WNOHANG), 0);
@@ -467,14 +467,14 @@
   CU_initialize_registry ();
   suite = CU_add_suite ("map group", start_suite, end_suite);
   CU_ADD_TEST (suite, test_group_forms_and_changes_its_map);
-  CU_ADD_TEST (suite, test_decision_is_lost_to_one_rank);
-  CU_ADD_TEST (suite, test_controller_is_frozen_and_woken);
+  CU_ADD_TEST (suite, test_lost_decision_reaches_one_rank);
+  CU_ADD_TEST (suite, test_resumed_controller_is_fenced);
   CU_ADD_TEST (suite, test_agent_of_rank_0_dies_after_deciding);
   CU_ADD_TEST (suite, test_agent_of_rank_0_dies_before_deciding);
-  CU_ADD_TEST (suite, test_service_is_down);
+  CU_ADD_TEST (suite, test_store_outage_stops_no_step);
   CU_ADD_TEST (suite, test_rank_0_is_replaced);
   suite = CU_add_suite ("planned maps", start_planned_suite, end_suite);
-  CU_ADD_TEST (suite, test_planned_map_comes_into_use);
+  CU_ADD_TEST (suite, test_planned_map_is_applied);
   CU_ADD_TEST (suite, test_new_controller_finds_the_planned_map);
   CU_basic_set_mode (CU_BRM_VERBOSE);
   CU_basic_run_tests ();
--- a/test/process/test_path.c
+++ b/test/process/test_path.c
@@ -13,29 +13,29 @@
     "{\"name\":\"drafts\",\"when\":{\"path\":\"/v1/completions\"},"
     "\"then\":{\"action\":\"route\",\"app\":\"drafts\"}}]}";
 
-static bt_stage_t *stage;
+static bt_stage_t *testbed;
 
 static int
 start_suite (void)
 {
-  stage = bt_new_stage (2, 2, 1, 1000, rules);
-  return stage == NULL ? 1 : 0;
+  testbed = bt_new_stage (2, 2, 1, 1000, rules);
+  return testbed == NULL ? 1 : 0;
 }
 
 static int
 end_suite (void)
 {
-  bt_drop_stage (stage, CU_get_number_of_failures () > 0);
+  bt_drop_stage (testbed, CU_get_number_of_failures () > 0);
   return 0;
 }
 
 static void
-test_draft_is_streamed_whole (void)
+test_draft_is_streamed_completely (void)
 {
   bt_reply_t reply;
 
-  bt_ask (stage, "entry-0", "small", "/v1/completions", NULL,
-          "{\"prompt\":\"ten kilos\",\"max_tokens\":4}", &reply);
+  bt_send_entry_request (testbed, "entry-0", "small", "/v1/completions", NULL,
+                         "{\"prompt\":\"ten kilos\",\"max_tokens\":4}", &reply);
   CU_ASSERT_EQUAL (reply.curl_code, 0);
   CU_ASSERT_EQUAL (reply.status, 200);
   CU_ASSERT_STRING_EQUAL (reply.outcome, "answered");
@@ -49,7 +49,7 @@
 {
   bt_reply_t reply;
 
-  bt_ask (stage, "entry-1", "small", "/lookup/stock", NULL, "shrimp", &reply);
+  bt_send_entry_request (testbed, "entry-1", "small", "/lookup/stock", NULL, "shrimp", &reply);
   CU_ASSERT_EQUAL (reply.status, 200);
   CU_ASSERT_PTR_NOT_NULL (strstr (bt_get_reply_text (&reply), "\"bytes\":6"));
   bt_clear_reply (&reply);
@@ -60,7 +60,7 @@
 {
   bt_reply_t reply;
 
-  bt_ask (stage, "entry-0", account, path, NULL, "{}", &reply);
+  bt_send_entry_request (testbed, "entry-0", account, path, NULL, "{}", &reply);
   CU_ASSERT_EQUAL (reply.status, status);
   CU_ASSERT_STRING_EQUAL (reply.outcome, "not-run");
   CU_ASSERT_STRING_EQUAL (reply.reason, reason);
@@ -71,22 +71,22 @@
 test_refusals_name_their_reason (void)
 {
   int64_t before =
-      bt_read_stage_counter (stage, "entry-0", "bilberry_refusals_total{reason=\"no-rule\"}");
+      bt_read_testbed_counter (testbed, "entry-0", "bilberry_refusals_total{reason=\"no-rule\"}");
 
   check_refusal ("nobody", "/v1/completions", 401, "bad-token");
   check_refusal ("third", "/v1/completions", 403, "rule-refused");
   check_refusal ("small", "/elsewhere", 403, "no-rule");
   CU_ASSERT_EQUAL (
-      bt_read_stage_counter (stage, "entry-0", "bilberry_refusals_total{reason=\"no-rule\"}"),
+      bt_read_testbed_counter (testbed, "entry-0", "bilberry_refusals_total{reason=\"no-rule\"}"),
       before + 1);
 }
 
 static void
-test_refused_caller_is_told_when_to_come_back (void)
+test_refusal_has_a_retry_after_time (void)
 {
   bt_reply_t reply;
 
-  bt_ask (stage, "entry-0", "third", "/v1/completions", NULL, "{}", &reply);
+  bt_send_entry_request (testbed, "entry-0", "third", "/v1/completions", NULL, "{}", &reply);
   CU_ASSERT_EQUAL (reply.retry_after_ms, 1500);
   bt_clear_reply (&reply);
 }
@@ -98,7 +98,7 @@
   bt_reply_t reply;
 
   memset (body, 'x', sizeof body - 1);
-  bt_ask (stage, "entry-0", "small", "/v1/completions", NULL, body, &reply);
+  bt_send_entry_request (testbed, "entry-0", "small", "/v1/completions", NULL, body, &reply);
   CU_ASSERT_EQUAL (reply.status, 413);
   CU_ASSERT_STRING_EQUAL (reply.reason, "body-too-large");
   bt_clear_reply (&reply);
@@ -107,13 +107,13 @@
 /* A caller holds the addresses of two entries. One entry's instance dies; the caller's next request
  * through the other is answered whole, and soon the dead one is no longer named. */
 static bool
-names_one_entry (void *argument)
+advertises_one_entry (void *argument)
 {
   bt_reply_t reply;
   json_t *answer;
   bool one;
 
-  bt_ask (stage, "entry-0", "small", "/v1/addresses", NULL, NULL, &reply);
+  bt_send_entry_request (testbed, "entry-0", "small", "/v1/addresses", NULL, NULL, &reply);
   answer = reply.body == NULL ? NULL : json_loadb (reply.body, reply.body_bytes, 0, NULL);
   one = json_array_size (json_object_get (answer, "addresses")) == 1;
   json_decref (answer);
@@ -122,11 +122,11 @@
 }
 
 static void
-test_dead_entry_leaves_the_addresses (void)
+test_dead_entry_is_not_advertised (void)
 {
-  CU_ASSERT_TRUE (bt_signal_process (stage, "entry-1", SIGKILL));
-  test_draft_is_streamed_whole ();
-  CU_ASSERT_TRUE (bt_wait_until (names_one_entry, NULL));
+  CU_ASSERT_TRUE (bt_signal_process (testbed, "entry-1", SIGKILL));
+  test_draft_is_streamed_completely ();
+  CU_ASSERT_TRUE (bt_wait_until (advertises_one_entry, NULL));
 }
 
 int
@@ -137,12 +137,12 @@
 
   CU_initialize_registry ();
   suite = CU_add_suite ("path", start_suite, end_suite);
-  CU_ADD_TEST (suite, test_draft_is_streamed_whole);
+  CU_ADD_TEST (suite, test_draft_is_streamed_completely);
   CU_ADD_TEST (suite, test_lookup_goes_to_the_plain_service);
   CU_ADD_TEST (suite, test_refusals_name_their_reason);
-  CU_ADD_TEST (suite, test_refused_caller_is_told_when_to_come_back);
+  CU_ADD_TEST (suite, test_refusal_has_a_retry_after_time);
   CU_ADD_TEST (suite, test_body_over_the_limit_is_refused);
-  CU_ADD_TEST (suite, test_dead_entry_leaves_the_addresses);
+  CU_ADD_TEST (suite, test_dead_entry_is_not_advertised);
   CU_basic_set_mode (CU_BRM_VERBOSE);
   CU_basic_run_tests ();
   failed = CU_get_number_of_failures () + CU_get_number_of_suites_failed ();
--- a/test/process/test_request_faults.c
+++ b/test/process/test_request_faults.c
@@ -20,19 +20,19 @@
     "{\"name\":\"drafts\",\"when\":{\"path\":\"/v1/completions\"},"
     "\"then\":{\"action\":\"route\",\"app\":\"drafts\",\"retries\":2}}]}";
 
-static bt_stage_t *stage;
+static bt_stage_t *testbed;
 
 static int
 start_suite (void)
 {
-  stage = bt_new_stage (2, 2, 0, STEP_US, rules);
-  return stage == NULL ? 1 : 0;
+  testbed = bt_new_stage (2, 2, 0, STEP_US, rules);
+  return testbed == NULL ? 1 : 0;
 }
 
 static int
 end_suite (void)
 {
-  bt_drop_stage (stage, CU_get_number_of_failures () > 0);
+  bt_drop_stage (testbed, CU_get_number_of_failures () > 0);
   return 0;
 }
 
@@ -40,51 +40,51 @@
  * through the other entry. The run went on at the agent: the buyer gets its whole answer, and the
  * draft ran once. Without a key at its home it would run, and be ordered, twice. */
 static void
-test_entry_killed_resend_elsewhere (void)
+test_resend_through_another_entry (void)
 {
   char key[BT_KEY_TEXT_BYTES];
-  bt_draft_t draft = { stage, "entry-0", key, "entry killed", LONG_TOKENS };
-  bt_draft_t again = { stage, "entry-1", key, "entry killed", LONG_TOKENS };
+  bt_draft_t draft = { testbed, "entry-0", key, "entry killed", LONG_TOKENS };
+  bt_draft_t resend = { testbed, "entry-1", key, "entry killed", LONG_TOKENS };
 
-  CU_ASSERT_TRUE_FATAL (bt_take_ticket (stage, "entry-0", "small", key));
+  CU_ASSERT_TRUE_FATAL (bt_fetch_ticket (testbed, "entry-0", "small", key));
   bt_start_draft (&draft);
-  CU_ASSERT_TRUE (bt_wait_draft_runs (&draft));
-  CU_ASSERT_TRUE (bt_signal_process (stage, "entry-0", SIGKILL));
+  CU_ASSERT_TRUE (bt_wait_draft_started (&draft));
+  CU_ASSERT_TRUE (bt_signal_process (testbed, "entry-0", SIGKILL));
   bt_join_draft (&draft);
-  CU_ASSERT_TRUE (bt_was_draft_told (&draft, "unknown"));
-  bt_send_draft (&again);
-  CU_ASSERT_TRUE (bt_is_draft_whole (&again));
-  CU_ASSERT_EQUAL (bt_count_draft_runs (&again), 1);
+  CU_ASSERT_TRUE (bt_has_draft_outcome (&draft, "unknown"));
+  bt_send_draft (&resend);
+  CU_ASSERT_TRUE (bt_is_draft_complete (&resend));
+  CU_ASSERT_EQUAL (bt_count_draft_runs (&resend), 1);
   bt_clear_reply (&draft.reply);
-  bt_clear_reply (&again.reply);
-  CU_ASSERT_TRUE (bt_start_process (stage, "entry-0"));
-  CU_ASSERT_TRUE (bt_wait_endpoints (stage, "entry-0", 2));
+  bt_clear_reply (&resend.reply);
+  CU_ASSERT_TRUE (bt_start_process (testbed, "entry-0"));
+  CU_ASSERT_TRUE (bt_wait_endpoints (testbed, "entry-0", 2));
 }
 
 /* Two copies of one draft race through two entries, as when a buyer's app gives up too early, and a
  * third follows when all is over. They meet at the key's home: the draft runs once, and all three
  * get its whole answer. */
 static void
-test_two_copies_race (void)
+test_concurrent_copies_run_once (void)
 {
   for (int32_t round = 0; round < 5; round++)
     {
       char key[BT_KEY_TEXT_BYTES];
       char prompt[32];
-      bt_draft_t one = { stage, "entry-0", key, prompt, 5 };
-      bt_draft_t two = { stage, "entry-1", key, prompt, 5 };
-      bt_draft_t late = { stage, "entry-0", key, prompt, 5 };
+      bt_draft_t one = { testbed, "entry-0", key, prompt, 5 };
+      bt_draft_t two = { testbed, "entry-1", key, prompt, 5 };
+      bt_draft_t late = { testbed, "entry-0", key, prompt, 5 };
 
       snprintf (prompt, sizeof prompt, "race %d", round);
-      CU_ASSERT_TRUE_FATAL (bt_take_ticket (stage, "entry-1", "small", key));
+      CU_ASSERT_TRUE_FATAL (bt_fetch_ticket (testbed, "entry-1", "small", key));
       bt_start_draft (&one);
       bt_start_draft (&two);
       bt_join_draft (&one);
       bt_join_draft (&two);
       bt_send_draft (&late);
-      CU_ASSERT_TRUE (bt_is_draft_whole (&one));
-      CU_ASSERT_TRUE (bt_is_draft_whole (&two));
-      CU_ASSERT_TRUE (bt_is_draft_whole (&late));
+      CU_ASSERT_TRUE (bt_is_draft_complete (&one));
+      CU_ASSERT_TRUE (bt_is_draft_complete (&two));
+      CU_ASSERT_TRUE (bt_is_draft_complete (&late));
       CU_ASSERT_EQUAL (bt_count_draft_runs (&one), 1);
       bt_clear_reply (&one.reply);
       bt_clear_reply (&two.reply);
@@ -98,18 +98,18 @@
 test_engine_stream_goes_silent (void)
 {
   char key[BT_KEY_TEXT_BYTES];
-  bt_draft_t draft = { stage, "entry-0", key, "silent stream", 20 };
+  bt_draft_t draft = { testbed, "entry-0", key, "silent stream", 20 };
 
   for (int32_t i = 0; i < 2; i++)
-    json_decref (bt_call_standin (stage, i == 0 ? "engine-0" : "engine-1", "/fault",
+    json_decref (bt_call_standin (testbed, i == 0 ? "engine-0" : "engine-1", "/fault",
                                   "{\"kind\":\"silent\",\"count\":1,\"after\":7}"));
-  CU_ASSERT_TRUE_FATAL (bt_take_ticket (stage, "entry-0", "small", key));
+  CU_ASSERT_TRUE_FATAL (bt_fetch_ticket (testbed, "entry-0", "small", key));
   bt_send_draft (&draft);
-  CU_ASSERT_TRUE (bt_is_draft_whole (&draft));
+  CU_ASSERT_TRUE (bt_is_draft_complete (&draft));
   CU_ASSERT_EQUAL (bt_count_draft_runs (&draft), 1);
   bt_clear_reply (&draft.reply);
   for (int32_t i = 0; i < 2; i++)
-    json_decref (bt_call_standin (stage, i == 0 ? "engine-0" : "engine-1", "/fault",
+    json_decref (bt_call_standin (testbed, i == 0 ? "engine-0" : "engine-1", "/fault",
                                   "{\"kind\":\"silent\",\"count\":0,\"after\":0}"));
 }
 
@@ -117,8 +117,8 @@
 static void
 signal_agents (int signal_number)
 {
-  CU_ASSERT_TRUE (bt_signal_process (stage, "agent-0", signal_number));
-  CU_ASSERT_TRUE (bt_signal_process (stage, "agent-1", signal_number));
+  CU_ASSERT_TRUE (bt_signal_process (testbed, "agent-0", signal_number));
+  CU_ASSERT_TRUE (bt_signal_process (testbed, "agent-1", signal_number));
 }
 
 /* The agent freezes for less than its links' limit while a hurried draft waits in its buffer. The
@@ -128,16 +128,16 @@
 test_short_freeze_at_the_deadline (void)
 {
   char key[BT_KEY_TEXT_BYTES];
-  bt_draft_t draft = { stage, "entry-0", key, "short freeze", 5, "large" };
+  bt_draft_t draft = { testbed, "entry-0", key, "short freeze", 5, "large" };
 
-  CU_ASSERT_TRUE_FATAL (bt_take_ticket (stage, "entry-0", "large", key));
+  CU_ASSERT_TRUE_FATAL (bt_fetch_ticket (testbed, "entry-0", "large", key));
   signal_agents (SIGSTOP);
   bt_send_draft (&draft);
   bt_sleep_ms (SHORT_FREEZE_MS);
   signal_agents (SIGCONT);
-  CU_ASSERT_TRUE (bt_was_draft_told (&draft, "unknown"));
-  CU_ASSERT_TRUE (bt_wait_draft_runs (&draft));
-  CU_ASSERT_TRUE (bt_is_draft_truthful (&draft));
+  CU_ASSERT_TRUE (bt_has_draft_outcome (&draft, "unknown"));
+  CU_ASSERT_TRUE (bt_wait_draft_started (&draft));
+  CU_ASSERT_TRUE (bt_is_draft_consistent (&draft));
   bt_clear_reply (&draft.reply);
 }
 
@@ -149,74 +149,74 @@
 test_agent_frozen_with_the_dispatch_in_its_buffer (void)
 {
   char key[BT_KEY_TEXT_BYTES];
-  bt_draft_t draft = { stage, "entry-0", key, "frozen agent", 5 };
-  bt_draft_t again = { stage, "entry-1", key, "frozen agent", 5 };
+  bt_draft_t draft = { testbed, "entry-0", key, "frozen agent", 5 };
+  bt_draft_t resend = { testbed, "entry-1", key, "frozen agent", 5 };
 
-  CU_ASSERT_TRUE_FATAL (bt_take_ticket (stage, "entry-0", "small", key));
+  CU_ASSERT_TRUE_FATAL (bt_fetch_ticket (testbed, "entry-0", "small", key));
   signal_agents (SIGSTOP);
   bt_send_draft (&draft);
-  CU_ASSERT_TRUE (bt_was_draft_told (&draft, "unknown"));
+  CU_ASSERT_TRUE (bt_has_draft_outcome (&draft, "unknown"));
   CU_ASSERT_EQUAL (bt_count_draft_runs (&draft), 0);
   bt_sleep_ms (BEYOND_LIMITS_MS);
   signal_agents (SIGCONT);
-  CU_ASSERT_TRUE (bt_wait_endpoints (stage, "entry-1", 2));
-  bt_send_draft (&again);
-  CU_ASSERT_TRUE (bt_is_draft_truthful (&draft));
-  CU_ASSERT_TRUE (bt_is_draft_truthful (&again));
+  CU_ASSERT_TRUE (bt_wait_endpoints (testbed, "entry-1", 2));
+  bt_send_draft (&resend);
+  CU_ASSERT_TRUE (bt_is_draft_consistent (&draft));
+  CU_ASSERT_TRUE (bt_is_draft_consistent (&resend));
   bt_clear_reply (&draft.reply);
-  bt_clear_reply (&again.reply);
-  CU_ASSERT_TRUE (bt_wait_endpoints (stage, "entry-0", 2));
+  bt_clear_reply (&resend.reply);
+  CU_ASSERT_TRUE (bt_wait_endpoints (testbed, "entry-0", 2));
 }
 
 /* The agent dies after its engine took the draft. Nothing remembers whether it ran, so the buyer is
  * told "unknown", now and on each resend; the restarted agent must not run it a second time. */
 static void
-test_agent_killed_after_the_engine_took_it (void)
+test_agent_killed_while_the_engine_runs (void)
 {
   char key[BT_KEY_TEXT_BYTES];
-  bt_draft_t draft = { stage, "entry-0", key, "agent killed", LONG_TOKENS };
-  bt_draft_t again = { stage, "entry-1", key, "agent killed", LONG_TOKENS };
+  bt_draft_t draft = { testbed, "entry-0", key, "agent killed", LONG_TOKENS };
+  bt_draft_t resend = { testbed, "entry-1", key, "agent killed", LONG_TOKENS };
 
-  CU_ASSERT_TRUE_FATAL (bt_take_ticket (stage, "entry-0", "small", key));
+  CU_ASSERT_TRUE_FATAL (bt_fetch_ticket (testbed, "entry-0", "small", key));
   bt_start_draft (&draft);
-  CU_ASSERT_TRUE (bt_wait_draft_runs (&draft));
+  CU_ASSERT_TRUE (bt_wait_draft_started (&draft));
   signal_agents (SIGKILL);
-  CU_ASSERT_TRUE (bt_start_process (stage, "agent-0"));
-  CU_ASSERT_TRUE (bt_start_process (stage, "agent-1"));
+  CU_ASSERT_TRUE (bt_start_process (testbed, "agent-0"));
+  CU_ASSERT_TRUE (bt_start_process (testbed, "agent-1"));
   bt_join_draft (&draft);
-  CU_ASSERT_TRUE (bt_was_draft_told (&draft, "unknown"));
-  CU_ASSERT_TRUE (bt_wait_endpoints (stage, "entry-1", 2));
-  bt_send_draft (&again);
-  CU_ASSERT_TRUE (bt_was_draft_told (&again, "unknown"));
-  CU_ASSERT_STRING_EQUAL (again.reply.reason, "home-restarted");
-  CU_ASSERT_EQUAL (bt_count_draft_runs (&again), 1);
+  CU_ASSERT_TRUE (bt_has_draft_outcome (&draft, "unknown"));
+  CU_ASSERT_TRUE (bt_wait_endpoints (testbed, "entry-1", 2));
+  bt_send_draft (&resend);
+  CU_ASSERT_TRUE (bt_has_draft_outcome (&resend, "unknown"));
+  CU_ASSERT_STRING_EQUAL (resend.reply.reason, "home-restarted");
+  CU_ASSERT_EQUAL (bt_count_draft_runs (&resend), 1);
   bt_clear_reply (&draft.reply);
-  bt_clear_reply (&again.reply);
-  CU_ASSERT_TRUE (bt_wait_endpoints (stage, "entry-0", 2));
+  bt_clear_reply (&resend.reply);
+  CU_ASSERT_TRUE (bt_wait_endpoints (testbed, "entry-0", 2));
 }
 
 /* Another account finds a ticket in a log and sends it. It must not get the answer to a request
  * that is not its own; it is told that the key is none of its, and the owner still gets the answer.
  */
 static void
-test_a_ticket_works_for_its_account_only (void)
+test_ticket_is_bound_to_its_account (void)
 {
   char key[BT_KEY_TEXT_BYTES];
-  bt_draft_t own = { stage, "entry-0", key, "own ticket", 5 };
-  bt_draft_t foreign = { stage, "entry-1", key, "own ticket", 5, "third" };
+  bt_draft_t own = { testbed, "entry-0", key, "own ticket", 5 };
+  bt_draft_t other = { testbed, "entry-1", key, "own ticket", 5, "third" };
 
-  CU_ASSERT_TRUE_FATAL (bt_take_ticket (stage, "entry-0", "small", key));
+  CU_ASSERT_TRUE_FATAL (bt_fetch_ticket (testbed, "entry-0", "small", key));
   bt_send_draft (&own);
-  CU_ASSERT_TRUE (bt_is_draft_whole (&own));
-  bt_send_draft (&foreign);
-  CU_ASSERT_TRUE (bt_was_draft_told (&foreign, "not-run"));
-  CU_ASSERT_STRING_EQUAL (foreign.reply.reason, "key-not-minted");
+  CU_ASSERT_TRUE (bt_is_draft_complete (&own));
+  bt_send_draft (&other);
+  CU_ASSERT_TRUE (bt_has_draft_outcome (&other, "not-run"));
+  CU_ASSERT_STRING_EQUAL (other.reply.reason, "key-not-minted");
   bt_clear_reply (&own.reply);
   bt_send_draft (&own);
-  CU_ASSERT_TRUE (bt_is_draft_whole (&own));
+  CU_ASSERT_TRUE (bt_is_draft_complete (&own));
   CU_ASSERT_EQUAL (bt_count_draft_runs (&own), 1);
   bt_clear_reply (&own.reply);
-  bt_clear_reply (&foreign.reply);
+  bt_clear_reply (&other.reply);
 }
 
 int
@@ -227,13 +227,13 @@
 
   CU_initialize_registry ();
   suite = CU_add_suite ("request faults", start_suite, end_suite);
-  CU_ADD_TEST (suite, test_entry_killed_resend_elsewhere);
-  CU_ADD_TEST (suite, test_two_copies_race);
-  CU_ADD_TEST (suite, test_a_ticket_works_for_its_account_only);
+  CU_ADD_TEST (suite, test_resend_through_another_entry);
+  CU_ADD_TEST (suite, test_concurrent_copies_run_once);
+  CU_ADD_TEST (suite, test_ticket_is_bound_to_its_account);
   CU_ADD_TEST (suite, test_engine_stream_goes_silent);
   CU_ADD_TEST (suite, test_short_freeze_at_the_deadline);
   CU_ADD_TEST (suite, test_agent_frozen_with_the_dispatch_in_its_buffer);
-  CU_ADD_TEST (suite, test_agent_killed_after_the_engine_took_it);
+  CU_ADD_TEST (suite, test_agent_killed_while_the_engine_runs);
   CU_basic_set_mode (CU_BRM_VERBOSE);
   CU_basic_run_tests ();
   failed = CU_get_number_of_failures () + CU_get_number_of_suites_failed ();
--- a/test/process/test_request_silence.c
+++ b/test/process/test_request_silence.c
@@ -9,7 +9,7 @@
 
 enum
 {
-  MOST_RESTARTS = 20,
+  MAX_RESTARTS = 20,
   STEP_US = 20000,
   LONG_TOKENS = 200, /* At 20 ms each: longer than a silent link needs to be found dead. */
   AGENT_PORT_OFFSET = 70,
@@ -21,25 +21,25 @@
     "{\"rules\":[{\"name\":\"drafts\",\"when\":{\"path\":\"/v1/completions\"},"
     "\"then\":{\"action\":\"route\",\"app\":\"drafts\",\"retries\":2}}]}";
 
-static bt_stage_t *stage;
+static bt_stage_t *testbed;
 static bt_proxy_t *proxy;
 
 static size_t
-pass_over (char *data, size_t size, size_t count, void *argument)
+discard_bytes (char *data, size_t size, size_t count, void *argument)
 {
   return size * count;
 }
 
 /* Names the hop's address as the agent's. */
 static bool
-put_list (void)
+put_proxy_address (void)
 {
   char url[URL_BYTES];
   char list[LIST_BYTES];
   CURL *easy = curl_easy_init ();
   CURLcode code;
 
-  snprintf (url, sizeof url, "http://127.0.0.1:%d/instances", stage->list_port);
+  snprintf (url, sizeof url, "http://127.0.0.1:%d/instances", testbed->instances_port);
   snprintf (list, sizeof list,
             "{\"revision\":1000000,\"instances\":[{\"instance\":\"agent-0\",\"role\":\"agent\","
             "\"endpoint\":\"endpoint-0\",\"app\":\"drafts\",\"address\":\"127.0.0.1:%d\","
@@ -50,7 +50,7 @@
   curl_easy_setopt (easy, CURLOPT_NOSIGNAL, 1L);
   curl_easy_setopt (easy, CURLOPT_POSTFIELDS, list);
   curl_easy_setopt (easy, CURLOPT_CUSTOMREQUEST, "PUT");
-  curl_easy_setopt (easy, CURLOPT_WRITEFUNCTION, pass_over);
+  curl_easy_setopt (easy, CURLOPT_WRITEFUNCTION, discard_bytes);
   code = curl_easy_perform (easy);
   curl_easy_cleanup (easy);
   return code == CURLE_OK;
@@ -59,15 +59,15 @@
 static bool
 has_no_endpoint (void *argument)
 {
-  return bt_is_entry_ready (stage, "entry-0", 0);
+  return bt_is_entry_ready (testbed, "entry-0", 0);
 }
 
 /* Restarts the agent; true when the entry has dialled it through the hop. */
 static bool
 restart_agent (void)
 {
-  return bt_signal_process (stage, "agent-0", SIGKILL) && bt_wait_until (has_no_endpoint, NULL)
-         && bt_start_process (stage, "agent-0") && bt_wait_endpoints (stage, "entry-0", 1)
+  return bt_signal_process (testbed, "agent-0", SIGKILL) && bt_wait_until (has_no_endpoint, NULL)
+         && bt_start_process (testbed, "agent-0") && bt_wait_endpoints (testbed, "entry-0", 1)
          && bt_count_proxy_connections (proxy) > 0;
 }
 
@@ -76,19 +76,19 @@
 static int
 start_suite (void)
 {
-  bool carried = false;
+  bool through_proxy = false;
 
-  stage = bt_new_stage (1, 1, 0, STEP_US, rules);
-  if (stage == NULL)
+  testbed = bt_new_stage (1, 1, 0, STEP_US, rules);
+  if (testbed == NULL)
     return 1;
-  proxy = bt_new_proxy (stage->base_port + AGENT_PORT_OFFSET);
-  if (proxy != NULL && put_list ())
-    for (int32_t i = 0; i < MOST_RESTARTS && !carried; i++)
-      carried = restart_agent ();
-  if (carried)
+  proxy = bt_new_proxy (testbed->base_port + AGENT_PORT_OFFSET);
+  if (proxy != NULL && put_proxy_address ())
+    for (int32_t i = 0; i < MAX_RESTARTS && !through_proxy; i++)
+      through_proxy = restart_agent ();
+  if (through_proxy)
     return 0;
   fprintf (stderr, "the stage has no hop\n");
-  bt_drop_stage (stage, true);
+  bt_drop_stage (testbed, true);
   return 1;
 }
 
@@ -96,7 +96,7 @@
 end_suite (void)
 {
   bt_drop_proxy (proxy);
-  bt_drop_stage (stage, CU_get_number_of_failures () > 0);
+  bt_drop_stage (testbed, CU_get_number_of_failures () > 0);
   return 0;
 }
 
@@ -104,18 +104,18 @@
  * it open and nothing passes. New connections work. The entry finds the silence, dials again and
  * asks the same run for the rest; the buyer gets one whole answer of one run. */
 static void
-test_link_goes_silent_under_an_answer (void)
+test_link_goes_silent_during_an_answer (void)
 {
   char key[BT_KEY_TEXT_BYTES];
-  bt_draft_t draft = { stage, "entry-0", key, "silent link", LONG_TOKENS };
+  bt_draft_t draft = { testbed, "entry-0", key, "silent link", LONG_TOKENS };
   int32_t connections = bt_count_proxy_connections (proxy);
 
-  CU_ASSERT_TRUE_FATAL (bt_take_ticket (stage, "entry-0", "small", key));
+  CU_ASSERT_TRUE_FATAL (bt_fetch_ticket (testbed, "entry-0", "small", key));
   bt_start_draft (&draft);
-  CU_ASSERT_TRUE (bt_wait_draft_runs (&draft));
+  CU_ASSERT_TRUE (bt_wait_draft_started (&draft));
   bt_silence_proxy (proxy);
   bt_join_draft (&draft);
-  CU_ASSERT_TRUE (bt_is_draft_whole (&draft));
+  CU_ASSERT_TRUE (bt_is_draft_complete (&draft));
   CU_ASSERT_EQUAL (bt_count_draft_runs (&draft), 1);
   CU_ASSERT_TRUE (bt_count_proxy_connections (proxy) > connections);
   bt_clear_reply (&draft.reply);
@@ -126,11 +126,11 @@
 static void
 test_link_goes_silent_without_a_key (void)
 {
-  bt_draft_t draft = { stage, "entry-0", NULL, "silent, no key", LONG_TOKENS };
+  bt_draft_t draft = { testbed, "entry-0", NULL, "silent, no key", LONG_TOKENS };
 
-  CU_ASSERT_TRUE (bt_wait_endpoints (stage, "entry-0", 1));
+  CU_ASSERT_TRUE (bt_wait_endpoints (testbed, "entry-0", 1));
   bt_start_draft (&draft);
-  CU_ASSERT_TRUE (bt_wait_draft_runs (&draft));
+  CU_ASSERT_TRUE (bt_wait_draft_started (&draft));
   bt_silence_proxy (proxy);
   bt_join_draft (&draft);
   /* A silence before the first piece leaves nothing to cut: then the answer is whole and says that
@@ -143,17 +143,17 @@
 /* Every frame between entry and agent arrives twice: the dispatch, its acceptance, the pieces and
  * the end of the answer. The draft runs once, and no piece is given to the buyer twice. */
 static void
-test_each_frame_arrives_twice (void)
+test_duplicate_frames_are_ignored (void)
 {
   char key[BT_KEY_TEXT_BYTES];
-  bt_draft_t draft = { stage, "entry-0", key, "doubled frames", 20 };
+  bt_draft_t draft = { testbed, "entry-0", key, "doubled frames", 20 };
 
-  CU_ASSERT_TRUE (bt_wait_endpoints (stage, "entry-0", 1));
-  CU_ASSERT_TRUE_FATAL (bt_take_ticket (stage, "entry-0", "small", key));
-  bt_double_proxy (proxy, true);
+  CU_ASSERT_TRUE (bt_wait_endpoints (testbed, "entry-0", 1));
+  CU_ASSERT_TRUE_FATAL (bt_fetch_ticket (testbed, "entry-0", "small", key));
+  bt_duplicate_proxy_frames (proxy, true);
   bt_send_draft (&draft);
-  bt_double_proxy (proxy, false);
-  CU_ASSERT_TRUE (bt_is_draft_whole (&draft));
+  bt_duplicate_proxy_frames (proxy, false);
+  CU_ASSERT_TRUE (bt_is_draft_complete (&draft));
   CU_ASSERT_EQUAL (bt_count_draft_runs (&draft), 1);
   bt_clear_reply (&draft.reply);
 }
@@ -166,8 +166,8 @@
 
   CU_initialize_registry ();
   suite = CU_add_suite ("request silence", start_suite, end_suite);
-  CU_ADD_TEST (suite, test_each_frame_arrives_twice);
-  CU_ADD_TEST (suite, test_link_goes_silent_under_an_answer);
+  CU_ADD_TEST (suite, test_duplicate_frames_are_ignored);
+  CU_ADD_TEST (suite, test_link_goes_silent_during_an_answer);
   CU_ADD_TEST (suite, test_link_goes_silent_without_a_key);
   CU_basic_set_mode (CU_BRM_VERBOSE);
   CU_basic_run_tests ();
