--- a/test/process/test_request_stops.c
+++ b/test/process/test_request_stops.c
@@ -13,9 +13,9 @@
   STEP_US = 20000,
   LONG_TOKENS = 60,
   CALLERS = 12,
-  LEAVING_LIMIT_MS = 2000, /* After this a leaving endpoint gets no new work. */
+  DRAIN_ACCEPT_MS = 2000, /* After this a leaving endpoint gets no new work. */
   SHORT_TOKENS = 5,
-  MOST_LATE = 600, /* Drafts of 0.1 s that a stop has room for, many times over. */
+  MAX_LATE_DRAFTS = 600, /* Drafts of 0.1 s that a stop has room for, many times over. */
 };
 
 static const char *const rules =
@@ -25,66 +25,66 @@
 static const char *const entry_arguments[] = { "--ticket-life-ms", "3000", NULL };
 static const char *const agent_arguments[] = { "--ticket-life-ms", "3000", NULL };
 
-static bt_stage_t *stage;
+static bt_stage_t *testbed;
 
 static int
 start_suite (void)
 {
   bt_set_stage_arguments (entry_arguments, agent_arguments);
-  stage = bt_new_stage (2, 2, 0, STEP_US, rules);
-  return stage == NULL ? 1 : 0;
+  testbed = bt_new_stage (2, 2, 0, STEP_US, rules);
+  return testbed == NULL ? 1 : 0;
 }
 
 static int
 end_suite (void)
 {
-  bt_drop_stage (stage, CU_get_number_of_failures () > 0);
+  bt_drop_stage (testbed, CU_get_number_of_failures () > 0);
   return 0;
 }
 
 /* Drafts of several callers, each with a key of its own. */
-typedef struct crowd
+typedef struct draft_batch
 {
   bt_draft_t drafts[CALLERS];
   char keys[CALLERS][BT_KEY_TEXT_BYTES];
   char prompts[CALLERS][32];
-} crowd_t;
+} draft_batch_t;
 
 static void
-start_crowd (crowd_t *crowd, const char *entry, const char *name)
+start_batch (draft_batch_t *batch, const char *entry, const char *name)
 {
-  memset (crowd, 0, sizeof *crowd);
+  memset (batch, 0, sizeof *batch);
   for (int32_t i = 0; i < CALLERS; i++)
     {
-      bt_draft_t *draft = &crowd->drafts[i];
+      bt_draft_t *draft = &batch->drafts[i];
 
-      CU_ASSERT_TRUE (bt_take_ticket (stage, entry, "small", crowd->keys[i]));
-      snprintf (crowd->prompts[i], sizeof crowd->prompts[i], "%s %d", name, i);
-      draft->stage = stage;
+      CU_ASSERT_TRUE (bt_fetch_ticket (testbed, entry, "small", batch->keys[i]));
+      snprintf (batch->prompts[i], sizeof batch->prompts[i], "%s %d", name, i);
+      draft->testbed = testbed;
       draft->entry = entry;
-      draft->key = crowd->keys[i];
-      draft->prompt = crowd->prompts[i];
+      draft->key = batch->keys[i];
+      draft->prompt = batch->prompts[i];
       draft->tokens = LONG_TOKENS;
       bt_start_draft (draft);
     }
 }
 
 static void
-check_crowd_whole (crowd_t *crowd)
+check_batch_complete (draft_batch_t *batch)
 {
   for (int32_t i = 0; i < CALLERS; i++)
     {
-      bt_join_draft (&crowd->drafts[i]);
-      CU_ASSERT_TRUE (bt_is_draft_whole (&crowd->drafts[i]));
-      CU_ASSERT_TRUE (bt_is_draft_truthful (&crowd->drafts[i]));
-      bt_clear_reply (&crowd->drafts[i].reply);
+      bt_join_draft (&batch->drafts[i]);
+      CU_ASSERT_TRUE (bt_is_draft_complete (&batch->drafts[i]));
+      CU_ASSERT_TRUE (bt_is_draft_consistent (&batch->drafts[i]));
+      bt_clear_reply (&batch->drafts[i].reply);
     }
 }
 
 static int64_t
 count_started (const char *engine)
 {
-  json_t *load = bt_call_standin (stage, engine, "/load", NULL);
+  json_t *load = bt_call_standin (testbed, engine, "/load", NULL);
   int64_t started = json_integer_value (json_object_get (load, "started"));
 
   json_decref (load);
@@ -102,7 +102,7 @@
 
   for (int32_t i = 0; i < 2; i++)
     {
-      json_t *log = bt_call_standin (stage, engines[i], "/v1/runs", NULL);
+      json_t *log = bt_call_standin (testbed, engines[i], "/v1/runs", NULL);
 
       json_array_foreach (json_object_get (log, "runs"), index, run)
       {
@@ -129,77 +129,77 @@
 }
 
 static void
-test_client_goes_away (void)
+test_caller_disconnects (void)
 {
   char key[BT_KEY_TEXT_BYTES];
-  bt_draft_t unkeyed = { stage, "entry-0", NULL, "gone without key", LONG_TOKENS };
-  bt_draft_t keyed = { stage, "entry-0", key, "gone with key", LONG_TOKENS };
-  bt_draft_t again = { stage, "entry-1", key, "gone with key", LONG_TOKENS };
+  bt_draft_t unkeyed = { testbed, "entry-0", NULL, "gone without key", LONG_TOKENS };
+  bt_draft_t keyed = { testbed, "entry-0", key, "gone with key", LONG_TOKENS };
+  bt_draft_t resend = { testbed, "entry-1", key, "gone with key", LONG_TOKENS };
 
-  unkeyed.patience_ms = keyed.patience_ms = 300;
-  CU_ASSERT_TRUE_FATAL (bt_take_ticket (stage, "entry-0", "small", key));
+  unkeyed.disconnect_after_ms = keyed.disconnect_after_ms = 300;
+  CU_ASSERT_TRUE_FATAL (bt_fetch_ticket (testbed, "entry-0", "small", key));
   bt_send_draft (&unkeyed);
   bt_send_draft (&keyed);
   CU_ASSERT_NOT_EQUAL (unkeyed.reply.curl_code, 0);
   CU_ASSERT_NOT_EQUAL (keyed.reply.curl_code, 0);
   CU_ASSERT_TRUE (bt_wait_until (is_cancelled, (void *)unkeyed.prompt));
-  bt_send_draft (&again);
-  CU_ASSERT_TRUE (bt_is_draft_whole (&again));
-  CU_ASSERT_EQUAL (bt_count_draft_runs (&again), 1);
+  bt_send_draft (&resend);
+  CU_ASSERT_TRUE (bt_is_draft_complete (&resend));
+  CU_ASSERT_EQUAL (bt_count_draft_runs (&resend), 1);
   bt_clear_reply (&unkeyed.reply);
   bt_clear_reply (&keyed.reply);
-  bt_clear_reply (&again.reply);
+  bt_clear_reply (&resend.reply);
 }
 
 /* A resend meets an entry that does not know its token, or was just started and knows no rules yet,
  * while the first copy runs. That entry looked into nothing, so it must not say "not run". */
 static void
-test_unread_resend_is_not_called_not_run (void)
+test_unauthenticated_resend_is_unknown (void)
 {
   char key[BT_KEY_TEXT_BYTES];
-  bt_draft_t draft = { stage, "entry-0", key, "unread resend", LONG_TOKENS };
-  bt_draft_t again = { stage, "entry-1", key, "unread resend", LONG_TOKENS, "nobody" };
+  bt_draft_t draft = { testbed, "entry-0", key, "unread resend", LONG_TOKENS };
+  bt_draft_t resend = { testbed, "entry-1", key, "unread resend", LONG_TOKENS, "nobody" };
 
-  CU_ASSERT_TRUE_FATAL (bt_take_ticket (stage, "entry-0", "small", key));
+  CU_ASSERT_TRUE_FATAL (bt_fetch_ticket (testbed, "entry-0", "small", key));
   bt_start_draft (&draft);
-  CU_ASSERT_TRUE (bt_wait_draft_runs (&draft));
-  bt_send_draft (&again);
-  CU_ASSERT_STRING_EQUAL (again.reply.reason, "bad-token");
-  CU_ASSERT_STRING_EQUAL (again.reply.outcome, "unknown");
+  CU_ASSERT_TRUE (bt_wait_draft_started (&draft));
+  bt_send_draft (&resend);
+  CU_ASSERT_STRING_EQUAL (resend.reply.reason, "bad-token");
+  CU_ASSERT_STRING_EQUAL (resend.reply.outcome, "unknown");
   bt_join_draft (&draft);
-  CU_ASSERT_TRUE (bt_is_draft_whole (&draft));
+  CU_ASSERT_TRUE (bt_is_draft_complete (&draft));
   bt_clear_reply (&draft.reply);
-  bt_clear_reply (&again.reply);
+  bt_clear_reply (&resend.reply);
 }
 
 /* An endpoint's agent is told to leave while twelve drafts stream. None is cut; drafts with tickets
  * of that very agent go to the other endpoint; after two seconds it starts nothing more; and it
  * stays until its tickets have expired, then exits by itself. */
 static void
-test_endpoint_leaves_under_load (void)
+test_endpoint_drains_under_load (void)
 {
-  static crowd_t before;
-  static crowd_t after;
+  static draft_batch_t before;
+  static draft_batch_t after;
   int64_t started;
   int32_t code = -1;
 
-  start_crowd (&before, "entry-0", "before leaving");
+  start_batch (&before, "entry-0", "before leaving");
   for (int32_t i = 0; i < CALLERS; i++)
-    CU_ASSERT_TRUE (bt_wait_draft_runs (&before.drafts[i]));
-  CU_ASSERT_TRUE (bt_signal_process (stage, "agent-0", SIGTERM));
-  start_crowd (&after, "entry-1", "after leaving");
-  check_crowd_whole (&before);
-  check_crowd_whole (&after);
-  bt_sleep_ms (LEAVING_LIMIT_MS);
+    CU_ASSERT_TRUE (bt_wait_draft_started (&before.drafts[i]));
+  CU_ASSERT_TRUE (bt_signal_process (testbed, "agent-0", SIGTERM));
+  start_batch (&after, "entry-1", "after leaving");
+  check_batch_complete (&before);
+  check_batch_complete (&after);
+  bt_sleep_ms (DRAIN_ACCEPT_MS);
   started = count_started ("engine-0");
-  start_crowd (&after, "entry-0", "long after leaving");
-  check_crowd_whole (&after);
+  start_batch (&after, "entry-0", "long after leaving");
+  check_batch_complete (&after);
   CU_ASSERT_EQUAL (count_started ("engine-0"), started);
-  CU_ASSERT_TRUE (bt_wait_process (stage, "agent-0", &code));
+  CU_ASSERT_TRUE (bt_wait_process (testbed, "agent-0", &code));
   CU_ASSERT_EQUAL (code, 0);
-  CU_ASSERT_TRUE (bt_start_process (stage, "agent-0"));
-  CU_ASSERT_TRUE (bt_wait_endpoints (stage, "entry-0", 2));
-  CU_ASSERT_TRUE (bt_wait_endpoints (stage, "entry-1", 2));
+  CU_ASSERT_TRUE (bt_start_process (testbed, "agent-0"));
+  CU_ASSERT_TRUE (bt_wait_endpoints (testbed, "entry-0", 2));
+  CU_ASSERT_TRUE (bt_wait_endpoints (testbed, "entry-1", 2));
 }
 
 /* An entry is told to stop while twelve drafts stream through it. None is cut, a caller that still
@@ -207,18 +207,18 @@
 static void
 test_entry_stops_under_load (void)
 {
-  static crowd_t crowd;
-  bt_draft_t late = { stage, "entry-1", NULL, "old address", 5 };
+  static draft_batch_t batch;
+  bt_draft_t late = { testbed, "entry-1", NULL, "old address", 5 };
   int32_t code = -1;
 
-  start_crowd (&crowd, "entry-1", "entry stops");
+  start_batch (&batch, "entry-1", "entry stops");
   for (int32_t i = 0; i < CALLERS; i++)
-    CU_ASSERT_TRUE (bt_wait_draft_runs (&crowd.drafts[i]));
-  CU_ASSERT_TRUE (bt_signal_process (stage, "entry-1", SIGTERM));
+    CU_ASSERT_TRUE (bt_wait_draft_started (&batch.drafts[i]));
+  CU_ASSERT_TRUE (bt_signal_process (testbed, "entry-1", SIGTERM));
   bt_send_draft (&late);
-  CU_ASSERT_TRUE (bt_is_draft_whole (&late));
-  check_crowd_whole (&crowd);
-  CU_ASSERT_TRUE (bt_wait_process (stage, "entry-1", &code));
+  CU_ASSERT_TRUE (bt_is_draft_complete (&late));
+  check_batch_complete (&batch);
+  CU_ASSERT_TRUE (bt_wait_process (testbed, "entry-1", &code));
   CU_ASSERT_EQUAL (code, 0);
   bt_clear_reply (&late.reply);
 }
@@ -233,9 +233,9 @@
   int32_t accepted = -1;
   FILE *log = NULL;
 
-  for (int32_t i = 0; i < stage->process_count; i++)
-    if (strcmp (stage->processes[i].name, entry) == 0)
-      log = fopen (stage->processes[i].log_path, "r");
+  for (int32_t i = 0; i < testbed->process_count; i++)
+    if (strcmp (testbed->processes[i].name, entry) == 0)
+      log = fopen (testbed->processes[i].log_path, "r");
   while (log != NULL && fgets (line, sizeof line, log) != NULL)
     if (strstr (line, wanted) != NULL)
       accepted = (int32_t)strtol (strstr (line, wanted) + strlen (wanted), NULL, 10);
@@ -250,13 +250,13 @@
 send_late_draft (int32_t number, int32_t *lost)
 {
   char prompt[32];
-  bt_draft_t draft = { stage, "entry-1", NULL, prompt, SHORT_TOKENS };
+  bt_draft_t draft = { testbed, "entry-1", NULL, prompt, SHORT_TOKENS };
   bool connected;
 
   snprintf (prompt, sizeof prompt, "late %d", number);
   bt_send_draft (&draft);
   connected = draft.reply.curl_code != CURLE_COULDNT_CONNECT;
-  if (connected && !bt_is_draft_whole (&draft) && !bt_was_draft_told (&draft, "not-run"))
+  if (connected && !bt_is_draft_complete (&draft) && !bt_has_draft_outcome (&draft, "not-run"))
     {
       fprintf (stderr, "\"%s\" was lost: curl %d, status %d, %s\n", prompt, draft.reply.curl_code,
                draft.reply.status, draft.reply.outcome);
@@ -270,21 +270,21 @@
  * only a part of it: the entry had found nothing under way and had begun to take itself apart with
  * its callers' port still open, and cut what had come since. */
 static void
-test_entry_ends_between_callers (void)
+test_stopping_entry_loses_no_request (void)
 {
   int32_t code = -1;
   int32_t lost = 0;
   int32_t sent = 0;
   int32_t others;
 
-  CU_ASSERT_TRUE (bt_start_process (stage, "entry-1"));
-  CU_ASSERT_TRUE (bt_wait_endpoints (stage, "entry-1", 2));
-  others = (int32_t)bt_read_stage_counter (stage, "entry-1", "bilberry_connections_total");
-  CU_ASSERT_TRUE (bt_signal_process (stage, "entry-1", SIGTERM));
-  while (sent < MOST_LATE && send_late_draft (sent, &lost))
+  CU_ASSERT_TRUE (bt_start_process (testbed, "entry-1"));
+  CU_ASSERT_TRUE (bt_wait_endpoints (testbed, "entry-1", 2));
+  others = (int32_t)bt_read_testbed_counter (testbed, "entry-1", "bilberry_connections_total");
+  CU_ASSERT_TRUE (bt_signal_process (testbed, "entry-1", SIGTERM));
+  while (sent < MAX_LATE_DRAFTS && send_late_draft (sent, &lost))
     sent++;
-  CU_ASSERT (sent > 0 && sent < MOST_LATE);
-  CU_ASSERT_TRUE (bt_wait_process (stage, "entry-1", &code));
+  CU_ASSERT (sent > 0 && sent < MAX_LATE_DRAFTS);
+  CU_ASSERT_TRUE (bt_wait_process (testbed, "entry-1", &code));
   CU_ASSERT_EQUAL (code, 0);
   /* A connection that the kernel made in the moment in which the port was closed, and that the
    * process never had, was not let in. */
@@ -299,11 +299,11 @@
 
   CU_initialize_registry ();
   suite = CU_add_suite ("request stops", start_suite, end_suite);
-  CU_ADD_TEST (suite, test_client_goes_away);
-  CU_ADD_TEST (suite, test_unread_resend_is_not_called_not_run);
-  CU_ADD_TEST (suite, test_endpoint_leaves_under_load);
+  CU_ADD_TEST (suite, test_caller_disconnects);
+  CU_ADD_TEST (suite, test_unauthenticated_resend_is_unknown);
+  CU_ADD_TEST (suite, test_endpoint_drains_under_load);
   CU_ADD_TEST (suite, test_entry_stops_under_load);
-  CU_ADD_TEST (suite, test_entry_ends_between_callers);
+  CU_ADD_TEST (suite, test_stopping_entry_loses_no_request);
   CU_basic_set_mode (CU_BRM_VERBOSE);
   CU_basic_run_tests ();
   failed = CU_get_number_of_failures () + CU_get_number_of_suites_failed ();
--- a/test/process/test_request_subset.c
+++ b/test/process/test_request_subset.c
@@ -15,19 +15,19 @@
     "{\"rules\":[{\"name\":\"drafts\",\"when\":{\"path\":\"/v1/completions\"},"
     "\"then\":{\"action\":\"route\",\"app\":\"drafts\"}}]}";
 
-static bt_stage_t *stage;
+static bt_stage_t *testbed;
 
 static int
 start_suite (void)
 {
-  stage = bt_new_stage (ENTRIES, ENGINES, 0, STEP_US, rules);
-  return stage == NULL ? 1 : 0;
+  testbed = bt_new_stage (ENTRIES, ENGINES, 0, STEP_US, rules);
+  return testbed == NULL ? 1 : 0;
 }
 
 static int
 end_suite (void)
 {
-  bt_drop_stage (stage, CU_get_number_of_failures () > 0);
+  bt_drop_stage (testbed, CU_get_number_of_failures () > 0);
   return 0;
 }
 
@@ -35,7 +35,7 @@
  * in turn, with one key. The entry that has no link to the key's home dials it for this call: every
  * copy gets the one whole answer. Without that it could only say that the home can't be reached. */
 static void
-test_any_entry_reaches_the_home (void)
+test_any_entry_reaches_the_home_agent (void)
 {
   int64_t unlinked = 0;
 
@@ -44,7 +44,7 @@
       char name[NAME_BYTES];
 
       snprintf (name, sizeof name, "entry-%d", i);
-      unlinked += ENGINES - bt_read_stage_counter (stage, name, "bilberry_endpoints_up");
+      unlinked += ENGINES - bt_read_testbed_counter (testbed, name, "bilberry_endpoints_up");
     }
   CU_ASSERT_TRUE (unlinked > 0);
   for (int32_t round = 0; round < ENGINES; round++)
@@ -53,15 +53,15 @@
       char prompt[NAME_BYTES];
 
       snprintf (prompt, sizeof prompt, "subset %d", round);
-      CU_ASSERT_TRUE_FATAL (bt_take_ticket (stage, "entry-0", "small", key));
+      CU_ASSERT_TRUE_FATAL (bt_fetch_ticket (testbed, "entry-0", "small", key));
       for (int32_t i = 0; i < ENTRIES; i++)
         {
           char name[NAME_BYTES];
-          bt_draft_t draft = { stage, name, key, prompt, 3 };
+          bt_draft_t draft = { testbed, name, key, prompt, 3 };
 
           snprintf (name, sizeof name, "entry-%d", i);
           bt_send_draft (&draft);
-          CU_ASSERT_TRUE (bt_is_draft_whole (&draft));
+          CU_ASSERT_TRUE (bt_is_draft_complete (&draft));
           CU_ASSERT_EQUAL (bt_count_draft_runs (&draft), 1);
           bt_clear_reply (&draft.reply);
         }
@@ -76,7 +76,7 @@
 
   CU_initialize_registry ();
   suite = CU_add_suite ("request subset", start_suite, end_suite);
-  CU_ADD_TEST (suite, test_any_entry_reaches_the_home);
+  CU_ADD_TEST (suite, test_any_entry_reaches_the_home_agent);
   CU_basic_set_mode (CU_BRM_VERBOSE);
   CU_basic_run_tests ();
   failed = CU_get_number_of_failures () + CU_get_number_of_suites_failed ();
--- a/test/process/test_side_page.c
+++ b/test/process/test_side_page.c
@@ -26,7 +26,7 @@
   PORT_SPAN = 1000,
   TEXT_BYTES = 128,
   URL_BYTES = 256,
-  BEAT_MS = 100,
+  HEARTBEAT_MS = 100,
   IDLE_MS = 5000,
   FRAME_BYTES = 65536,
   UNSENT_BYTES = 1 << 20,
@@ -40,7 +40,7 @@
 typedef struct leader
 {
   bt_link_handler_t handler; /* first */
-  atomic_int ups;
+  atomic_int links_up;
   atomic_int reports;
   atomic_int results;
 } leader_t;
@@ -75,18 +75,18 @@
 static void
 on_up (bt_link_handler_t *handler, bt_link_t *link)
 {
-  atomic_fetch_add (&((leader_t *)handler)->ups, 1);
+  atomic_fetch_add (&((leader_t *)handler)->links_up, 1);
 }
 
 static void
 on_frame (bt_link_handler_t *handler, bt_link_t *link, const bt_frame_t *frame)
 {
-  leader_t *row = (leader_t *)handler;
+  leader_t *entry = (leader_t *)handler;
 
   if (frame->body_case == BILBERRY__FRAME__BODY_ENGINE_REPORT)
-    atomic_fetch_add (&row->reports, 1);
+    atomic_fetch_add (&entry->reports, 1);
   if (frame->body_case == BILBERRY__FRAME__BODY_ENGINE_RESULT)
-    atomic_fetch_add (&row->results, 1);
+    atomic_fetch_add (&entry->results, 1);
 }
 
 static void
@@ -95,17 +95,18 @@
 }
 
 static void
-on_beat (bt_link_handler_t *handler, bt_link_t *link)
+on_heartbeat_due (bt_link_handler_t *handler, bt_link_t *link)
 {
-  Bilberry__Heartbeat beat = BILBERRY__HEARTBEAT__INIT;
+  Bilberry__Heartbeat heartbeat = BILBERRY__HEARTBEAT__INIT;
   bt_frame_t frame = BILBERRY__FRAME__INIT;
 
   frame.body_case = BILBERRY__FRAME__BODY_HEARTBEAT;
-  frame.heartbeat = &beat;
+  frame.heartbeat = &heartbeat;
   bt_send_frame (ctx, link, &frame);
 }
 
-static const bt_link_handler_vtable_t leader_vtable = { on_up, on_frame, on_down, on_beat };
+static const bt_link_handler_vtable_t leader_vtable = { on_up, on_frame, on_down,
+                                                        on_heartbeat_due };
 
 /* A port below those that the system gives to connections. */
 static int32_t
@@ -150,7 +151,7 @@
             (int)bt_get_standin_port (engine));
   snprintf (page, sizeof page, "--page=127.0.0.1:%d", page_port);
   snprintf (secret_flag, sizeof secret_flag, "--secret=%s", secret);
-  bt_set_program_output (agent_log.out);
+  bt_set_program_output (agent_log.write_fd);
   agent = fork ();
   if (agent == 0)
     bt_exec_program (program, list, "");
@@ -163,7 +164,7 @@
   const char *address = argument;
   bt_error_t error = { 0 };
 
-  if (atomic_load (&leader.ups) > 0)
+  if (atomic_load (&leader.links_up) > 0)
     return true;
   if (link_to_agent != NULL && !bt_is_link_closed (link_to_agent))
     return false;
@@ -183,7 +184,7 @@
     .failure_domain = "a",
     .address = "",
     .secret = secret,
-    .beat_ms = BEAT_MS,
+    .beat_ms = HEARTBEAT_MS,
     .idle_ms = IDLE_MS,
     .opening_ms = IDLE_MS,
     .max_frame_bytes = FRAME_BYTES,
@@ -224,7 +225,7 @@
 }
 
 static void
-give_order (bt_group_order_kind_t kind, uint64_t fence)
+send_order (bt_group_order_kind_t kind, uint64_t fence)
 {
   bt_group_order_t order = { .kind = kind, .id = ++last_order, .fence = fence, .step = 9 };
   Bilberry__EngineOrder message = BILBERRY__ENGINE_ORDER__INIT;
@@ -237,7 +238,7 @@
 }
 
 static bool
-have_all_results (void *argument)
+has_all_results (void *argument)
 {
   return atomic_load (&leader.results) >= (int32_t)last_order;
 }
@@ -291,15 +292,15 @@
  * what. The page of each agent says how long its engine took for a report and for each kind of
  * order, what it answered, and how old a report was when it left. */
 static void
-test_page_tells_of_each_step (void)
+test_metrics_cover_each_step (void)
 {
   CU_ASSERT_TRUE (bt_wait_until (has_report, NULL));
-  give_order (BT_GROUP_HOLD, 7);
-  give_order (BT_GROUP_HOLD, 7);
-  give_order (BT_GROUP_ARM, 7);
-  give_order (BT_GROUP_GO, 7);
-  give_order (BT_GROUP_DISARM, 6);
-  CU_ASSERT_TRUE (bt_wait_until (have_all_results, NULL));
+  send_order (BT_GROUP_HOLD, 7);
+  send_order (BT_GROUP_HOLD, 7);
+  send_order (BT_GROUP_ARM, 7);
+  send_order (BT_GROUP_GO, 7);
+  send_order (BT_GROUP_DISARM, 6);
+  CU_ASSERT_TRUE (bt_wait_until (has_all_results, NULL));
   check_page ();
   CU_ASSERT_EQUAL (read_value ("bilberry_engine_orders_total{order=\"hold\",answer=\"done\"} "), 2);
   CU_ASSERT_EQUAL (read_value ("bilberry_engine_orders_total{order=\"arm\",answer=\"fenced\"} "),
@@ -319,27 +320,27 @@
 /* Whoever reads the agent's log stops, and a leader gives many orders. Each is carried out and
  * answered; the page says how many lines were lost, and so does the log when it is read again. */
 static void
-test_stopped_reader_harms_no_order (void)
+test_stalled_log_reader_affects_no_order (void)
 {
   const char *lost = "bilberry_log_lines_lost_total{cause=\"reader\"} ";
 
   read_log_pipe (&agent_log);
   for (int32_t i = 0; i < MANY_ORDERS; i++)
-    give_order (BT_GROUP_HOLD, 8);
-  CU_ASSERT_TRUE (bt_wait_until (have_all_results, NULL));
+    send_order (BT_GROUP_HOLD, 8);
+  CU_ASSERT_TRUE (bt_wait_until (has_all_results, NULL));
   CU_ASSERT (read_value (lost) > 0);
   read_log_pipe (&agent_log);
   /* The budget may be used up: it lets a line through again within this time. */
-  bt_sleep_ms (BEAT_MS);
-  give_order (BT_GROUP_HOLD, 8);
-  CU_ASSERT_TRUE (bt_wait_until (have_all_results, NULL));
+  bt_sleep_ms (HEARTBEAT_MS);
+  send_order (BT_GROUP_HOLD, 8);
+  CU_ASSERT_TRUE (bt_wait_until (has_all_results, NULL));
   read_log_pipe (&agent_log);
   CU_ASSERT_EQUAL (sum_log_pipe (&agent_log, "log-left-out", "reader", "lines"), read_value (lost));
 }
 
 /* SIGTERM ends an agent whose log nobody reads. */
 static void
-test_stop (void)
+test_stalled_log_reader_delays_no_stop (void)
 {
   int status = 0;
 
@@ -357,9 +358,9 @@
 
   CU_initialize_registry ();
   suite = CU_add_suite ("side", start_suite, end_suite);
-  CU_ADD_TEST (suite, test_page_tells_of_each_step);
-  CU_ADD_TEST (suite, test_stopped_reader_harms_no_order);
-  CU_ADD_TEST (suite, test_stop);
+  CU_ADD_TEST (suite, test_metrics_cover_each_step);
+  CU_ADD_TEST (suite, test_stalled_log_reader_affects_no_order);
+  CU_ADD_TEST (suite, test_stalled_log_reader_delays_no_stop);
   CU_basic_set_mode (CU_BRM_VERBOSE);
   CU_basic_run_tests ();
   failures = CU_get_number_of_failures ();
