--- a/test/process/harness.c
+++ b/test/process/harness.c
@@ -49,7 +49,7 @@
 static int32_t standin_step_us;
 static int program_output = -1;
 
-/** Arguments of a program that is to be started. */
+/** Command line of a program. */
 typedef struct arguments
 {
   char texts[MAX_ARGUMENTS][ARGUMENT_BYTES];
@@ -225,8 +225,8 @@
   program_output = fd;
 }
 
-/* In the child. A test that is killed at its time limit would leave its processes behind, with
- * their ports: so they end with it. */
+/* Runs in the child. The program is killed together with the test: a test that is killed at its
+ * time limit would otherwise leave its processes behind, which hold their ports. */
 void
 bt_exec_program (const char *program, char **list, const char *log_path)
 {
@@ -514,7 +514,7 @@
   return put && put_document (testbed, "rules", rules_json);
 }
 
-/** Which address to wait for. */
+/** The process and the page to wait for. */
 typedef struct page_wait
 {
   const bt_stage_t *testbed;
@@ -544,7 +544,8 @@
 {
   const page_wait_t *wait = argument;
 
-  /* Above this many entries each is linked to a part of the agents. */
+  /* An agent has links to at most this many entries: with more of them, each entry has links to
+   * only some of the agents. */
   if (wait->testbed->entries > MAX_ENTRIES_PER_AGENT)
     return bt_read_testbed_counter (wait->testbed, wait->name, "bilberry_admitting") == 1;
   return bt_is_entry_ready (wait->testbed, wait->name,
@@ -606,7 +607,8 @@
   return -1;
 }
 
-/* Tests of several work trees may run at the same time: each holds the first port of its range. */
+/* Reserves a range of ports by listening on its first port, since tests of several work trees may
+ * run at the same time. */
 static bool
 reserve_port_range (bt_stage_t *testbed)
 {
@@ -637,7 +639,7 @@
   snprintf (testbed->folder, sizeof testbed->folder, "/tmp/bilberry-test-XXXXXX");
   if (!reserve_port_range (testbed))
     {
-      fprintf (stderr, "no range of ports is free\n");
+      fprintf (stderr, "no port range is free\n");
       free (testbed);
       return NULL;
     }
@@ -649,7 +651,7 @@
   standin_step_us = engine_step_us;
   if (mkdtemp (testbed->folder) != NULL && start_testbed (testbed, rules_json))
     return testbed;
-  fprintf (stderr, "the stage did not start\n");
+  fprintf (stderr, "the testbed did not start\n");
   bt_drop_stage (testbed, true);
   return NULL;
 }
--- a/test/process/harness.h
+++ b/test/process/harness.h
@@ -2,8 +2,8 @@
 #define BILBERRYTRAY_TEST_PROCESS_HARNESS_H
 
 /** @file
- * Starts the built programs as processes on loopback, sends requests and reads what came of them.
- * Waiting is always for a condition, with a generous limit that fails the test.
+ * Starts the built programs as processes on loopback, sends requests to them, and reads replies and
+ * metrics. Every wait is for a condition; after BT_WAIT_LIMIT_MS without it the test fails.
  */
 
 #include <jansson.h>
@@ -17,7 +17,7 @@
   BT_WAIT_LIMIT_MS = 30000,
 };
 
-/** A process of a test. */
+/** A process that a test starts. */
 typedef struct bt_process
 {
   char name[64];
@@ -25,74 +25,82 @@
   char log_path[128];
 } bt_process_t;
 
-/** A small deployment: the platform's stand-ins, entries, and endpoints with their agents. */
+/** A deployment for one test: the platform's stand-ins (key-value store and instance list), entry
+ * instances, model engines, plain services, and the agents of both. */
 typedef struct bt_testbed
 {
   bt_process_t processes[BT_TESTBED_MAX_PROCESSES];
   int32_t process_count;
   char folder[64];
   int32_t base_port;
-  int port_range_fd; /**< Listens on base_port, so that no other test takes the same ports. */
+  int port_range_fd; /**< Listens on base_port and so reserves the testbed's port range. */
   int32_t kv_port;
   int32_t instances_port;
   int32_t entries;
   int32_t engines;
   int32_t plain_services;
-  bool listed_leaving[BT_TESTBED_MAX_PROCESSES]; /**< By index of agents, engines first. */
+  bool listed_leaving[BT_TESTBED_MAX_PROCESSES]; /**< Indexed by agent, agents of engines first;
+                                                    true: listed as leaving. */
 } bt_stage_t;
 
-/** What a caller got. */
+/** The reply that a caller received. */
 typedef struct bt_reply
 {
-  int32_t curl_code; /**< 0 when the answer came whole. */
+  int32_t curl_code; /**< CURLE_OK (0): the answer is complete. */
   int32_t status;
-  char outcome[32]; /**< Of the header Bilberry-Outcome. */
+  char outcome[32]; /**< Value of the header Bilberry-Outcome. */
   char reason[48];
-  int64_t retry_after_ms; /**< -1 without the header. */
+  int64_t retry_after_ms; /**< -1 without the header Bilberry-Retry-After-Ms. */
   char *body;             /**< Freed by bt_clear_reply. */
   size_t body_bytes;
 } bt_reply_t;
 
-/** Starts the stand-ins with @p entries entries, @p engines model engines (app "drafts") and
- * @p plains plain services (app "lookup"), publishes @p rules_json and waits until each entry
- * answers. @p engine_step_us sets the engines' pace. NULL on failure, which is printed. */
+/** Starts the stand-ins, @p entries entry instances, @p engines model engines (app "drafts") and @p
+ * plain_services plain services (app "lookup") with their agents, publishes @p rules_json and waits
+ * until each entry is ready. @p engine_step_us is the duration of an engine's step. Returns NULL on
+ * failure, after printing a message. */
 bt_stage_t *bt_new_stage (int32_t entries,
                           int32_t engines,
                           int32_t plain_services,
                           int32_t engine_step_us,
                           const char *rules_json);
 
-/** Ends every process by its id and removes the folder; prints the logs if @p failed. */
+/** Kills every process of the testbed, prints the logs if @p failed, and removes the folder. */
 void bt_drop_stage (bt_stage_t *testbed, bool failed);
 
-/** Extra arguments, NULL-ended, added when entries or agents are started from now on. */
+/** Sets extra arguments, NULL-terminated or NULL, for the entries and the agents that are started
+ * from now on. */
 void bt_set_stage_arguments (const char *const *entry_arguments,
                              const char *const *agent_arguments);
 
-/** Starts or restarts a process by name: "entry-N", "agent-N", "engine-N", "plain-N" from 0. */
+/** Starts a process that is not running, by its name: "entry-N", "agent-N", "engine-N" or
+ * "plain-N", numbered from 0. */
 bool bt_start_process (bt_stage_t *testbed, const char *name);
 
-/** Sends a signal to a process by name; after SIGKILL, waits for its end. */
+/** Sends a signal to a process by its name; after SIGKILL, waits until it has exited. */
 bool bt_signal_process (bt_stage_t *testbed, const char *name, int signal_number);
 
-/** Waits for the end of a process that was told to stop; true with its exit code. */
+/** Waits until a process exits and writes its exit code to @p exit_code, or minus the number of the
+ * signal that killed it. Returns false if it does not exit within BT_WAIT_LIMIT_MS. */
 bool bt_wait_process (bt_stage_t *testbed, const char *name, int32_t *exit_code);
 
-/** Ports by name of the process: callers' port of an entry, HTTP port of an engine or service. */
+/** Returns a port by the name of its process: the callers' port of an entry, the HTTP port of an
+ * engine, a plain service or a stand-in. */
 int32_t bt_get_stage_port (const bt_stage_t *testbed, const char *name);
 
-/** The operators' page of a process: /metrics as text, to be freed. NULL on failure. */
+/** Reads the metrics page of an entry or an agent. The caller frees the text. Returns NULL on
+ * failure. */
 char *bt_read_stage_metrics (const bt_stage_t *testbed, const char *name);
 
-/** Reads one counter from a process's page, such as
- * "bilberry_refusals_total{reason=\"no-rule\"}"; -1 when it is not there. */
+/** Reads one counter from the metrics page of a process, such as
+ * "bilberry_refusals_total{reason=\"no-rule\"}"; -1 if the page does not have it. */
 int64_t bt_read_testbed_counter (const bt_stage_t *testbed, const char *name, const char *counter);
 
-/** True when an entry admits requests and has this many endpoints. */
+/** Returns whether an entry admits requests and has this many endpoints. */
 bool bt_is_entry_ready (const bt_stage_t *testbed, const char *entry, int32_t endpoints);
 
-/** Sends a request to an entry. @p headers are "Name: value" lines, NULL-ended or NULL. The token
- * is "token-ACCOUNT". */
+/** Sends a request to an entry and waits for the reply. @p headers are "Name: value" lines,
+ * NULL-terminated, or NULL. The bearer token is "token-ACCOUNT". */
 void bt_send_entry_request (const bt_stage_t *testbed,
                             const char *entry,
                             const char *account,
@@ -101,31 +109,34 @@
                             const char *body,
                             bt_reply_t *reply);
 
-/** The body as text, "" when there is none. */
+/** Returns the body as text, "" if there is none. */
 const char *bt_get_reply_text (const bt_reply_t *reply);
 
 void bt_clear_reply (bt_reply_t *reply);
 
-/** Calls a stand-in's own page: GET without a body, POST with one. NULL on failure. */
+/** Calls a page of a stand-in: GET without a body, POST with one. The caller owns the result.
+ * Returns NULL on failure. */
 json_t *
 bt_call_standin (const bt_stage_t *testbed, const char *name, const char *path, const char *body);
 
-/** In a child process: becomes a program whose output goes to a file, and which ends with the test.
- */
+/** Replaces the calling child process by a program whose output is appended to @p log_path and
+ * which is killed when the test ends. */
 void bt_exec_program (const char *program, char **list, const char *log_path);
 
-/** Has the programs that are started from now on write to @p fd instead of a file; -1: as before.
+/** Sends the output of the programs that are started from now on to @p fd; -1: to their log files.
  */
 void bt_set_program_output (int fd);
 
-/** Runs a built program to its end by a shell line such as "bilberryd check examples/haiyun";
- * returns its exit code and gives what it printed on both streams, to be freed. */
+/** Runs a built program until it exits, by a shell line such as "bilberryd check examples/haiyun".
+ * Returns its exit code, -1 on failure. @p output receives its output and error output; the caller
+ * frees it. */
 int32_t bt_run_program (const char *line, char **output);
 
-/** Sends the instance list again, after a change of listed_leaving. */
+/** Publishes the instance list again, after a change of listed_leaving. */
 bool bt_put_instance_list (bt_stage_t *testbed);
 
-/** Calls @p test every few milliseconds until it is true, or the limit has passed: false. */
+/** Calls @p test every few milliseconds until it returns true. Returns false if it does not within
+ * BT_WAIT_LIMIT_MS. */
 bool bt_wait_until (bool (*test) (void *argument), void *argument);
 
 #endif
--- a/test/process/harness_config.c
+++ b/test/process/harness_config.c
@@ -103,7 +103,7 @@
   return fclose (file) == 0;
 }
 
-/* A folder with the documents as the service holds them, but with rules of another version. */
+/* Writes the documents of the key-value store to a folder, but with rules of @p version. */
 static bool
 write_folder (const bt_stage_t *testbed, const char *folder, const char *version)
 {
--- a/test/process/harness_gateway.c
+++ b/test/process/harness_gateway.c
@@ -31,7 +31,7 @@
   PORT_RANGES = 10,
 };
 
-/* A socket that listens at a port; -1 when the port is not free. */
+/* Returns a socket that listens on a port; -1 if the port is not free. */
 static int
 listen_on_port (int32_t port)
 {
@@ -47,9 +47,9 @@
   return -1;
 }
 
-/* Takes a range of ports for this field alone, by holding its first one. A process that is killed
- * and started again must find its port free, though other fields come and go meanwhile. The ranges
- * lie below the ports that the system gives to connections. */
+/* Reserves a range of ports for this testbed by listening on its first port. A process that is
+ * killed and restarted must find its port free, although other testbeds start and end in between.
+ * The ranges lie below the ports that the system assigns to connections. */
 static bool
 reserve_port_range (bt_field_t *testbed)
 {
@@ -63,11 +63,11 @@
       testbed->next_port = first;
       return true;
     }
-  fprintf (stderr, "no range of ports is free\n");
+  fprintf (stderr, "no port range is free\n");
   return false;
 }
 
-/* The next port of the field's range that is free. */
+/* Returns the next free port of the testbed's range. */
 static int32_t
 find_free_port (bt_field_t *testbed)
 {
@@ -297,7 +297,8 @@
     snprintf (id, capacity, "i-%d-%d", index, testbed->runner_id_counts[index] - 1);
 }
 
-/* A start is later than the one before also where both fall into one millisecond. */
+/* Sets the start time of a runner. It is later than the previous one even if both processes start
+ * within the same millisecond. */
 static void
 set_runner_start (bt_field_t *testbed, int32_t index)
 {
--- a/test/process/harness_gateway.h
+++ b/test/process/harness_gateway.h
@@ -2,7 +2,8 @@
 #define BILBERRYTRAY_TEST_HARNESS_GATEWAY_H
 
 /** @file
- * Gateways on loopback with stand-ins for the users' platform: its store and its runners.
+ * Starts gateways on loopback with stand-ins for the users' platform: its store and its runners,
+ * which are the endpoints.
  */
 
 #include "harness.h"
@@ -10,22 +11,23 @@
 
 enum
 {
-  BT_FIELD_GATEWAYS = 64, /* at most */
+  BT_FIELD_GATEWAYS = 64, /* maximum */
   BT_FIELD_MOST_RUNNERS = 128,
-  BT_DEFAULT_RUNNERS = 3, /* of bt_new_field */
+  BT_DEFAULT_RUNNERS = 3, /* started by bt_new_field */
 };
 
-/** One small deployment. */
+/** A deployment for one test: a store, runners and gateways. */
 typedef struct bt_gateway_testbed
 {
   pid_t store;
   int32_t gateway_count;
   int32_t runner_count;
   pid_t runners[BT_FIELD_MOST_RUNNERS];
-  int32_t runner_id_counts[BT_FIELD_MOST_RUNNERS]; /**< How many ids each had. */
-  int64_t runner_start_ms[BT_FIELD_MOST_RUNNERS]; /**< When each started last, Unix milliseconds. */
-  pid_t
-      runner_hops[BT_FIELD_MOST_RUNNERS]; /**< Before each runner; 0: callers reach it directly. */
+  int32_t runner_id_counts[BT_FIELD_MOST_RUNNERS]; /**< How many ids each runner has had. */
+  int64_t runner_start_ms[BT_FIELD_MOST_RUNNERS];  /**< Start time of each runner's latest process,
+                                                      Unix milliseconds. */
+  pid_t runner_hops[BT_FIELD_MOST_RUNNERS]; /**< TCP proxy in front of each runner; 0: requests
+                                               reach it directly. */
   int32_t runner_hop_ports[BT_FIELD_MOST_RUNNERS];
   pid_t gateways[BT_FIELD_GATEWAYS];
   int32_t store_port;
@@ -35,60 +37,61 @@
   int32_t ready_ports[BT_FIELD_GATEWAYS];
   int32_t page_ports[BT_FIELD_GATEWAYS];
   int32_t link_ports[BT_FIELD_GATEWAYS];
-  pid_t hops[BT_FIELD_GATEWAYS]; /**< Each between a gateway and the store. */
+  pid_t hops[BT_FIELD_GATEWAYS]; /**< TCP proxies, each between a gateway and the store. */
   int32_t hop_ports[BT_FIELD_GATEWAYS];
-  int32_t drain_ms; /**< Longest stop of gateways that are started from now on. */
+  int32_t drain_ms; /**< Drain time of the gateways that are started from now on. */
   char folder[64];
-  int port_range_fd; /**< Holds the field's range of ports. */
+  int port_range_fd; /**< Listens on the first port of the port range, to reserve it. */
   int32_t next_port;
 } bt_field_t;
 
-/** Starts the store, runners that are listed there as "i-0", "i-1" ... of the service "svc", and
- * @p gateways gateways; puts @p configuration into the store. Does not wait for readiness. NULL on
- * failure. */
+/** Starts the store, BT_DEFAULT_RUNNERS runners and @p gateways gateways, and writes @p
+ * configuration into the store. The runners are listed in the store as "i-0", "i-1" ... of the
+ * service "svc". Does not wait until the gateways are ready. Returns NULL on failure. */
 bt_field_t *bt_new_field (int32_t gateways, const char *configuration);
 
-/** The same with a number of runners, each behind a hop. */
+/** Does the same as bt_new_field with @p runners runners, each behind a TCP proxy (hop). */
 bt_field_t *bt_new_large_field (int32_t gateways, int32_t runners, const char *configuration);
 
-/** Starts a runner, or starts it again as another one at the same address; the first start of
- * number 2 is "i-2", the next "i-2-1". Does not list it. */
+/** Starts a runner under a new id at the same address: the first process of runner 2 is "i-2", the
+ * next "i-2-1". Does not list it in the store. */
 bool bt_start_runner_process (bt_field_t *testbed, int32_t index);
 
-/** Kills a runner and starts it again under the id that it had, with a later start. Does not list
- * it. */
+/** Kills a runner and restarts it under the same id with a later start time. Does not list it in
+ * the store. */
 bool bt_restart_runner_process (bt_field_t *testbed, int32_t index);
 
-/** Kills a runner that still runs. */
+/** Kills a runner if it is running. */
 void bt_kill_runner_process (bt_field_t *testbed, int32_t index);
 
-/** True, once, when a runner's process has ended by itself. */
+/** Returns true, once, when a runner's process has exited by itself. */
 bool bt_reap_runner_process (bt_field_t *testbed, int32_t index);
 
-/** How often a runner that always kept its id ran a request, over all its starts. */
+/** Returns how often a runner that has always kept its id ran a request, over all its processes. */
 int32_t bt_count_logged_runs (const bt_field_t *testbed, int32_t index, const char *request_id);
 
-/** The id of the runner's last start. */
+/** Writes the id of the runner's latest process to @p id. */
 void bt_write_runner_id (const bt_field_t *testbed, int32_t index, char *id, size_t capacity);
 
-/** Ends every process by its id; prints the logs if @p failed. */
+/** Kills every process, prints the logs if @p failed, and removes the folder. */
 void bt_drop_field (bt_field_t *testbed, bool failed);
 
 void bt_start_gateway_process (bt_field_t *testbed, int32_t index);
 
-/** Writes an item as the operator or a runner does; @p value NULL removes it. */
+/** Writes an item into the store as the operator or a runner does; @p value NULL removes it. */
 bool bt_put_field_item (const bt_field_t *testbed, const char *key, const char *value);
 
-/** Lists a runner, or one that is leaving. */
+/** Writes a runner's item into the store with a state, such as "ready" or "draining". */
 bool bt_list_field_runner (const bt_field_t *testbed, int32_t index, const char *state);
 
-/** Sets the fault of a stand-in at a port. */
+/** Sets the fault of the stand-in that listens on a port. */
 bool bt_set_field_fault (int32_t port, const char *fault);
 
-/** Has a hop do harm to what it carries; in force when this returns. */
+/** Sets the fault of a TCP proxy (hop); it is in force when this returns true. */
 bool bt_set_hop_fault (int32_t port, bt_hop_fault_t fault, int32_t delay_ms);
 
-/** Asks a gateway. @p headers are "Name: value" lines, NULL-ended. */
+/** Sends a request to a gateway and waits for the reply. @p headers are "Name: value" lines,
+ * NULL-terminated, or NULL. */
 void bt_ask_gateway (const bt_field_t *testbed,
                      int32_t index,
                      const char *path,
@@ -96,44 +99,45 @@
                      const char *body,
                      bt_reply_t *reply);
 
-/** A call of a request that the tests' rules know, on their host. */
+/** A request for the host that the tests' routes match. */
 typedef struct bt_gateway_call
 {
   int32_t gateway;
   const char *path;
   const char *id;
-  const char *key;   /**< The account's; NULL: none. */
+  const char *key;   /**< The account's API key; NULL: none. */
   const char *extra; /**< One more header line; NULL: none. */
   int32_t deadline_ms;
 } bt_field_call_t;
 
-/** Makes a call; the reply is to be cleared by the caller. */
+/** Sends a request and waits for the reply, which the caller clears. */
 void
 bt_send_gateway_call (const bt_field_t *testbed, const bt_field_call_t *call, bt_reply_t *reply);
 
-/** Makes a call; the status, 0 when there is no answer. */
+/** Sends a request and returns the status, 0 without an answer. */
 int32_t bt_call_field_status (const bt_field_t *testbed, const bt_field_call_t *call);
 
-/** Makes a call again and again until the status is as wanted; false when it never is. */
+/** Repeats a request until its status is @p wanted. Returns false if it is not within
+ * BT_WAIT_LIMIT_MS. */
 bool bt_wait_call_status (const bt_field_t *testbed, const bt_field_call_t *call, int32_t wanted);
 
-/** The metrics of a gateway, to be cleared by the caller. */
+/** Reads the metrics page of a gateway; the caller clears the reply. */
 void bt_read_gateway_metrics (const bt_field_t *testbed, int32_t index, bt_reply_t *reply);
 
-/** One value of them, by its name with the labels, such as "x_total{kind=\"a\"}"; -1 when it is not
- * there. */
+/** Reads one value of the metrics page by its name with the labels, such as "x_total{kind=\"a\"}";
+ * -1 if the page does not have it. */
 int64_t bt_read_gateway_metric (const bt_field_t *testbed, int32_t index, const char *name);
 
-/** GET of a path at a port; the status, 0 when there is no answer. */
+/** Sends a GET request to a port and returns the status, 0 without an answer. */
 int32_t bt_get_http_status (int32_t port, const char *path);
 
-/** Waits until a gateway says that it is ready. */
+/** Waits until a gateway reports that it is ready. */
 bool bt_wait_gateway_ready (const bt_field_t *testbed, int32_t index);
 
-/** How often one runner ran a request. */
+/** Returns how often a runner ran a request, according to the log of its present process. */
 int32_t bt_count_runner_runs (const bt_field_t *testbed, int32_t index, const char *request_id);
 
-/** The runs of all runners for one request id, each as logged; owned by the caller. */
+/** Returns the runs of a request id by all runners, each as logged. The caller owns the array. */
 json_t *bt_find_request_runs (const bt_field_t *testbed, const char *request_id);
 
 #endif
--- a/test/process/harness_proxy.c
+++ b/test/process/harness_proxy.c
@@ -19,14 +19,14 @@
   PREFIX_BYTES = 4,
 };
 
-/* Bytes of one direction that are not yet a whole frame. */
+/* Received bytes of one direction that are not yet a complete frame. */
 typedef struct flow
 {
   uint8_t *data;
   size_t bytes;
 } flow_t;
 
-/* One connection and its continuation. */
+/* An accepted connection and the connection to the target that continues it. */
 typedef struct pair
 {
   int ends[ENDS];
@@ -104,7 +104,8 @@
   return true;
 }
 
-/* The size of the first whole frame with its length, or 0 while it is not whole. */
+/* Returns the size of the first frame including its length prefix, 0 while the frame is incomplete.
+ */
 static size_t
 find_frame (const flow_t *flow)
 {
@@ -118,7 +119,8 @@
   return flow->bytes >= bytes ? bytes : 0;
 }
 
-/* Passes on the whole frames that one end has sent; false when that end is closed. */
+/* Forwards the complete frames that one end has sent, each @p copies times. Returns false if one of
+ * the ends is closed. */
 static bool
 forward_frames (pair_t *pair, int32_t end, int32_t copies)
 {
--- a/test/process/harness_proxy.h
+++ b/test/process/harness_proxy.h
@@ -2,8 +2,8 @@
 #define BILBERRYTRAY_TEST_PROCESS_HARNESS_PROXY_H
 
 /** @file
- * A TCP hop between two processes that can lose track of the connections it carries: they stay open
- * on both sides and nothing passes any more, while new ones work.
+ * A TCP proxy between two processes that can stall its connections: they stay open on both sides
+ * and nothing passes any more, while new connections work.
  */
 
 #include <stdbool.h>
@@ -11,21 +11,21 @@
 
 typedef struct bt_proxy bt_proxy_t;
 
-/** Starts a hop on loopback to a port there. NULL on failure. */
+/** Starts a proxy on loopback to a port on loopback. Returns NULL on failure. */
 bt_proxy_t *bt_new_proxy (int32_t target_port);
 
-/** Closes everything. NULL is accepted. */
+/** Stops the proxy and closes its connections. NULL is accepted. */
 void bt_drop_proxy (bt_proxy_t *proxy);
 
 int32_t bt_get_proxy_port (const bt_proxy_t *proxy);
 
-/** Forgets every connection it carries now. */
+/** Stalls every connection that is open now. */
 void bt_silence_proxy (bt_proxy_t *proxy);
 
-/** How many connections it has accepted. */
+/** Returns how many connections the proxy has accepted. */
 int32_t bt_count_proxy_connections (bt_proxy_t *proxy);
 
-/** From now on, or no longer, each frame goes out twice in either direction. */
+/** Starts or stops sending each frame twice, in both directions. */
 void bt_duplicate_proxy_frames (bt_proxy_t *proxy, bool duplicating);
 
 #endif
--- a/test/process/harness_requests.c
+++ b/test/process/harness_requests.c
@@ -13,7 +13,7 @@
   NAME_BYTES = 32,
 };
 
-/* A ticket that is wanted. */
+/* Arguments of has_ticket. */
 typedef struct ticket_wait
 {
   const bt_stage_t *testbed;
@@ -59,7 +59,8 @@
   return size * count;
 }
 
-/* Sends a request and closes the connection before it is answered. */
+/* Sends a request and closes the connection after disconnect_after_ms, before the answer is
+ * complete. */
 static void
 send_and_disconnect (bt_draft_t *draft, const char *const *headers, const char *body)
 {
@@ -221,7 +222,7 @@
   return bt_wait_until (has_runs, draft);
 }
 
-/* Which endpoints an entry is to have. */
+/* Arguments of has_endpoints. */
 typedef struct endpoints_wait
 {
   const bt_stage_t *testbed;
--- a/test/process/harness_requests.h
+++ b/test/process/harness_requests.h
@@ -2,8 +2,8 @@
 #define BILBERRYTRAY_TEST_PROCESS_HARNESS_REQUESTS_H
 
 /** @file
- * Drafts sent by callers of their own, and the comparison of what they were told with the run logs
- * of the model engines.
+ * Sends drafts, which are requests for the app "drafts", by separate callers and compares the
+ * outcomes that the callers receive with the run logs of the model engines.
  */
 
 #include <pthread.h>
@@ -15,53 +15,55 @@
   BT_KEY_TEXT_BYTES = 256,
 };
 
-/** One caller's request. Set the first five before it is started. */
+/** One caller's request. Set the first five members before it is sent. */
 typedef struct bt_draft
 {
   const bt_stage_t *testbed;
   const char *entry;
-  const char *key;    /**< NULL: a request without a key. */
-  const char *prompt; /**< Shorter than 60 bytes and unlike all others of the stage. */
+  const char *key;    /**< Idempotency key; NULL: none. */
+  const char *prompt; /**< Shorter than 60 bytes and unique in the testbed. */
   int32_t tokens;
   const char *account;         /**< NULL: "small". */
-  int64_t disconnect_after_ms; /**< The caller goes away after this; 0: it stays. */
+  int64_t disconnect_after_ms; /**< The caller disconnects after this time; 0: it waits for the
+                                  answer. */
   pthread_t thread;
   bt_reply_t reply;
 } bt_draft_t;
 
-/** Takes a ticket for an account's drafts from an entry; waits until the entry has one to give. */
+/** Gets a ticket for an account's drafts from an entry; waits until the entry issues one. */
 bool bt_fetch_ticket (const bt_stage_t *testbed,
                       const char *entry,
                       const char *account,
                       char key[BT_KEY_TEXT_BYTES]);
 
-/** Sends a draft on a thread of its own. */
+/** Sends a draft on a separate thread. */
 void bt_start_draft (bt_draft_t *draft);
 
-/** Waits for its answer; free it with bt_clear_reply. */
+/** Waits for the reply to a started draft; free it with bt_clear_reply. */
 void bt_join_draft (bt_draft_t *draft);
 
-/** Sends a draft and waits for its answer. */
+/** Sends a draft and waits for the reply. */
 void bt_send_draft (bt_draft_t *draft);
 
-/** True when the caller got the whole and the very answer to its own draft. */
+/** Returns whether the caller received the complete answer to its own draft; prints the reply if
+ * not. */
 bool bt_is_draft_complete (const bt_draft_t *draft);
 
-/** True when the caller was refused with this outcome, or its answer was visibly cut, which says
+/** Returns whether the caller received this outcome. An answer that is visibly cut off counts as
  * "unknown". */
 bool bt_has_draft_outcome (const bt_draft_t *draft, const char *outcome);
 
-/** How often the engines ran a draft, by their logs. */
+/** Returns how often the engines ran a draft, according to their logs. */
 int32_t bt_count_draft_runs (const bt_draft_t *draft);
 
-/** True when what the caller was told agrees with the engines' logs: answered whole means run once,
- * not-run means not run, unknown means run at most once. */
+/** Returns whether the caller's outcome agrees with the engines' logs: a complete answer means that
+ * the draft ran once, "not-run" that it did not run, "unknown" that it ran at most once. */
 bool bt_is_draft_consistent (const bt_draft_t *draft);
 
-/** Waits until an engine has begun the draft. */
+/** Waits until an engine has begun to run the draft. */
 bool bt_wait_draft_started (bt_draft_t *draft);
 
-/** Waits until an entry serves callers and has links to so many agents. */
+/** Waits until an entry issues tickets, admits requests and has links to @p count agents. */
 bool bt_wait_endpoints (const bt_stage_t *testbed, const char *entry, int32_t count);
 
 #endif
--- a/test/process/log_pipe.h
+++ b/test/process/log_pipe.h
@@ -2,7 +2,8 @@
 #define BILBERRYTRAY_TEST_PROCESS_LOG_PIPE_H
 
 /** @file
- * A small pipe that a program writes its log to, read only when the test says so.
+ * A small pipe that a program writes its log to. The test decides when it is read, so that it can
+ * act as a log reader that stalls.
  */
 
 #include <CUnit/CUnit.h>
@@ -24,7 +25,7 @@
 typedef struct log_pipe
 {
   int read_fd;
-  int write_fd; /**< To be given to programs. */
+  int write_fd; /**< The output of a program. */
   char *text;
   size_t bytes;
 } log_pipe_t;
@@ -53,7 +54,7 @@
   free (log->text);
 }
 
-/* Reads what is there. */
+/* Reads what the pipe holds, without blocking. */
 static void
 read_log_pipe (log_pipe_t *log)
 {
@@ -72,8 +73,9 @@
   return text != NULL && strcmp (text, wanted) == 0;
 }
 
-/* Adds up a number of all lines that name an event and, unless NULL, a cause; counts these lines
- * when @p number is NULL. Any line that is not whole fails the test. */
+/* Adds up a numeric field of all lines that have an event and, unless it is NULL, a cause; counts
+ * these lines if @p number_field is NULL. A line that is not a complete JSON object with an event
+ * fails the test. */
 static int64_t
 sum_log_pipe (const log_pipe_t *log, const char *event, const char *cause, const char *number_field)
 {
@@ -87,7 +89,7 @@
       bool named = json_is_string (json_object_get (object, "event"));
 
       if (!named)
-        fprintf (stderr, "no event: %s\n", line);
+        fprintf (stderr, "log line without an event: %s\n", line);
       CU_ASSERT_TRUE (named);
       if (has_text (object, "event", event) && (cause == NULL || has_text (object, "cause", cause)))
         sum +=
--- a/test/process/test_command_line.c
+++ b/test/process/test_command_line.c
@@ -58,8 +58,8 @@
   check_program ("bilberryd dance", EXIT_USAGE, usage);
 }
 
-/* A deployment may bound the retries of its instances by a number that is not whole, or by none. An
- * instance that does not take it leaves callers without any. */
+/* Guards against an instance that rejects a retry reserve with a fraction, or of zero. Deployments
+ * set such values, and callers have no instance if it does not start. */
 static void
 test_retry_reserve_accepts_fractions (void)
 {
@@ -124,7 +124,7 @@
 
   if (mkdtemp (folder) == NULL)
     {
-      CU_FAIL ("no folder");
+      CU_FAIL ("the folder was not created");
       return;
     }
   write_file (folder, "accounts.json", "{\"accounts\":[]}");
--- a/test/process/test_config_faults.c
+++ b/test/process/test_config_faults.c
@@ -45,8 +45,8 @@
     CU_ASSERT_TRUE (bt_wait_rules_version (testbed, entries[i], version));
 }
 
-/* An operator publishes. When the command says accepted, every entry already goes by the new
- * rules, and status names the change for each. */
+/* Guards against a publish that reports acceptance too early: when the command prints accepted,
+ * every entry already applies the new rules, and status names the change for each entry. */
 static void
 test_accepted_change_is_in_force (void)
 {
@@ -67,7 +67,7 @@
   CU_ASSERT_PTR_NOT_NULL (strstr (output, "  rules: revision "));
 }
 
-/* The service writes the change, and its answer is lost. The command must neither report a failure
+/* The store writes the change, and its answer is lost. The command must neither report a failure
  * nor write twice. */
 static void
 test_lost_store_answer (void)
@@ -83,8 +83,9 @@
   check_all_have ("v2");
 }
 
-/* Two operators start from the same revision. One wins; the other is told what was changed
- * meanwhile and by which change, and the winner's rules stay in force. */
+/* Two operators publish from the same base revision. One change is accepted. The other operator
+ * gets a conflict that names what was changed meanwhile and by which change, and the accepted rules
+ * stay in force. */
 static void
 test_concurrent_publish_is_a_conflict (void)
 {
@@ -108,8 +109,8 @@
   check_all_have (winner == 0 ? "one" : "other");
 }
 
-/* Every watch is confirmed and then stays silent; a change is written past the hand-over. It must
- * come into force all the same. */
+/* Every watch is confirmed and then stays silent, and a change is written without the push of
+ * publish. The change must still come into force. */
 static void
 test_silent_watch_delays_no_change (void)
 {
@@ -119,8 +120,8 @@
   CU_ASSERT_TRUE (bt_set_store_fault (testbed, "{\"kind\":\"none\"}"));
 }
 
-/* A change is accepted, and in the next moment the service falls silent; then one entry dies and
- * is started anew. The new process has nothing but its peers to learn from. */
+/* Right after a change is accepted, the store stops responding; then one entry is killed and
+ * restarted. The new process can learn the rules only from its peers. */
 static void
 test_restarted_entry_learns_from_peers (void)
 {
@@ -138,9 +139,9 @@
   check_all_have ("v6");
 }
 
-/* One entry keeps its callers and loses all else: the service is down, and its peers hang. It
- * cannot know whether its rules still hold, so it must refuse, with that reason, and go on once it
- * is back among the others. */
+/* One entry keeps its callers and loses everything else: the store is down, and its peers hang. It
+ * can't know whether its rules are still in force, so it must refuse requests with the reason
+ * isolated, and serve again once it reaches its peers. */
 static void
 test_isolated_entry_refuses (void)
 {
--- a/test/process/test_gateway.c
+++ b/test/process/test_gateway.c
@@ -20,9 +20,9 @@
   UNAVAILABLE = 503,
   POLL_MS = 20,
   EVENTS = 8,
-  /* At 15 retries for 100 requests. */
+  /* The budget is 15 retries for 100 requests. */
   REQUESTS_FOR_A_RETRY = 7,
-  /* Of one request, on routes with two attempts. */
+  /* For one request, on routes with two attempts. */
   MAX_RETRIES = 3,
 };
 
@@ -72,7 +72,7 @@
   return 0;
 }
 
-/* A request with an id and a key, and a header that callers must not set. */
+/* Returns a request with an id and a key, and with a header that callers must not set. */
 static bt_field_call_t
 make_call (int32_t gateway, const char *path, const char *id, const char *key)
 {
@@ -100,8 +100,9 @@
   return bt_call_field_status (testbed, &call);
 }
 
-/* Sends requests that succeed, until the gateway has saved up some retries. Tests share its budget,
- * and how much the ones before have spent depends on where the router sent their requests. */
+/* Sends requests that succeed, until the gateway's budget allows some retries. The tests share this
+ * budget, and how much the previous ones have used depends on where the router sent their requests.
+ */
 static void
 fill_retry_budget (int32_t gateway, int32_t retries)
 {
@@ -164,7 +165,7 @@
   bt_clear_reply (&reply);
 }
 
-/* The whole stream that runners give. */
+/* Writes the complete stream that runners answer with. */
 static void
 write_stream (char *text, size_t capacity)
 {
@@ -175,7 +176,7 @@
         (size_t)snprintf (text + used, capacity - used, "id: %d\ndata: piece-%d\n\n", event, event);
 }
 
-/* True when the caller got the stream whole. */
+/* Returns whether the caller received the complete stream. */
 static bool
 is_stream_complete (const char *id, const char *expected)
 {
@@ -188,7 +189,7 @@
   return complete;
 }
 
-/* How often a stream was resumed, each time behind the second event. */
+/* Returns how often a stream was resumed, each time after the second event. */
 static int32_t
 count_resumes (const char *id)
 {
@@ -234,25 +235,26 @@
   return resumes;
 }
 
-/* A runner dies in the middle of an event of a draft. The caller sees one whole stream: another
- * runner goes on behind the last whole event, and the half one is never passed on. */
+/* A runner's answer breaks off in the middle of an event. The caller must receive one complete
+ * stream: another runner resumes after the last complete event, and the incomplete one is never
+ * forwarded. */
 static void
 test_cut_off_stream_is_resumed_elsewhere (void)
 {
   char expected[512];
 
   fill_retry_budget (0, BT_DEFAULT_RUNNERS);
-  /* Every runner cuts what it begins and ends what it resumes, so that each stream is resumed once
-   * wherever the router sends it. */
+  /* Every runner cuts off the streams that it begins and completes those that it resumes, so that
+   * each stream is resumed once, wherever the router sends it. */
   set_all_faults ("{\"kind\":\"cut-first\",\"count\":-1,\"match\":\"/stream/\"}");
   write_stream (expected, sizeof expected);
   CU_ASSERT_EQUAL (request_streams_in_parallel (expected), BT_DEFAULT_RUNNERS);
   set_all_faults ("{\"kind\":\"none\"}");
 }
 
-/* A runner dies in the middle of a draft, and the others are too full to go on with it. The
- * refusal's whole answer must not pass for the end of the stream: the caller would take half a
- * draft for all. */
+/* A runner's stream breaks off, and the other runners are too full to resume it. Guards against the
+ * refusal's complete body passing for the end of the stream: the caller would take half a draft for
+ * all of it. */
 static void
 test_refused_resume_aborts_the_stream (void)
 {
@@ -272,9 +274,9 @@
   set_all_faults ("{\"kind\":\"none\"}");
 }
 
-/* An order was sent, and the runner's connection breaks before its answer. It may have run: it is
- * not sent again, and its caller is not told that it has not run. A lookup is simply asked
- * elsewhere. */
+/* An order was sent, and the runner's connection breaks before its answer. The order may have run:
+ * it must not be sent again, and its caller must not be told that it has not run. A lookup is
+ * retried on another runner. */
 static void
 test_lost_answers (void)
 {
@@ -297,7 +299,8 @@
   set_all_faults ("{\"kind\":\"none\"}");
 }
 
-/* A runner that is full says so, and the request has not run: it goes to another. */
+/* A full runner refuses a request, which has not run. The request must be retried on another
+ * runner. */
 static void
 test_full_runner_is_retried_elsewhere (void)
 {
@@ -315,7 +318,8 @@
   set_all_faults ("{\"kind\":\"none\"}");
 }
 
-/* A whole answer without the runner's mark is somebody else's bytes: no caller gets it. */
+/* A complete answer without the header Bilberrytray-Server-Stamp does not come from the runner. No
+ * caller may receive it. */
 static void
 test_unmarked_answer_is_not_forwarded (void)
 {
@@ -347,8 +351,8 @@
     }
 }
 
-/* The operator's text can't be translated: a route names a service that does not exist. What was in
- * force stays in force, and a later good one replaces it. */
+/* The operator's configuration is invalid: a route names a service that does not exist. The
+ * previous configuration must stay in force, and a later valid one must replace it. */
 static void
 test_invalid_configuration_is_ignored (void)
 {
@@ -365,7 +369,7 @@
   CU_ASSERT_TRUE (wait_status (0, "/late/x", "r-gone", "none", NOT_FOUND));
 }
 
-/* The store goes away while requests come. What is known goes on to be served. */
+/* The store fails while requests arrive. The gateway must continue to serve by what it knows. */
 static void
 test_store_outage_stops_no_request (void)
 {
@@ -376,9 +380,9 @@
   CU_ASSERT_TRUE (bt_set_field_fault (testbed->store_port, "{\"kind\":\"none\"}"));
 }
 
-/* A gateway has been leaving for so long that no caller can still hold its address, and one slow
- * request keeps it alive. A request that comes now could not be ended before the process has to be
- * gone: it is refused as not run, and the slow one is still answered. */
+/* A gateway has been stopping for so long that no caller can still have its address, and one slow
+ * request keeps it running. A new request could not end before the process must exit: it must be
+ * refused as not run, and the slow one must still be answered. */
 static void
 test_late_requests_are_refused_while_closing (void)
 {
@@ -401,8 +405,8 @@
   CU_ASSERT_TRUE (bt_wait_gateway_ready (testbed, 1));
 }
 
-/* On call, the metrics of a gateway are read after it has served. Every line is a comment or a
- * value, and each step of a request has its histogram, with something in it. */
+/* Reads the metrics of a gateway that has served requests. Every line must be a comment or a value,
+ * and each step of a request must have a histogram that is not empty. */
 static void
 test_metrics_cover_each_step (void)
 {
@@ -432,8 +436,8 @@
   bt_clear_reply (&reply);
 }
 
-/* A story that says how many endpoints refused says as many as were sent to. How many that are
- * depends on which the router has found to fail before. */
+/* A trace that says how many endpoints refused must give the number that the request was sent to.
+ * It depends on which endpoints the router has found to fail before. */
 static void
 check_sends (const char *trace)
 {
@@ -448,7 +452,7 @@
   CU_ASSERT_PTR_NOT_NULL (strstr (trace, message));
 }
 
-/* Asks the command line what became of a request, by the log of a gateway. */
+/* Runs `bilberryd explain --request` on the log of a gateway and checks the output. */
 static void
 check_request_trace (const char *id, int32_t exit_code, const char *const *wanted)
 {
@@ -469,8 +473,9 @@
   free (output);
 }
 
-/* A caller complains, and has the id of a request only. The logs lead from there to the cause: it
- * was refused by full endpoints, cut after it was sent, or turned away by a configuration. */
+/* An operator has only the id of a failed request. The logs must lead from there to the cause: it
+ * was refused by full endpoints, its connection broke after it was sent, or the configuration has
+ * no route for it. */
 static void
 test_request_trace_shows_the_cause (void)
 {
@@ -494,8 +499,8 @@
   check_request_trace ("r-never", 1, nothing);
 }
 
-/* A gateway is told to stop while a stream runs through it. It is out of the address answers and
- * not ready at once, the stream ends whole, and the process ends by itself. */
+/* A gateway is told to stop while it forwards a stream. It must no longer be advertised or ready at
+ * once, complete the stream, and exit. */
 static void
 test_stop_completes_streams (void)
 {
--- a/test/process/test_gateway_crashes.c
+++ b/test/process/test_gateway_crashes.c
@@ -12,10 +12,11 @@
   GATEWAYS = 3,
   OK = 200,
   UNAVAILABLE = 503,
-  /* Ends under one request that are borne, and how much later no instance sends it any more. */
+  /* Crashes by one request that are tolerated, and the time after which no gateway sends it any
+   * more. */
   TOLERATED_CRASHES = 3,
   STABLE_MS = 3000,
-  /* Sends that may still come behind that. */
+  /* Crashes that may still happen after that time. */
   MAX_LATE_CRASHES = 3,
   RESENDS = 14,
   RESEND_INTERVAL_MS = 450,
@@ -67,7 +68,7 @@
   return bt_call_field_status (testbed, &call);
 }
 
-/* Starts runners again that have ended, each under its id; returns how many had. */
+/* Restarts the runners that have exited, each under its id. Returns how many there were. */
 static int32_t
 restart_crashed_runners (void)
 {
@@ -84,12 +85,12 @@
   return crashed;
 }
 
-/** What returns of one request did. */
+/** What the resends of one request have caused. */
 typedef struct crash_counts
 {
   int32_t crashes;        /* of runners */
-  int64_t third_crash_ms; /* when the third one was seen; 0: not yet */
-  int32_t late_crashes;   /* ends seen too long behind it */
+  int64_t third_crash_ms; /* when the third crash was seen; 0: not yet */
+  int32_t late_crashes;   /* crashes seen more than STABLE_MS after it */
 } crash_counts_t;
 
 static void
@@ -109,8 +110,8 @@
     counts->third_crash_ms = now ();
 }
 
-/* Guards against a request that crashes its endpoints being sent on and on, as it returns under new
- * ids and at other entries. */
+/* Guards against a request that crashes its endpoints and is sent again and again, because it
+ * returns with new ids and at other gateways. */
 static void
 check_crashing_request_is_blocked (const char *path)
 {
@@ -119,7 +120,7 @@
   CU_ASSERT_TRUE_FATAL (start_testbed ());
   for (int32_t i = 0; i < RESENDS; i++)
     resend_request (&counts, path, i);
-  printf ("%d ends, %d late ", counts.crashes, counts.late_crashes);
+  printf ("%d crashes, %d late ", counts.crashes, counts.late_crashes);
   CU_ASSERT (counts.crashes >= TOLERATED_CRASHES);
   CU_ASSERT (counts.late_crashes <= MAX_LATE_CRASHES);
   CU_ASSERT_EQUAL (send_request (0, "/a/lookup", "r-innocent"), OK);
@@ -138,7 +139,7 @@
   check_crashing_request_is_blocked ("/a/poison");
 }
 
-/* Sends a request until three runners have ended under it. */
+/* Sends a request until it has crashed three runners. */
 static void
 crash_three_runners (const char *path)
 {
@@ -149,7 +150,8 @@
   CU_ASSERT (counts.third_crash_ms > 0);
 }
 
-/* Ends under a request that returns when the fleet has had time to learn of it. */
+/* Returns how many runners a request crashes when it is sent again after all gateways have had time
+ * to learn of it. */
 static int32_t
 count_late_crashes (const char *path)
 {
@@ -175,7 +177,7 @@
     CU_ASSERT_TRUE (bt_wait_gateway_ready (testbed, i));
 }
 
-/* Guards against a fleet that forgets what crashes endpoints when all its instances die. */
+/* Guards against losing the record of crashing requests when all gateways die. */
 static void
 test_crashing_order_is_blocked_after_restart_of_all_gateways (void)
 {
@@ -190,7 +192,8 @@
   drop_testbed ();
 }
 
-/* Guards against crashes that are told to nobody since the store was away at that moment. */
+/* Guards against crashes that are never reported because the store was unavailable when they
+ * happened. */
 static void
 test_crashes_are_reported_after_a_store_outage (void)
 {
@@ -199,7 +202,7 @@
   CU_ASSERT_TRUE_FATAL (start_testbed ());
   CU_ASSERT_TRUE (bt_set_field_fault (testbed->store_port, "{\"kind\":\"refuse\",\"count\":-1}"));
   crash_three_runners ("/a/once/poison");
-  /* Nobody is told of anything but by a second try. */
+  /* Lets the first reports fail, so that only a second attempt can report the crashes. */
   bt_sleep_ms (STABLE_MS);
   CU_ASSERT_TRUE (bt_set_field_fault (testbed->store_port, "{\"kind\":\"none\"}"));
   bt_sleep_ms (STABLE_MS);
--- a/test/process/test_gateway_foreign.c
+++ b/test/process/test_gateway_foreign.c
@@ -55,7 +55,7 @@
   return bt_wait_call_status (testbed, &call, wanted);
 }
 
-/* Lines of the gateway's log in which both texts stand. */
+/* Returns how many lines of the gateway's log contain both texts. */
 static int32_t
 count_log_lines (const char *text, const char *other)
 {
@@ -87,7 +87,7 @@
   return true;
 }
 
-/* Writes an entry as nobody should, at the address of a good runner. */
+/* Writes an invalid item with the address of a working runner. */
 static void
 put_invalid_item (const char *key, const char *format)
 {
@@ -126,8 +126,9 @@
   put_invalid_item ("bilberrytray/maps/groups/controller", "{\"no\":\"instance\"}");
 }
 
-/* Another writer puts entries of all sorts beside those of the runners, some at a runner's address,
- * again and again. Orders go to the runners as before, and the log tells of each writing once. */
+/* Another program writes invalid items of all kinds into the store, some with a runner's address.
+ * Orders must go to the runners as before, and the log must report each invalid item once, although
+ * the view is rebuilt many times. */
 static void
 test_runners_are_used_beside_invalid_items (void)
 {
@@ -141,7 +142,7 @@
 
       snprintf (id, sizeof id, "r-%d", i);
       CU_ASSERT_EQUAL (request_status (id), OK);
-      /* A change of something else, with which a view is made. */
+      /* Changes an unrelated item, after which the gateway builds a new view. */
       if (i % 6 == 0)
         bt_put_field_item (testbed, "other/key", id);
     }
@@ -153,7 +154,8 @@
   CU_ASSERT_EQUAL (count_log_lines ("entry-unreadable", "bilberrytray/entries/x"), 1);
 }
 
-/* Callers ask which addresses to use. What was scribbled is not told to them. */
+/* Callers ask which addresses to use. The address in an invalid item must not be advertised to
+ * them. */
 static void
 test_invalid_address_is_not_advertised (void)
 {
@@ -168,8 +170,8 @@
   bt_clear_reply (&reply);
 }
 
-/* Another writer overwrites the runners' own entries. They name no runner then, until the runners
- * write again. */
+/* Another program overwrites the runners' own items. They must name no runner until the runners
+ * write them again. */
 static void
 test_overwritten_runner_is_unused_until_it_writes_again (void)
 {
--- a/test/process/test_gateway_logs.c
+++ b/test/process/test_gateway_logs.c
@@ -13,10 +13,10 @@
 {
   OK = 200,
   NOT_FOUND = 404,
-  NORMAL_REQUESTS = 100,                 /* requests */
-  BURST_REQUESTS = 10 * NORMAL_REQUESTS, /* those of a burst */
+  NORMAL_REQUESTS = 100,
+  BURST_REQUESTS = 10 * NORMAL_REQUESTS,
   CALLERS = 8,
-  CALLERS_WITHOUT_ROUTE = 2, /* whose path has no route */
+  CALLERS_WITHOUT_ROUTE = 2,
   LINE_BYTES = 128,
   BASE_TEN = 10,
 };
@@ -32,8 +32,8 @@
 static bt_field_t *testbed;
 static log_pipe_t gateway_log;
 
-/* The second gateway is started anew with its output in a pipe, so that the first one's log shows
- * what went wrong if the test fails. */
+/* Restarts the second gateway with its output in a pipe. The first one's log still shows what went
+ * wrong if the test fails. */
 static int
 start_suite (void)
 {
@@ -66,7 +66,7 @@
   return bt_call_field_status (testbed, &call);
 }
 
-/* True when each of so many requests was answered as it had to be. */
+/* Sends @p count requests and returns whether each got the expected status. */
 static bool
 send_requests (int32_t count, bool without_route)
 {
@@ -98,7 +98,7 @@
     }
 }
 
-/* A value of the gateway's page; -1 when it is not there. */
+/* Reads a value of the gateway's metrics page; -1 if the page does not have it. */
 static int64_t
 read_value (const char *name)
 {
@@ -114,9 +114,10 @@
   return value;
 }
 
-/* Whoever reads a gateway's log stops while ten times the usual requests come, a quarter of them
- * astray. Every request is answered as before. The page says how many lines were lost. When the
- * reader goes on, every line is whole and one says how many are missing. */
+/* The reader of a gateway's log stalls while ten times the normal number of requests arrive, a
+ * quarter of them without a route. Every request must be answered as before, and the metrics must
+ * say how many lines were lost. When the reader continues, every line must be complete and one must
+ * say how many are missing. */
 static void
 test_stalled_log_reader_affects_no_request (void)
 {
@@ -136,7 +137,7 @@
   CU_ASSERT (sum_log_pipe (&gateway_log, "log-left-out", "reader", "failures") > 0);
 }
 
-/* The reader never comes back, and the gateway is told to stop. It ends all the same. */
+/* The log reader stalls for good, and the gateway is told to stop. It must still exit. */
 static void
 test_stalled_log_reader_delays_no_stop (void)
 {
--- a/test/process/test_gateway_peers.c
+++ b/test/process/test_gateway_peers.c
@@ -89,8 +89,8 @@
   return bt_read_gateway_metric (testbed, gateway, "bilberry_store_calls_total{kind=\"watch\"}");
 }
 
-/* Four entries of one failure domain stand before a store that counts every call. One of them reads
- * it, the others learn from that one and stop asking the store. */
+/* Four gateways of one failure domain use a store that counts every call. One of them must read it;
+ * the others must learn from that one and stop calling the store. */
 static void
 test_one_gateway_reads_the_store (void)
 {
@@ -117,9 +117,9 @@
   CU_ASSERT_TRUE (bt_set_hop_fault (testbed->hop_ports[gateway], fault, 0));
 }
 
-/* The store turns one entry after the other away while it serves the rest, and each time a key is
- * taken away from a caller. The entry that is turned away learns it from a peer, whether it read
- * the store before or not, and refuses the key. */
+/* The store refuses the calls of one gateway after the other while it serves the rest, and each
+ * time an API key is revoked. The refused gateway must learn this from a peer, whether it read the
+ * store before or not, and refuse the key. */
 static void
 test_refused_entry_learns_from_a_peer (void)
 {
@@ -137,8 +137,8 @@
     }
 }
 
-/* An entry is killed and starts again while the store turns it away. A peer that it finds by its
- * settings tells it the configuration, and it serves. */
+/* A gateway is killed and restarted while the store refuses its calls. A peer that it finds by its
+ * settings must send it the configuration, so that it can serve. */
 static void
 test_entry_starts_without_the_store (void)
 {
@@ -154,8 +154,8 @@
   set_hop_fault (1, BT_HOP_NONE);
 }
 
-/* The process that reads the store for all stands still: its connections stay open and nothing
- * comes. The others notice the silence and read the store themselves. */
+/* The gateway that reads the store for all freezes: its connections stay open and nothing arrives.
+ * The others must notice the silence and read the store themselves. */
 static void
 test_frozen_reader_is_replaced (void)
 {
@@ -175,7 +175,7 @@
     }
 }
 
-/* Whether a gateway tells callers the address of another one. */
+/* Returns whether a gateway advertises the address of another one. */
 static bool
 is_advertised (int32_t gateway, int32_t other)
 {
@@ -207,9 +207,9 @@
   return true;
 }
 
-/* Callers are sent to an entry that refuses them, again and again. It was told to stop while the
- * store was away, so that it could not take back its listing, and all others went on telling its
- * address. The others hear of its leaving from itself. */
+/* Guards against callers that are sent to a stopping gateway, which refuses them, again and again.
+ * It is told to stop while the store is unavailable, so it can't remove its item, and the others
+ * would continue to advertise its address. They must learn from itself that it departs. */
 static void
 test_departed_peer_is_not_advertised (void)
 {
--- a/test/process/test_gateway_starts.c
+++ b/test/process/test_gateway_starts.c
@@ -15,7 +15,7 @@
   BAD_GATEWAY = 502,
   UNAVAILABLE = 503,
   POLL_MS = 20,
-  /* Until requests that were sent have begun to run. */
+  /* Time until the requests that were sent have begun to run. */
   RUN_BEGIN_MS = 500,
   CALLERS = 6,
 };
@@ -78,10 +78,10 @@
     CU_ASSERT_TRUE (bt_set_field_fault (testbed->runner_ports[i], fault));
 }
 
-/* Orders run when their runners lose power. The runners start again under the ids that they had,
- * and are listed, while the orders still have time left. A new start looks like a runner that was
- * not tried yet, but it would run an order a second time: the callers are told that nobody knows.
- */
+/* Orders are running when their runners are killed. The runners restart under the same ids, and are
+ * listed, while the orders still have time left. A restarted runner looks like one that was not
+ * tried yet, but would run an order a second time: the callers must be told that the outcome is
+ * unknown. */
 static void
 test_order_is_not_repeated_by_a_restarted_runner (void)
 {
@@ -120,8 +120,8 @@
     CU_ASSERT_TRUE (bt_set_field_fault (testbed->runner_ports[i], fault));
 }
 
-/* All runners but one are full, and a request runs on that one when it dies. It starts again under
- * its id. The request may run again, and the new start is the only one that could run it. */
+/* All runners but one are full, and that one is killed while it runs a request, and restarts under
+ * its id. The request may run again, and only the restarted runner could run it. */
 static void
 test_lookup_is_retried_by_a_restarted_runner (void)
 {
@@ -147,9 +147,9 @@
   set_other_faults ("{\"kind\":\"none\"}");
 }
 
-/* The address of the only runner with room is taken by another process for a while, so that the
- * runner was found to be gone. Then it starts again there under its id. Its entry is the same but
- * for its start, and it is used again. */
+/* Another process uses the address of the only runner with free slots for a while, so that the
+ * gateway finds the runner gone. Then the runner restarts there under its id. Its item differs only
+ * in the start time, and the runner must be used again. */
 static void
 test_runner_is_used_after_another_had_its_address (void)
 {
--- a/test/process/test_gateway_stop.c
+++ b/test/process/test_gateway_stop.c
@@ -19,7 +19,7 @@
   BAD_GATEWAY = 502,
   UNAVAILABLE = 503,
   CALLER_PAUSE_MS = 5,
-  /* Shorter than the run of the slow request, and longer than address answers are believed. */
+  /* Shorter than the run of the slow request, and longer than callers use an address answer. */
   SHORT_DRAIN_MS = 1600,
   LONG_DRAIN_MS = 8000,
   IDLE_CONNECTIONS = 250,
@@ -40,7 +40,7 @@
     "\"limits\":{\"max_header_bytes\":16384,\"max_body_bytes\":65536,\"idle_timeout_ms\":15000}}";
 
 static bt_field_t *testbed;
-static long log_start; /* where the log of the stopped gateway's present start begins */
+static long log_start; /* offset of the stopped gateway's present process in its log */
 
 static int
 start_suite (void)
@@ -68,14 +68,14 @@
   bt_send_gateway_call (testbed, &call, reply);
 }
 
-/** What callers got from a gateway that stops, each on a connection of its own. */
+/** Replies that callers received from a stopping gateway, each on a separate connection. */
 typedef struct stop_tally
 {
   int32_t served;
   int32_t refused;     /* by an answer that says that the request has not run */
-  int32_t unconnected; /* nobody listened any more */
-  int32_t lost;        /* the connection was made, and no answer came */
-  int status;          /* how the process ended */
+  int32_t unconnected; /* the port was closed */
+  int32_t lost;        /* connected, but no valid answer arrived */
+  int status;          /* exit status of the process */
 } stop_tally_t;
 
 static void
@@ -114,8 +114,8 @@
   bt_clear_reply (&reply);
 }
 
-/* Sends one request after the other to the gateway's address until its process is gone, as a caller
- * does who was told the address before. */
+/* Sends one request after the other to the gateway until its process has exited, like a caller that
+ * got the address before the stop. */
 static void
 call_until_gone (stop_tally_t *tally)
 {
@@ -129,7 +129,7 @@
   testbed->gateways[1] = 0;
 }
 
-/* Opens the log of the stopped gateway at its present start. */
+/* Opens the log of the stopped gateway at the start of its present process. */
 static FILE *
 open_log (void)
 {
@@ -143,8 +143,8 @@
   return log;
 }
 
-/* How many connections the gateway has accepted at its callers' port, by its log; -1 without
- * a line of that. */
+/* Returns how many connections the gateway has accepted on its callers' port, according to its log;
+ * -1 if the log does not say. */
 static int32_t
 read_accepted (void)
 {
@@ -162,9 +162,9 @@
   return accepted;
 }
 
-/* A connection that the kernel made in the moment in which the port was closed, and that the
- * process never had, was not let in; every other one must have got its answer. @p others are
- * connections that are in no tally. */
+/* Checks that every accepted connection got its answer. A connection that the kernel made at the
+ * moment when the port was closed, and that never reached the process, was not accepted. @p others
+ * is the number of connections that are not in the tally. */
 static void
 check_stop (const stop_tally_t *tally, int32_t others)
 {
@@ -198,8 +198,8 @@
     CU_ASSERT_TRUE (bt_set_field_fault (testbed->runner_ports[i], fault));
 }
 
-/* A caller whose request lasts longer than any stop here; its process ends with 0 when it was told
- * that the gateway had to end in the middle of it. */
+/* Starts a caller whose request runs longer than any stop here. Its process exits with 0 if the
+ * answer said that the gateway stopped in the middle of the request. */
 static pid_t
 start_slow_caller (const char *id)
 {
@@ -241,12 +241,12 @@
   return runs > 0;
 }
 
-/* Runners begin at once with what the path names, and answer after seconds. */
+/* Runners begin to run requests with this path at once and answer seconds later. */
 static const char *const late_fault = "{\"kind\":\"late\",\"count\":-1,\"match\":\"/slow\"}";
 
-/* A caller sees its connection made, sends a request and gets no answer; seconds later the
- * connection breaks. The entry was told to stop while the store was silent. Its loop had ended, and
- * the process waited for its last call of the store with the callers' sockets still open. */
+/* A gateway is told to stop while the store is silent. Guards against a caller that connects, sends
+ * a request and gets no answer until the connection breaks seconds later: the event loop had ended,
+ * and the process waited for its last store call with the callers' sockets still open. */
 static void
 test_stop_while_the_store_is_silent (void)
 {
@@ -260,10 +260,10 @@
   CU_ASSERT_TRUE (bt_set_hop_fault (testbed->hop_ports[1], BT_HOP_NONE, 0));
 }
 
-/* A request outlasts the time that a stop may take, and callers that hold an old answer keep
- * coming. When the time was over, the entry read one more request whole, laid its connection to
- * sleep for a loop that had ended, and the HTTP library aborted the process over it: the caller got
- * no answer, and whatever the process still had to do was not done. */
+/* A request takes longer than a stop may take, and callers with an old address answer keep coming.
+ * Guards against a gateway that aborts after that time: it read one more complete request and
+ * suspended its connection for a loop that had ended, and the HTTP library aborted the process. The
+ * caller got no answer, and the rest of the stop was not done. */
 static void
 test_stop_with_a_request_beyond_the_drain_time (void)
 {
@@ -282,7 +282,7 @@
   set_all_faults ("{\"kind\":\"none\"}");
 }
 
-/* A connection to the gateway's callers' port; -1 when there is none to be had. */
+/* Connects to the gateway's callers' port; returns -1 on failure. */
 static int
 connect_to_gateway (void)
 {
@@ -317,8 +317,8 @@
   return send (fd, head, (size_t)bytes, MSG_NOSIGNAL) == bytes;
 }
 
-/* What became of a request that was sent on a kept connection. The gateway closes it behind its
- * answer. */
+/* Counts the answer to a request that was sent on an idle connection. The gateway closes the
+ * connection after the answer. */
 static void
 count_answer_on_idle (stop_tally_t *tally, int fd, int32_t number)
 {
@@ -336,9 +336,9 @@
                 body == NULL ? answer : body + 4);
 }
 
-/* Callers keep idle connections to an entry that is told to stop, and use them one after the other,
- * each once. One that sees its connection closed goes elsewhere; one that has sent its request on
- * an open connection must be answered, until the very end of the process. */
+/* Callers keep idle connections to a gateway that is told to stop, and use them one after the
+ * other, each once. A caller that sees its connection closed goes to another gateway. A request
+ * that was sent on an open connection must be answered, until the process exits. */
 static void
 test_stop_with_idle_connections (void)
 {
@@ -396,7 +396,7 @@
   return false;
 }
 
-/* Which runner runs a request. */
+/* Returns the runner that runs a request; -1: none. */
 static int32_t
 find_runner (const char *id)
 {
@@ -406,9 +406,9 @@
   return -1;
 }
 
-/* An endpoint begins to leave while an entry that stops still has requests under way, in the time
- * in which it refuses late comers. One of them fails at its endpoint and is sent on: the entry no
- * longer followed the store, and sent it to the endpoint that leaves. */
+/* An endpoint begins to drain while a stopping gateway has requests in progress and already refuses
+ * new ones. One of the requests fails at its endpoint and is retried. Guards against a gateway that
+ * no longer follows the store and retries on the draining endpoint. */
 static void
 test_endpoint_drains_while_the_entry_closes (void)
 {
--- a/test/process/test_hostile.c
+++ b/test/process/test_hostile.c
@@ -93,7 +93,8 @@
   bt_clear_reply (&reply);
 }
 
-/* A caller sends a head of hundreds of kilobytes. It gets an error, not an ever growing buffer. */
+/* A caller sends headers of hundreds of kilobytes. It must get an error, and the buffer must not
+ * grow without limit. */
 static void
 test_oversized_head_gets_an_error (void)
 {
@@ -136,8 +137,8 @@
   check_entry_serves ();
 }
 
-/* Many callers open a request and then send nothing. Their connections are closed after the idle
- * limit, and others are served meanwhile. */
+/* Many callers begin a request and then send nothing. Their connections must be closed after the
+ * idle limit, and other callers must be served meanwhile. */
 static void
 test_stalled_requests_are_closed (void)
 {
@@ -191,13 +192,12 @@
     noise[i] = (uint8_t)bt_next_random (&random);
   CU_ASSERT_TRUE (fd >= 0);
   if (send (fd, noise, sizeof noise, MSG_NOSIGNAL) < 0)
-    CU_FAIL ("the noise was not sent");
+    CU_FAIL ("the random bytes were not sent");
   close (fd);
 }
 
-/* A stranger announces a body of the longest size on many connections and sends little of it, then
- * the same with bodies over the limit. What the entry holds grows by what was sent, not by what was
- * announced: by far less than the hundreds of megabytes named. */
+/* Clients announce large bodies on many connections and send little of them. The memory of the
+ * entry must grow by what was sent, not by the hundreds of megabytes that were announced. */
 static void
 test_announced_bodies_allocate_no_memory (void)
 {
@@ -219,8 +219,8 @@
     close (fds[i]);
 }
 
-/* Strangers send noise to the callers' port and to the ports for links of an entry and an agent.
- * The processes close those connections and go on serving. */
+/* Random bytes arrive at the callers' port and at the link ports of an entry and an agent. The
+ * processes must close those connections and continue to serve. */
 static void
 test_random_bytes_at_each_port_do_no_harm (void)
 {
--- a/test/process/test_map_group.c
+++ b/test/process/test_map_group.c
@@ -93,7 +93,7 @@
   return bt_signal_process (testbed, name, SIGKILL);
 }
 
-/* The harness starts agents that know of no group; they are started again with it. */
+/* The harness starts agents without a group; they are restarted with one. */
 static int
 start_testbed (const char *const *arguments)
 {
@@ -142,7 +142,8 @@
   return size * count;
 }
 
-/* The group's page, or a rank's; NULL once it has aborted. The answer is the caller's. */
+/* Calls a page of the group or of a rank. Returns NULL once the group has aborted. The caller owns
+ * the answer. */
 static json_t *
 call_group (const char *path, const char *body)
 {
@@ -203,7 +204,7 @@
   return read_steps () > *(int64_t *)argument;
 }
 
-/* Steps go on, under the map that is wanted. */
+/* Checks that the group uses the wanted map and continues to step. */
 static void
 check_group (void)
 {
@@ -235,7 +236,8 @@
   json_decref (bt_call_standin (testbed, "kv", "/v3/kv/put", body));
 }
 
-/* A stopped entry is not asked: its page would not answer. */
+/* Returns the entry that is the controller, -1: none. The entry @p stopped is not asked: its page
+ * would not answer. */
 static int32_t
 find_running_controller (int32_t stopped)
 {
@@ -297,8 +299,9 @@
   check_group ();
 }
 
-/* One rank steps with the old map or the group stands still for good: the decision of a round never
- * reaches rank 1 from the controller, three times over. */
+/* Guards against one rank that steps with the old map, and against a group that stands still for
+ * good, when the decision of a round is lost three times on its way from the controller to rank 1.
+ */
 static void
 test_lost_decision_reaches_one_rank (void)
 {
@@ -307,8 +310,9 @@
   check_group ();
 }
 
-/* A group with two maps. The entry that controls it is stopped in the middle of a round; another
- * takes over; the first wakes and goes on where it was. Its orders are refused. */
+/* Guards against a group with two maps. The entry that is the controller freezes in the middle of a
+ * round, and another one takes over. The first one resumes and continues where it was: its orders
+ * must be refused. */
 static void
 test_resumed_controller_is_fenced (void)
 {
@@ -330,8 +334,8 @@
   check_group ();
 }
 
-/* Rank 0's engine has taken the map, its agent dies before it can say so. The restarted agent asks
- * its engine, and the others learn the same decision. */
+/* Rank 0's engine has applied the map, and its agent dies before it can report that. The restarted
+ * agent must ask its engine, and the other ranks must learn the same decision. */
 static void
 test_agent_of_rank_0_dies_after_deciding (void)
 {
@@ -346,8 +350,8 @@
   check_group ();
 }
 
-/* The same with the decision lost on its way to the engine: each try, until the agent is dead, so
- * that the test cannot miss the state it waits for. */
+/* The agent of rank 0 dies while the decision is lost on its way to the engine. Every attempt is
+ * lost until the agent is dead, so that the test can't miss the state that it waits for. */
 static void
 test_agent_of_rank_0_dies_before_deciding (void)
 {
@@ -362,8 +366,8 @@
   check_group ();
 }
 
-/* The service is down, and the group's steps go on; a map that is wanted comes into use once it is
- * back. */
+/* The store is down, and the group must continue to step. A wanted map must come into use once the
+ * store is back. */
 static void
 test_store_outage_stops_no_step (void)
 {
@@ -377,7 +381,7 @@
   check_group ();
 }
 
-/* A replaced engine gets the group's map before it joins. */
+/* A replaced engine must get the group's map before it joins. */
 static void
 test_rank_0_is_replaced (void)
 {
@@ -385,7 +389,7 @@
   check_group ();
 }
 
-/* The digest that a rank uses, 0 for none. */
+/* Returns the digest of the map that a rank uses, 0 for none. */
 static uint64_t
 read_map (int32_t rank)
 {
@@ -423,8 +427,8 @@
   return read_map (0) == *(uint64_t *)argument;
 }
 
-/* One expert in each layer is hot and slows every step. The planner's map comes into use by itself,
- * and stays: a second plan finds nothing that pays. */
+/* One expert in each layer is hot and slows every step. The planner's map must come into use
+ * without an operator, and stay: a second plan finds no change that pays. */
 static void
 test_planned_map_is_applied (void)
 {
@@ -439,8 +443,9 @@
   CU_ASSERT_EQUAL (waitpid (group_pid, NULL, WNOHANG), 0);
 }
 
-/* A rank would join with the first map, or never. The controller dies and a rank is replaced; the
- * new controller did not make the map in use, and finds its bytes in the service. */
+/* Guards against a replaced rank that joins with the first map, or never. The controller dies and a
+ * rank is replaced. The new controller did not make the map in use, and must find its bytes in the
+ * store. */
 static void
 test_new_controller_finds_the_planned_map (void)
 {
--- a/test/process/test_path.c
+++ b/test/process/test_path.c
@@ -104,8 +104,7 @@
   bt_clear_reply (&reply);
 }
 
-/* A caller holds the addresses of two entries. One entry's instance dies; the caller's next request
- * through the other is answered whole, and soon the dead one is no longer named. */
+/* Returns whether an entry advertises only one address. */
 static bool
 advertises_one_entry (void *argument)
 {
@@ -121,6 +120,9 @@
   return one;
 }
 
+/* A caller has the addresses of two entries, and the instance of one dies. The caller's next
+ * request through the other must be answered completely, and the dead entry must soon no longer be
+ * advertised. */
 static void
 test_dead_entry_is_not_advertised (void)
 {
--- a/test/process/test_request_faults.c
+++ b/test/process/test_request_faults.c
@@ -10,7 +10,7 @@
 {
   STEP_US = 20000,
   LONG_TOKENS = 60,
-  SHORT_FREEZE_MS = 300,   /* Beyond the hurried deadline, within the links' limit. */
+  SHORT_FREEZE_MS = 300,   /* Beyond the deadline of "hurried", within the links' idle limit. */
   BEYOND_LIMITS_MS = 6000, /* Longer than any limit of a link or a message. */
 };
 
@@ -36,9 +36,10 @@
   return 0;
 }
 
-/* A buyer's draft is streaming when its entry dies. The buyer sends it again, with the same key,
- * through the other entry. The run went on at the agent: the buyer gets its whole answer, and the
- * draft ran once. Without a key at its home it would run, and be ordered, twice. */
+/* An entry dies while it streams a draft's answer. The caller sends the draft again with the same
+ * key through the other entry. The run has continued at the agent: the caller must get its complete
+ * answer, and the draft must have run once. Without a key at its home agent it would run, and be
+ * ordered, twice. */
 static void
 test_resend_through_another_entry (void)
 {
@@ -61,9 +62,9 @@
   CU_ASSERT_TRUE (bt_wait_endpoints (testbed, "entry-0", 2));
 }
 
-/* Two copies of one draft race through two entries, as when a buyer's app gives up too early, and a
- * third follows when all is over. They meet at the key's home: the draft runs once, and all three
- * get its whole answer. */
+/* Two copies of one draft are sent at the same time through two entries, as when a caller's app
+ * gives up too early, and a third follows after both are answered. They meet at the key's home
+ * agent: the draft must run once, and all three must get its complete answer. */
 static void
 test_concurrent_copies_run_once (void)
 {
@@ -92,8 +93,8 @@
     }
 }
 
-/* The engine's stream goes silent half-way on a connection that looks alive. The agent takes the
- * same run up where it broke off; the buyer gets one whole answer of one run. */
+/* The engine's stream goes silent half-way on a connection that stays open. The agent must resume
+ * the same run where it broke off; the caller must get one complete answer of one run. */
 static void
 test_engine_stream_goes_silent (void)
 {
@@ -113,7 +114,7 @@
                                   "{\"kind\":\"silent\",\"count\":0,\"after\":0}"));
 }
 
-/* Which agent's process the draft's run names is not known here, so both are hit alike. */
+/* The test does not know which agent runs the draft, so it signals both. */
 static void
 signal_agents (int signal_number)
 {
@@ -121,9 +122,9 @@
   CU_ASSERT_TRUE (bt_signal_process (testbed, "agent-1", signal_number));
 }
 
-/* The agent freezes for less than its links' limit while a hurried draft waits in its buffer. The
- * deadline passes; the buyer must not be told "not run", since on waking the agent runs the draft
- * before it reads that nobody wants it any more. */
+/* The agent freezes for less than its links' idle limit while a draft with a short deadline is in
+ * its receive buffer. The deadline passes. The caller must not be told "not run": after it resumes,
+ * the agent runs the draft before it reads that the draft is no longer wanted. */
 static void
 test_short_freeze_at_the_deadline (void)
 {
@@ -141,10 +142,11 @@
   bt_clear_reply (&draft.reply);
 }
 
-/* The agent freezes with the link's buffer open; the entry sends a draft into it. Nobody answers,
- * so the buyer is told "unknown" at once. When the agent wakes it may find the draft in its buffer
- * and run it: had the buyer been told "not run" and ordered again, the draft would come twice. Sent
- * again with its key it is answered by that one run, or runs now for the first time. */
+/* The agent freezes while its link is open, and the entry sends a draft into the link's buffer.
+ * Nobody answers, so the caller must be told "unknown" at once. When the agent resumes, it may find
+ * the draft in its buffer and run it: if the caller had been told "not run" and had ordered again,
+ * the draft would run twice. When the draft is sent again with its key, it must be answered by that
+ * one run, or run now for the first time. */
 static void
 test_agent_frozen_with_the_dispatch_in_its_buffer (void)
 {
@@ -168,8 +170,9 @@
   CU_ASSERT_TRUE (bt_wait_endpoints (testbed, "entry-0", 2));
 }
 
-/* The agent dies after its engine took the draft. Nothing remembers whether it ran, so the buyer is
- * told "unknown", now and on each resend; the restarted agent must not run it a second time. */
+/* The agent dies after its engine has accepted the draft. No process knows whether it ran, so the
+ * caller must be told "unknown", now and at each resend; the restarted agent must not run it a
+ * second time. */
 static void
 test_agent_killed_while_the_engine_runs (void)
 {
@@ -195,9 +198,8 @@
   CU_ASSERT_TRUE (bt_wait_endpoints (testbed, "entry-0", 2));
 }
 
-/* Another account finds a ticket in a log and sends it. It must not get the answer to a request
- * that is not its own; it is told that the key is none of its, and the owner still gets the answer.
- */
+/* Another account finds a ticket in a log and sends it. It must not get the answer to a request of
+ * the owner: it is told that the key was not issued to it, and the owner still gets the answer. */
 static void
 test_ticket_is_bound_to_its_account (void)
 {
--- a/test/process/test_request_silence.c
+++ b/test/process/test_request_silence.c
@@ -11,7 +11,7 @@
 {
   MAX_RESTARTS = 20,
   STEP_US = 20000,
-  LONG_TOKENS = 200, /* At 20 ms each: longer than a silent link needs to be found dead. */
+  LONG_TOKENS = 200, /* At 20 ms each: longer than the detection of a silent link takes. */
   AGENT_PORT_OFFSET = 70,
   URL_BYTES = 64,
   LIST_BYTES = 512,
@@ -30,7 +30,7 @@
   return size * count;
 }
 
-/* Names the hop's address as the agent's. */
+/* Publishes the proxy's address as the agent's. */
 static bool
 put_proxy_address (void)
 {
@@ -62,7 +62,7 @@
   return bt_is_entry_ready (testbed, "entry-0", 0);
 }
 
-/* Restarts the agent; true when the entry has dialled it through the hop. */
+/* Restarts the agent. Returns whether the entry has connected to it through the proxy. */
 static bool
 restart_agent (void)
 {
@@ -71,8 +71,8 @@
          && bt_count_proxy_connections (proxy) > 0;
 }
 
-/* The agent is restarted until the entry has dialled it through the hop: an entry that has not read
- * the new list yet dials the old address, and has no reason to dial again. */
+/* Restarts the agent until the entry has connected to it through the proxy: an entry that has not
+ * read the new list yet connects to the old address and has no reason to connect again. */
 static int
 start_suite (void)
 {
@@ -87,7 +87,7 @@
       through_proxy = restart_agent ();
   if (through_proxy)
     return 0;
-  fprintf (stderr, "the stage has no hop\n");
+  fprintf (stderr, "the entry did not connect to the agent through the proxy\n");
   bt_drop_stage (testbed, true);
   return 1;
 }
@@ -100,9 +100,10 @@
   return 0;
 }
 
-/* A draft streams when something between entry and agent forgets their connection: both ends keep
- * it open and nothing passes. New connections work. The entry finds the silence, dials again and
- * asks the same run for the rest; the buyer gets one whole answer of one run. */
+/* While an answer is streamed, something between entry and agent stops forwarding: both ends keep
+ * the connection open, and nothing passes. New connections work. The entry must detect the silence,
+ * connect again and request the rest of the same run; the caller must get one complete answer of
+ * one run. */
 static void
 test_link_goes_silent_during_an_answer (void)
 {
@@ -121,8 +122,8 @@
   bt_clear_reply (&draft.reply);
 }
 
-/* The same to a draft without a key: its run can't be asked for again, so the caller sees a cut
- * answer, and the run is stopped rather than finished for nobody. */
+/* The same for a draft without a key: its run can't be requested again, so the caller must see an
+ * answer that is cut off, and the run is stopped, since nobody could use its result. */
 static void
 test_link_goes_silent_without_a_key (void)
 {
@@ -133,15 +134,15 @@
   CU_ASSERT_TRUE (bt_wait_draft_started (&draft));
   bt_silence_proxy (proxy);
   bt_join_draft (&draft);
-  /* A silence before the first piece leaves nothing to cut: then the answer is whole and says that
-   * what became of the run is unknown. */
+  /* If the link goes silent before the first piece, there is no answer to cut off: the reply is
+   * then complete and says that the outcome of the run is unknown. */
   CU_ASSERT (draft.reply.curl_code != 0 || strcmp (draft.reply.outcome, "unknown") == 0);
   CU_ASSERT_EQUAL (bt_count_draft_runs (&draft), 1);
   bt_clear_reply (&draft.reply);
 }
 
 /* Every frame between entry and agent arrives twice: the dispatch, its acceptance, the pieces and
- * the end of the answer. The draft runs once, and no piece is given to the buyer twice. */
+ * the end of the answer. The draft must run once, and the caller must not get any piece twice. */
 static void
 test_duplicate_frames_are_ignored (void)
 {
--- a/test/process/test_request_stops.c
+++ b/test/process/test_request_stops.c
@@ -13,9 +13,9 @@
   STEP_US = 20000,
   LONG_TOKENS = 60,
   CALLERS = 12,
-  DRAIN_ACCEPT_MS = 2000, /* After this a leaving endpoint gets no new work. */
+  DRAIN_ACCEPT_MS = 2000, /* After this time a draining endpoint gets no new work. */
   SHORT_TOKENS = 5,
-  MAX_LATE_DRAFTS = 600, /* Drafts of 0.1 s that a stop has room for, many times over. */
+  MAX_LATE_DRAFTS = 600, /* Many times the number of drafts, of 0.1 s each, that fit into a stop. */
 };
 
 static const char *const rules =
@@ -42,7 +42,7 @@
   return 0;
 }
 
-/* Drafts of several callers, each with a key of its own. */
+/* Drafts of several callers, each with a separate key. */
 typedef struct draft_batch
 {
   bt_draft_t drafts[CALLERS];
@@ -91,8 +91,7 @@
   return started;
 }
 
-/* A buyer closes the app while the draft streams. With a key the run goes on, and opening the app
- * again fetches the whole draft. Without one nobody can fetch it, so the engine is told to stop. */
+/* Returns the run of a prompt from the engines' logs; NULL: none. The caller owns it. */
 static json_t *
 find_run (const char *prompt)
 {
@@ -128,6 +127,9 @@
   return cancelled;
 }
 
+/* A caller disconnects while its draft is streamed. With a key the run must continue, and a resend
+ * must get the complete draft. Without a key nobody can fetch it, so the engine must be told to
+ * cancel the run. */
 static void
 test_caller_disconnects (void)
 {
@@ -151,8 +153,9 @@
   bt_clear_reply (&resend.reply);
 }
 
-/* A resend meets an entry that does not know its token, or was just started and knows no rules yet,
- * while the first copy runs. That entry looked into nothing, so it must not say "not run". */
+/* While the first copy of a draft runs, a resend arrives at an entry that does not know its token,
+ * or was just started and has no rules yet. That entry has checked nothing, so it must not answer
+ * "not run". */
 static void
 test_unauthenticated_resend_is_unknown (void)
 {
@@ -172,9 +175,9 @@
   bt_clear_reply (&resend.reply);
 }
 
-/* An endpoint's agent is told to leave while twelve drafts stream. None is cut; drafts with tickets
- * of that very agent go to the other endpoint; after two seconds it starts nothing more; and it
- * stays until its tickets have expired, then exits by itself. */
+/* An endpoint's agent is told to stop while twelve drafts are streamed. None may be cut off, and
+ * drafts with tickets of that agent must go to the other endpoint. After two seconds it must start
+ * no more runs. It must stay until its tickets have expired, then exit by itself. */
 static void
 test_endpoint_drains_under_load (void)
 {
@@ -202,8 +205,8 @@
   CU_ASSERT_TRUE (bt_wait_endpoints (testbed, "entry-1", 2));
 }
 
-/* An entry is told to stop while twelve drafts stream through it. None is cut, a caller that still
- * holds its address is served, and the entry exits by itself. */
+/* An entry is told to stop while it streams twelve drafts. None may be cut off, a caller that still
+ * has its address must be served, and the entry must exit by itself. */
 static void
 test_entry_stops_under_load (void)
 {
@@ -223,8 +226,8 @@
   bt_clear_reply (&late.reply);
 }
 
-/* How many connections the entry's last process had accepted at its callers' port, by its log; -1
- * without a line of that. */
+/* Returns how many connections the entry's latest process has accepted on its callers' port,
+ * according to its log; -1 if the log does not say. */
 static int32_t
 read_accepted (const char *entry)
 {
@@ -244,8 +247,8 @@
   return accepted;
 }
 
-/* True while the entry's port is open: a draft that was sent there came back whole, or was refused
- * as not run. */
+/* Sends a draft and returns whether the entry's port is still open. Counts the draft as lost if it
+ * was neither answered completely nor refused as not run. */
 static bool
 send_late_draft (int32_t number, int32_t *lost)
 {
@@ -266,9 +269,9 @@
   return connected;
 }
 
-/* A caller sends one draft after the other to an entry that stops. One of them got no answer, or
- * only a part of it: the entry had found nothing under way and had begun to take itself apart with
- * its callers' port still open, and cut what had come since. */
+/* A caller sends one draft after the other to an entry that stops. Guards against a draft that gets
+ * no answer, or only a part of it: the entry had found nothing in progress, had begun to shut down
+ * with its callers' port still open, and cut off what had arrived since. */
 static void
 test_stopping_entry_loses_no_request (void)
 {
@@ -286,8 +289,8 @@
   CU_ASSERT (sent > 0 && sent < MAX_LATE_DRAFTS);
   CU_ASSERT_TRUE (bt_wait_process (testbed, "entry-1", &code));
   CU_ASSERT_EQUAL (code, 0);
-  /* A connection that the kernel made in the moment in which the port was closed, and that the
-   * process never had, was not let in. */
+  /* A connection that the kernel made at the moment when the port was closed, and that never
+   * reached the process, was not accepted. */
   CU_ASSERT_EQUAL (lost, sent + others - read_accepted ("entry-1"));
 }
 
--- a/test/process/test_request_subset.c
+++ b/test/process/test_request_subset.c
@@ -5,7 +5,7 @@
 
 enum
 {
-  ENTRIES = 9, /* One more than an agent is linked to. */
+  ENTRIES = 9, /* One more than an agent has links to. */
   ENGINES = 2,
   STEP_US = 1000,
   NAME_BYTES = 32,
@@ -31,9 +31,10 @@
   return 0;
 }
 
-/* There are more entries than an agent is linked to. A buyer sends one draft through each of them
- * in turn, with one key. The entry that has no link to the key's home dials it for this call: every
- * copy gets the one whole answer. Without that it could only say that the home can't be reached. */
+/* There are more entries than an agent has links to. A caller sends one draft through each of them
+ * in turn, with one key. An entry without a link to the key's home agent must connect to it for
+ * this call, and every copy must get the one complete answer. Without that connection the entry
+ * could only answer that the home agent can't be reached. */
 static void
 test_any_entry_reaches_the_home_agent (void)
 {
--- a/test/process/test_side_page.c
+++ b/test/process/test_side_page.c
@@ -36,10 +36,10 @@
 
 static const char *const secret = "secret of the test";
 
-/** An entry that leads the engine's group, as far as the agent can see. */
+/** The entry that leads the engine's group, as the agent sees it. */
 typedef struct leader
 {
-  bt_link_handler_t handler; /* first */
+  bt_link_handler_t handler; /* must be the first member */
   atomic_int links_up;
   atomic_int reports;
   atomic_int results;
@@ -55,7 +55,8 @@
 static int32_t page_port;
 static uint64_t last_order;
 
-/* The engine takes what holds the group, says of ARM that another leads, and dies over GO. */
+/* The engine carries out HOLD, answers ARM with 412, as if another entry led, and closes the
+ * connection without an answer at GO. */
 static void
 answer_engine (void *data,
                bt_standin_t *standin,
@@ -108,7 +109,7 @@
 static const bt_link_handler_vtable_t leader_vtable = { on_up, on_frame, on_down,
                                                         on_heartbeat_due };
 
-/* A port below those that the system gives to connections. */
+/* Returns a free port below those that the system assigns to connections. */
 static int32_t
 find_port (void)
 {
@@ -138,9 +139,9 @@
   char engine_flag[TEXT_BYTES];
   char page[TEXT_BYTES];
   char secret_flag[TEXT_BYTES];
-  /* An engine that does not say in time how it stands gets its order's result held back, for the
-   * leader to ask again. The leader here asks once: the limit of a call must not be met by a busy
-   * machine. */
+  /* If the engine does not report its state in time, the agent holds back the result of an order,
+   * so that the leader asks again. The leader of this test asks once, so the time limit must be
+   * long enough for a busy machine. */
   char *list[] = { program,     "side",           listen, engine_flag, page, "--failure-domain=a",
                    secret_flag, "--call-ms=5000", NULL };
 
@@ -249,7 +250,7 @@
   return atomic_load (&leader.reports) > 0;
 }
 
-/* The page as text, to be freed. */
+/* Returns the metrics page as text; the caller frees it. */
 static char *
 read_page (void)
 {
@@ -288,9 +289,9 @@
   free (text);
 }
 
-/* A group is slow to change its map, and its operators ask which engine's agent is slow, and at
- * what. The page of each agent says how long its engine took for a report and for each kind of
- * order, what it answered, and how old a report was when it left. */
+/* When a group is slow to change its map, operators must see which engine's agent is slow, and at
+ * what. The metrics of each agent must say how long its engine took for a report and for each kind
+ * of order, what it answered, and how old a report was when it was sent. */
 static void
 test_metrics_cover_each_step (void)
 {
@@ -317,8 +318,9 @@
   CU_ASSERT (read_value ("bilberry_log_lines_lost_total{cause=\"reader\"} ") >= 0);
 }
 
-/* Whoever reads the agent's log stops, and a leader gives many orders. Each is carried out and
- * answered; the page says how many lines were lost, and so does the log when it is read again. */
+/* The reader of the agent's log stalls while a leader sends many orders. Each must be executed and
+ * answered. The metrics must say how many lines were lost, and so must the log when it is read
+ * again. */
 static void
 test_stalled_log_reader_affects_no_order (void)
 {
@@ -330,7 +332,7 @@
   CU_ASSERT_TRUE (bt_wait_until (has_all_results, NULL));
   CU_ASSERT (read_value (lost) > 0);
   read_log_pipe (&agent_log);
-  /* The budget may be used up: it lets a line through again within this time. */
+  /* The line budget may be used up; within this time it allows a line again. */
   bt_sleep_ms (HEARTBEAT_MS);
   send_order (BT_GROUP_HOLD, 8);
   CU_ASSERT_TRUE (bt_wait_until (has_all_results, NULL));
@@ -338,7 +340,7 @@
   CU_ASSERT_EQUAL (sum_log_pipe (&agent_log, "log-left-out", "reader", "lines"), read_value (lost));
 }
 
-/* SIGTERM ends an agent whose log nobody reads. */
+/* SIGTERM must end an agent whose log nobody reads. */
 static void
 test_stalled_log_reader_delays_no_stop (void)
 {
