--- a/test/process/test_map_group.c
+++ b/test/process/test_map_group.c
@@ -299,9 +299,8 @@
   check_group ();
 }
 
-/* Guards against one rank that steps with the old map, and against a group that stands still for
- * good, when the decision of a round is lost three times on its way from the controller to rank 1.
- */
+/* Guards against one rank that steps with the old map, and against a group that never steps again,
+ * when the decision of a round is lost three times on its way from the controller to rank 1. */
 static void
 test_lost_decision_reaches_one_rank (void)
 {
