--- a/test/process/test_gateway_stop.c
+++ b/test/process/test_gateway_stop.c
@@ -320,7 +320,7 @@
 /* Counts the answer to a request that was sent on an idle connection. The gateway closes the
  * connection after the answer. */
 static void
-count_answer_on_idle (stop_tally_t *tally, int fd, int32_t number)
+count_idle_answer (stop_tally_t *tally, int fd, int32_t number)
 {
   char answer[ANSWER_BYTES] = "";
   char id[64];
@@ -364,7 +364,7 @@
   for (int32_t i = 0; i < IDLE_CONNECTIONS; i++)
     {
       if (i < sent)
-        count_answer_on_idle (&tally, fds[i], i);
+        count_idle_answer (&tally, fds[i], i);
       close (fds[i]);
     }
   check_stop (&tally, 1 + IDLE_CONNECTIONS - sent);
