--- a/bench/bench_capacity.c
+++ b/bench/bench_capacity.c
@@ -304,7 +304,7 @@
 }
 
 static pid_t
-find_pid (const bt_stage_t *testbed, const char *name)
+find_pid (const bt_testbed_t *testbed, const char *name)
 {
   for (int32_t i = 0; i < testbed->process_count; i++)
     if (strcmp (testbed->processes[i].name, name) == 0)
@@ -370,14 +370,14 @@
 } process_metrics_t;
 
 static double
-count_calls (const bt_stage_t *testbed)
+count_calls (const bt_testbed_t *testbed)
 {
   return (double)(bt_count_store_calls (testbed, "range")
                   + bt_count_store_calls (testbed, "watch"));
 }
 
 static void
-measure_idle (const bt_stage_t *testbed, const char *name, process_metrics_t *metrics)
+measure_idle (const bt_testbed_t *testbed, const char *name, process_metrics_t *metrics)
 {
   pid_t pid = find_pid (testbed, name);
   double start_calls = count_calls (testbed);
@@ -391,7 +391,7 @@
 
 /* Writes rules directly into the store, ten changes a second: a day's changes in 70 minutes. */
 static void
-measure_changes (const bt_stage_t *testbed, const char *name, process_metrics_t *metrics)
+measure_changes (const bt_testbed_t *testbed, const char *name, process_metrics_t *metrics)
 {
   pid_t pid = find_pid (testbed, name);
   double start_calls = count_calls (testbed);
@@ -418,7 +418,7 @@
 static void
 bench_entry_processes (void)
 {
-  /* bt_new_stage waits until every entry is linked to every agent. That does not happen with more
+  /* bt_new_testbed waits until every entry is linked to every agent. That does not happen with more
    * than eight entries. */
   static const int32_t sizes[] = { 2, 4, 6, 8 };
   char *rules = bt_make_version_rules ("start");
@@ -433,14 +433,14 @@
       HEARTBEAT_INTERVAL_MS);
   for (int32_t i = 0; i < SIZES; i++)
     {
-      bt_stage_t *testbed = bt_new_stage (sizes[i], 0, 1, 1000, rules);
+      bt_testbed_t *testbed = bt_new_testbed (sizes[i], 0, 1, 1000, rules);
       process_metrics_t metrics = { 0 };
 
       if (testbed == NULL)
         continue;
       measure_idle (testbed, "entry-1", &metrics);
       measure_changes (testbed, "entry-1", &metrics);
-      bt_drop_stage (testbed, false);
+      bt_drop_testbed (testbed, false);
       printf ("| %d | %.0f | %.0f | %.2f | %.0f | %.1f |\n", (int)sizes[i], metrics.idle_cpu_us_s,
               metrics.memory_kb, metrics.calls_s, metrics.change_cpu_us, metrics.change_calls);
       fflush (stdout);
@@ -469,7 +469,7 @@
           HEARTBEAT_INTERVAL_MS);
   for (int32_t i = 0; i < SIZES; i++)
     {
-      bt_stage_t *testbed = bt_new_stage (1, 0, sizes[i], 1000, rules);
+      bt_testbed_t *testbed = bt_new_testbed (1, 0, sizes[i], 1000, rules);
       process_metrics_t entry = { 0 };
       process_metrics_t agent = { 0 };
 
@@ -477,7 +477,7 @@
         continue;
       measure_idle (testbed, "entry-0", &entry);
       measure_idle (testbed, "agent-0", &agent);
-      bt_drop_stage (testbed, false);
+      bt_drop_testbed (testbed, false);
       printf ("| %d | %.0f | %.0f | %.0f | %.0f |\n", (int)sizes[i], entry.idle_cpu_us_s,
               entry.memory_kb, agent.idle_cpu_us_s, agent.memory_kb);
       fflush (stdout);
@@ -492,7 +492,7 @@
 }
 
 static void
-measure_publishes (const bt_stage_t *testbed, int32_t entries)
+measure_publishes (const bt_testbed_t *testbed, int32_t entries)
 {
   double times_ms[PUBLISHES];
   int32_t accepted = 0;
@@ -523,12 +523,12 @@
           "| entries | accepted | p50 ms | worst ms |\n|--:|--:|--:|--:|\n");
   for (int32_t i = 0; i < SIZES; i++)
     {
-      bt_stage_t *testbed = bt_new_stage (sizes[i], 0, 1, 1000, rules);
+      bt_testbed_t *testbed = bt_new_testbed (sizes[i], 0, 1, 1000, rules);
 
       if (testbed == NULL)
         continue;
       measure_publishes (testbed, sizes[i]);
-      bt_drop_stage (testbed, false);
+      bt_drop_testbed (testbed, false);
     }
   free (rules);
 }
--- a/bench/bench_log.c
+++ b/bench/bench_log.c
@@ -69,7 +69,7 @@
   double bytes;   /* log bytes per request */
 } cost_t;
 
-static bt_field_t *testbed;
+static bt_gateway_testbed_t *testbed;
 static int32_t failed_requests;
 
 /* Returns the CPU time of all threads of a process, in microseconds. */
@@ -123,7 +123,7 @@
     {
       bt_reply_t reply;
 
-      bt_ask_gateway (testbed, gateway, "/a/lookup", headers, "shrimp", &reply);
+      bt_send_gateway_request (testbed, gateway, "/a/lookup", headers, "shrimp", &reply);
       failed_requests += reply.curl_code != 0 || reply.status != 200;
       bt_clear_reply (&reply);
     }
@@ -175,7 +175,7 @@
 {
   static int pipe_ends[2];
 
-  testbed = bt_new_field (MODES, configuration);
+  testbed = bt_new_gateway_testbed (MODES, configuration);
   if (testbed == NULL || pipe2 (pipe_ends, O_CLOEXEC) != 0)
     return false;
   fcntl (pipe_ends[1], F_SETPIPE_SZ, PIPE_BYTES);
@@ -325,6 +325,6 @@
   printf ("\n");
   print_lines (rounds);
   printf ("\nrequests that failed: %d\n", failed_requests);
-  bt_drop_field (testbed, false);
+  bt_drop_gateway_testbed (testbed, false);
   return failed_requests == 0 ? 0 : 1;
 }
--- a/bench/bench_path.c
+++ b/bench/bench_path.c
@@ -126,7 +126,7 @@
 }
 
 static double
-read_cpu_seconds (const bt_stage_t *testbed)
+read_cpu_seconds (const bt_testbed_t *testbed)
 {
   double ticks = 0;
 
@@ -183,7 +183,7 @@
 }
 
 static void
-run_load (const bt_stage_t *testbed,
+run_load (const bt_testbed_t *testbed,
           const char *const *targets,
           int32_t target_count,
           const char *path,
@@ -203,7 +203,7 @@
       client_t *client = &clients[i];
 
       snprintf (client->url, sizeof client->url, "http://127.0.0.1:%d%s",
-                bt_get_stage_port (testbed, targets[i % target_count]), path);
+                bt_get_testbed_port (testbed, targets[i % target_count]), path);
       client->body = body;
       client->requests = requests / client_count;
       client->interval_us = rate == 0 ? 0 : (int64_t)US_PER_S * client_count / rate;
@@ -229,7 +229,7 @@
 }
 
 static void
-compare_paths (const bt_stage_t *testbed,
+compare_paths (const bt_testbed_t *testbed,
                const char *name,
                const char *standin,
                const char *path,
@@ -277,7 +277,7 @@
   int32_t clients = (int32_t)read_option (argc, argv, "--clients", DEFAULT_CLIENTS);
   int64_t requests = rate * seconds;
   static const char *const agent_arguments[] = { "--slots", "256", "--queue", "256", NULL };
-  bt_stage_t *testbed;
+  bt_testbed_t *testbed;
 
   if (clients < 1 || clients > MAX_CLIENTS || rate < 1 || seconds < 1)
     {
@@ -286,8 +286,8 @@
                MAX_CLIENTS);
       return 2;
     }
-  bt_set_stage_arguments (NULL, agent_arguments);
-  testbed = bt_new_stage (2, 2, 1, 0, rules);
+  bt_set_testbed_arguments (NULL, agent_arguments);
+  testbed = bt_new_testbed (2, 2, 1, 0, rules);
   if (testbed == NULL)
     return 1;
   printf ("%lld requests a second for %lld s, %d keep-alive clients; times to the first byte\n\n",
@@ -301,6 +301,6 @@
                  "{\"prompt\":\"ten kilos\",\"max_tokens\":4}", rate, requests, clients);
   compare_paths (testbed, "plain service, unpaced", "plain-0", "/lookup/x", "stock of shrimp?", 0,
                  requests, clients);
-  bt_drop_stage (testbed, false);
+  bt_drop_testbed (testbed, false);
   return 0;
 }
--- a/bench/bench_policy_path.c
+++ b/bench/bench_policy_path.c
@@ -80,7 +80,7 @@
 /** A load in progress. */
 typedef struct load
 {
-  const bt_stage_t *testbed;
+  const bt_testbed_t *testbed;
   variant_t variant;
   CURLM *multi;
   bt_random_t random;
@@ -123,7 +123,7 @@
   snprintf (name, sizeof name, "%s-%d",
             load->variant == VARIANT_THROUGH_SYSTEM ? "entry" : "engine", caller->target);
   snprintf (url, sizeof url, "http://127.0.0.1:%d/v1/completions",
-            bt_get_stage_port (load->testbed, name));
+            bt_get_testbed_port (load->testbed, name));
   snprintf (body, sizeof body, "{\"prompt\":\"ten kilos\",\"max_tokens\":%d}", TOKENS);
   caller->lines = curl_slist_append (NULL, caller->small ? "Authorization: Bearer token-small"
                                                          : "Authorization: Bearer token-large");
@@ -186,7 +186,7 @@
 }
 
 static void
-run_load (const bt_stage_t *testbed,
+run_load (const bt_testbed_t *testbed,
           variant_t variant,
           double per_second,
           int64_t requests,
@@ -255,7 +255,7 @@
 
 /* Prints the refusals and retries of the entries, by reason. */
 static void
-print_counters (const bt_stage_t *testbed)
+print_counters (const bt_testbed_t *testbed)
 {
   for (int32_t i = 0; i < ENTRIES; i++)
     {
@@ -264,7 +264,7 @@
       char *text;
 
       snprintf (name, sizeof name, "entry-%d", i);
-      text = bt_read_stage_metrics (testbed, name);
+      text = bt_read_testbed_metrics (testbed, name);
       if (text == NULL)
         continue;
       for (char *line = strtok_r (text, "\n", &rest); line != NULL;
@@ -283,7 +283,7 @@
 {
   static const char *const names[] = { "through the system", "straight, round robin",
                                        "straight, two choices" };
-  bt_stage_t *testbed = bt_new_stage (ENTRIES, ENGINES, 0, STEP_US, rules);
+  bt_testbed_t *testbed = bt_new_testbed (ENTRIES, ENGINES, 0, STEP_US, rules);
   result_t result;
 
   if (testbed == NULL)
@@ -294,7 +294,7 @@
   print_row (names[variant], &result);
   if (variant == VARIANT_THROUGH_SYSTEM)
     print_counters (testbed);
-  bt_drop_stage (testbed, false);
+  bt_drop_testbed (testbed, false);
   return true;
 }
 
@@ -324,7 +324,7 @@
    * comparable. */
   setenv ("BT_BUILD_DIR", dirname (folder), 1);
   free (folder);
-  bt_set_stage_arguments (NULL, agent_arguments);
+  bt_set_testbed_arguments (NULL, agent_arguments);
   if (!run_variants ("Three times the capacity", 3, seconds, NULL))
     return 1;
   return run_variants ("One engine slowed five times, load 0.4", 0.4, seconds,
--- a/test/process/harness.c
+++ b/test/process/harness.c
@@ -112,7 +112,7 @@
 }
 
 int32_t
-bt_get_stage_port (const bt_stage_t *testbed, const char *name)
+bt_get_testbed_port (const bt_testbed_t *testbed, const char *name)
 {
   int32_t index = read_index (name);
 
@@ -126,7 +126,7 @@
 }
 
 static void
-fill_entry_arguments (const bt_stage_t *testbed,
+fill_entry_arguments (const bt_testbed_t *testbed,
                       const char *name,
                       int32_t index,
                       arguments_t *arguments)
@@ -146,7 +146,7 @@
 }
 
 static void
-fill_agent_arguments (const bt_stage_t *testbed,
+fill_agent_arguments (const bt_testbed_t *testbed,
                       const char *name,
                       int32_t index,
                       arguments_t *arguments)
@@ -169,7 +169,7 @@
 }
 
 static const char *
-fill_arguments (const bt_stage_t *testbed, const char *name, arguments_t *arguments)
+fill_arguments (const bt_testbed_t *testbed, const char *name, arguments_t *arguments)
 {
   int32_t index = read_index (name);
 
@@ -183,7 +183,7 @@
       fill_agent_arguments (testbed, name, index, arguments);
       return "bilberry-agent";
     }
-  add_number (arguments, "--port", bt_get_stage_port (testbed, name));
+  add_number (arguments, "--port", bt_get_testbed_port (testbed, name));
   add_number (arguments, "--life-s", STANDIN_LIFETIME_S);
   if (is_kind (name, "engine"))
     {
@@ -196,7 +196,7 @@
 }
 
 static bt_process_t *
-find_process (bt_stage_t *testbed, const char *name)
+find_process (bt_testbed_t *testbed, const char *name)
 {
   for (int32_t i = 0; i < testbed->process_count; i++)
     if (strcmp (testbed->processes[i].name, name) == 0)
@@ -205,7 +205,7 @@
 }
 
 static bt_process_t *
-add_process (bt_stage_t *testbed, const char *name)
+add_process (bt_testbed_t *testbed, const char *name)
 {
   bt_process_t *process = find_process (testbed, name);
 
@@ -241,7 +241,7 @@
 }
 
 bool
-bt_start_process (bt_stage_t *testbed, const char *name)
+bt_start_process (bt_testbed_t *testbed, const char *name)
 {
   const char *build = getenv ("BT_BUILD_DIR");
   bt_process_t *process = add_process (testbed, name);
@@ -269,7 +269,7 @@
 }
 
 bool
-bt_wait_process (bt_stage_t *testbed, const char *name, int32_t *exit_code)
+bt_wait_process (bt_testbed_t *testbed, const char *name, int32_t *exit_code)
 {
   bt_process_t *process = find_process (testbed, name);
   int64_t limit_ms = bt_read_clock_ms (bt_system_clock ()) + BT_WAIT_LIMIT_MS;
@@ -291,7 +291,7 @@
 }
 
 bool
-bt_signal_process (bt_stage_t *testbed, const char *name, int signal_number)
+bt_signal_process (bt_testbed_t *testbed, const char *name, int signal_number)
 {
   bt_process_t *process = find_process (testbed, name);
   int32_t exit_code;
@@ -302,7 +302,7 @@
 }
 
 void
-bt_set_stage_arguments (const char *const *entry_arguments, const char *const *agent_arguments)
+bt_set_testbed_arguments (const char *const *entry_arguments, const char *const *agent_arguments)
 {
   extra_entry_arguments = entry_arguments;
   extra_agent_arguments = agent_arguments;
@@ -324,16 +324,16 @@
 }
 
 json_t *
-bt_call_standin (const bt_stage_t *testbed, const char *name, const char *path, const char *body)
+bt_call_standin (const bt_testbed_t *testbed, const char *name, const char *path, const char *body)
 {
   char url[URL_BYTES];
 
-  snprintf (url, sizeof url, "http://127.0.0.1:%d%s", bt_get_stage_port (testbed, name), path);
+  snprintf (url, sizeof url, "http://127.0.0.1:%d%s", bt_get_testbed_port (testbed, name), path);
   return call_url (url, body, NULL);
 }
 
 char *
-bt_read_stage_metrics (const bt_stage_t *testbed, const char *name)
+bt_read_testbed_metrics (const bt_testbed_t *testbed, const char *name)
 {
   int32_t offset = is_kind (name, "entry") ? OFFSET_ENTRY_PAGE : OFFSET_AGENT_PAGE;
   char url[URL_BYTES];
@@ -346,9 +346,9 @@
 }
 
 int64_t
-bt_read_testbed_counter (const bt_stage_t *testbed, const char *name, const char *counter)
+bt_read_testbed_counter (const bt_testbed_t *testbed, const char *name, const char *counter)
 {
-  char *text = bt_read_stage_metrics (testbed, name);
+  char *text = bt_read_testbed_metrics (testbed, name);
   size_t length = strlen (counter);
   int64_t value = -1;
 
@@ -378,7 +378,7 @@
   if (pipe == NULL)
     return -1;
   while ((got = fread (block, 1, sizeof block, pipe)) > 0)
-    bt_take_reply_bytes (block, 1, got, &printed);
+    bt_append_reply_bytes (block, 1, got, &printed);
   status = pclose (pipe);
   *output = printed.body == NULL ? strdup ("") : printed.body;
   return WIFEXITED (status) ? WEXITSTATUS (status) : -1;
@@ -399,7 +399,7 @@
 }
 
 bool
-bt_put_instance_list (bt_stage_t *testbed)
+bt_put_instance_list (bt_testbed_t *testbed)
 {
   json_t *instances = json_array ();
   json_t *list = json_pack ("{s:i,s:o}", "revision", 1, "instances", instances);
@@ -442,7 +442,7 @@
 }
 
 static bool
-put_document (const bt_stage_t *testbed, const char *name, const char *text)
+put_document (const bt_testbed_t *testbed, const char *name, const char *text)
 {
   char key[ARGUMENT_BYTES];
   char key_text[ARGUMENT_BYTES];
@@ -468,7 +468,7 @@
 }
 
 static bool
-put_declarations (const bt_stage_t *testbed, const char *rules_json)
+put_declarations (const bt_testbed_t *testbed, const char *rules_json)
 {
   static const char *const names[] = { "small", "large", "third" };
   json_t *accounts = json_array ();
@@ -517,7 +517,7 @@
 /** The process and the page to wait for. */
 typedef struct page_wait
 {
-  const bt_stage_t *testbed;
+  const bt_testbed_t *testbed;
   const char *name;
   const char *path;
 } page_wait_t;
@@ -533,7 +533,7 @@
 }
 
 bool
-bt_is_entry_ready (const bt_stage_t *testbed, const char *entry, int32_t endpoints)
+bt_is_entry_ready (const bt_testbed_t *testbed, const char *entry, int32_t endpoints)
 {
   return bt_read_testbed_counter (testbed, entry, "bilberry_admitting") == 1
          && bt_read_testbed_counter (testbed, entry, "bilberry_endpoints_up") == endpoints;
@@ -553,7 +553,7 @@
 }
 
 static bool
-start_processes (bt_stage_t *testbed, const char *kind, int32_t count)
+start_processes (bt_testbed_t *testbed, const char *kind, int32_t count)
 {
   char name[ARGUMENT_BYTES];
 
@@ -567,7 +567,7 @@
 }
 
 static bool
-start_testbed (bt_stage_t *testbed, const char *rules_json)
+start_testbed (bt_testbed_t *testbed, const char *rules_json)
 {
   page_wait_t kv = { testbed, "kv", "/stats" };
   page_wait_t list = { testbed, "list", "/instances" };
@@ -610,7 +610,7 @@
 /* Reserves a range of ports by listening on its first port, since tests of several work trees may
  * run at the same time. */
 static bool
-reserve_port_range (bt_stage_t *testbed)
+reserve_port_range (bt_testbed_t *testbed)
 {
   for (int32_t i = 0; i < PORT_RANGES; i++)
     {
@@ -622,14 +622,14 @@
   return false;
 }
 
-bt_stage_t *
-bt_new_stage (int32_t entries,
-              int32_t engines,
-              int32_t plain_services,
-              int32_t engine_step_us,
-              const char *rules_json)
+bt_testbed_t *
+bt_new_testbed (int32_t entries,
+                int32_t engines,
+                int32_t plain_services,
+                int32_t engine_step_us,
+                const char *rules_json)
 {
-  bt_stage_t *testbed = calloc (1, sizeof *testbed);
+  bt_testbed_t *testbed = calloc (1, sizeof *testbed);
 
   if (testbed == NULL)
     return NULL;
@@ -652,7 +652,7 @@
   if (mkdtemp (testbed->folder) != NULL && start_testbed (testbed, rules_json))
     return testbed;
   fprintf (stderr, "the testbed did not start\n");
-  bt_drop_stage (testbed, true);
+  bt_drop_testbed (testbed, true);
   return NULL;
 }
 
@@ -670,7 +670,7 @@
 }
 
 void
-bt_drop_stage (bt_stage_t *testbed, bool failed)
+bt_drop_testbed (bt_testbed_t *testbed, bool failed)
 {
   int32_t exit_code;
 
--- a/test/process/harness.h
+++ b/test/process/harness.h
@@ -41,7 +41,7 @@
   int32_t plain_services;
   bool listed_leaving[BT_TESTBED_MAX_PROCESSES]; /**< Indexed by agent, agents of engines first;
                                                     true: listed as leaving. */
-} bt_stage_t;
+} bt_testbed_t;
 
 /** The reply that a caller received. */
 typedef struct bt_reply
@@ -59,49 +59,50 @@
  * plain_services plain services (app "lookup") with their agents, publishes @p rules_json and waits
  * until each entry is ready. @p engine_step_us is the duration of an engine's step. Returns NULL on
  * failure, after printing a message. */
-bt_stage_t *bt_new_stage (int32_t entries,
-                          int32_t engines,
-                          int32_t plain_services,
-                          int32_t engine_step_us,
-                          const char *rules_json);
+bt_testbed_t *bt_new_testbed (int32_t entries,
+                              int32_t engines,
+                              int32_t plain_services,
+                              int32_t engine_step_us,
+                              const char *rules_json);
 
 /** Kills every process of the testbed, prints the logs if @p failed, and removes the folder. */
-void bt_drop_stage (bt_stage_t *testbed, bool failed);
+void bt_drop_testbed (bt_testbed_t *testbed, bool failed);
 
 /** Sets extra arguments, NULL-terminated or NULL, for the entries and the agents that are started
  * from now on. */
-void bt_set_stage_arguments (const char *const *entry_arguments,
-                             const char *const *agent_arguments);
+void bt_set_testbed_arguments (const char *const *entry_arguments,
+                               const char *const *agent_arguments);
 
 /** Starts a process that is not running, by its name: "entry-N", "agent-N", "engine-N" or
  * "plain-N", numbered from 0. */
-bool bt_start_process (bt_stage_t *testbed, const char *name);
+bool bt_start_process (bt_testbed_t *testbed, const char *name);
 
 /** Sends a signal to a process by its name; after SIGKILL, waits until it has exited. */
-bool bt_signal_process (bt_stage_t *testbed, const char *name, int signal_number);
+bool bt_signal_process (bt_testbed_t *testbed, const char *name, int signal_number);
 
 /** Waits until a process exits and writes its exit code to @p exit_code, or minus the number of the
  * signal that killed it. Returns false if it does not exit within BT_WAIT_LIMIT_MS. */
-bool bt_wait_process (bt_stage_t *testbed, const char *name, int32_t *exit_code);
+bool bt_wait_process (bt_testbed_t *testbed, const char *name, int32_t *exit_code);
 
 /** Returns a port by the name of its process: the callers' port of an entry, the HTTP port of an
  * engine, a plain service or a stand-in. */
-int32_t bt_get_stage_port (const bt_stage_t *testbed, const char *name);
+int32_t bt_get_testbed_port (const bt_testbed_t *testbed, const char *name);
 
 /** Reads the metrics page of an entry or an agent. The caller frees the text. Returns NULL on
  * failure. */
-char *bt_read_stage_metrics (const bt_stage_t *testbed, const char *name);
+char *bt_read_testbed_metrics (const bt_testbed_t *testbed, const char *name);
 
 /** Reads one counter from the metrics page of a process, such as
  * "bilberry_refusals_total{reason=\"no-rule\"}"; -1 if the page does not have it. */
-int64_t bt_read_testbed_counter (const bt_stage_t *testbed, const char *name, const char *counter);
+int64_t
+bt_read_testbed_counter (const bt_testbed_t *testbed, const char *name, const char *counter);
 
 /** Returns whether an entry admits requests and has this many endpoints. */
-bool bt_is_entry_ready (const bt_stage_t *testbed, const char *entry, int32_t endpoints);
+bool bt_is_entry_ready (const bt_testbed_t *testbed, const char *entry, int32_t endpoints);
 
 /** Sends a request to an entry and waits for the reply. @p headers are "Name: value" lines,
  * NULL-terminated, or NULL. The bearer token is "token-ACCOUNT". */
-void bt_send_entry_request (const bt_stage_t *testbed,
+void bt_send_entry_request (const bt_testbed_t *testbed,
                             const char *entry,
                             const char *account,
                             const char *path,
@@ -117,7 +118,7 @@
 /** Calls a page of a stand-in: GET without a body, POST with one. The caller owns the result.
  * Returns NULL on failure. */
 json_t *
-bt_call_standin (const bt_stage_t *testbed, const char *name, const char *path, const char *body);
+bt_call_standin (const bt_testbed_t *testbed, const char *name, const char *path, const char *body);
 
 /** Replaces the calling child process by a program whose output is appended to @p log_path and
  * which is killed when the test ends. */
@@ -133,7 +134,7 @@
 int32_t bt_run_program (const char *line, char **output);
 
 /** Publishes the instance list again, after a change of listed_leaving. */
-bool bt_put_instance_list (bt_stage_t *testbed);
+bool bt_put_instance_list (bt_testbed_t *testbed);
 
 /** Calls @p test every few milliseconds until it returns true. Returns false if it does not within
  * BT_WAIT_LIMIT_MS. */
--- a/test/process/harness_config.c
+++ b/test/process/harness_config.c
@@ -38,7 +38,7 @@
 }
 
 void
-bt_read_rules_version (const bt_stage_t *testbed, const char *entry, char version[VERSION_BYTES])
+bt_read_rules_version (const bt_testbed_t *testbed, const char *entry, char version[VERSION_BYTES])
 {
   bt_reply_t reply;
   json_t *body;
@@ -55,7 +55,7 @@
 
 typedef struct version_wait
 {
-  const bt_stage_t *testbed;
+  const bt_testbed_t *testbed;
   const char *entry;
   const char *version;
 } version_wait_t;
@@ -71,7 +71,7 @@
 }
 
 bool
-bt_wait_rules_version (const bt_stage_t *testbed, const char *entry, const char *version)
+bt_wait_rules_version (const bt_testbed_t *testbed, const char *entry, const char *version)
 {
   version_wait_t wait = { testbed, entry, version };
 
@@ -79,7 +79,7 @@
 }
 
 static bt_kv_t *
-open_store (bt_context_t *ctx, const bt_stage_t *testbed)
+open_store (bt_context_t *ctx, const bt_testbed_t *testbed)
 {
   char url[URL_BYTES];
   bt_kv_settings_t settings;
@@ -105,7 +105,7 @@
 
 /* Writes the documents of the key-value store to a folder, but with rules of @p version. */
 static bool
-write_folder (const bt_stage_t *testbed, const char *folder, const char *version)
+write_folder (const bt_testbed_t *testbed, const char *folder, const char *version)
 {
   bt_context_t *ctx = bt_new_context ();
   bt_kv_t *kv = open_store (ctx, testbed);
@@ -180,7 +180,7 @@
 }
 
 static void
-prepare_command (const bt_stage_t *testbed, command_t *command, const char *name)
+prepare_command (const bt_testbed_t *testbed, command_t *command, const char *name)
 {
   snprintf (command->program, sizeof command->program, "%s/bilberryd", getenv ("BT_BUILD_DIR"));
   snprintf (command->store_url, sizeof command->store_url, "http://127.0.0.1:%d", testbed->kv_port);
@@ -193,7 +193,7 @@
 }
 
 void
-bt_start_publish (const bt_stage_t *testbed,
+bt_start_publish (const bt_testbed_t *testbed,
                   const char *version,
                   const char *const *flags,
                   bt_command_run_t *run)
@@ -232,7 +232,7 @@
 }
 
 int32_t
-bt_publish_version (const bt_stage_t *testbed,
+bt_publish_version (const bt_testbed_t *testbed,
                     const char *version,
                     const char *const *flags,
                     char output[BT_OUTPUT_BYTES])
@@ -244,7 +244,7 @@
 }
 
 int32_t
-bt_run_status (const bt_stage_t *testbed, char output[BT_OUTPUT_BYTES])
+bt_run_status (const bt_testbed_t *testbed, char output[BT_OUTPUT_BYTES])
 {
   command_t command = { .count = 0 };
   bt_command_run_t run = { 0 };
@@ -255,7 +255,7 @@
 }
 
 bool
-bt_set_store_fault (const bt_stage_t *testbed, const char *fault)
+bt_set_store_fault (const bt_testbed_t *testbed, const char *fault)
 {
   json_t *answer = bt_call_standin (testbed, "kv", "/fault", fault);
 
@@ -264,7 +264,7 @@
 }
 
 int64_t
-bt_count_store_calls (const bt_stage_t *testbed, const char *kind)
+bt_count_store_calls (const bt_testbed_t *testbed, const char *kind)
 {
   json_t *answer = bt_call_standin (testbed, "kv", "/stats", NULL);
   int64_t count = json_integer_value (json_object_get (answer, kind));
@@ -274,7 +274,7 @@
 }
 
 bool
-bt_put_version (const bt_stage_t *testbed, const char *version)
+bt_put_version (const bt_testbed_t *testbed, const char *version)
 {
   bt_context_t *ctx = bt_new_context ();
   bt_kv_t *kv = open_store (ctx, testbed);
@@ -289,7 +289,7 @@
 }
 
 int64_t
-bt_get_rules_revision (const bt_stage_t *testbed)
+bt_get_rules_revision (const bt_testbed_t *testbed)
 {
   bt_context_t *ctx = bt_new_context ();
   bt_kv_t *kv = open_store (ctx, testbed);
--- a/test/process/harness_gateway.c
+++ b/test/process/harness_gateway.c
@@ -51,7 +51,7 @@
  * killed and restarted must find its port free, although other testbeds start and end in between.
  * The ranges lie below the ports that the system assigns to connections. */
 static bool
-reserve_port_range (bt_field_t *testbed)
+reserve_port_range (bt_gateway_testbed_t *testbed)
 {
   for (int32_t i = 0; i < PORT_RANGES; i++)
     {
@@ -69,7 +69,7 @@
 
 /* Returns the next free port of the testbed's range. */
 static int32_t
-find_free_port (bt_field_t *testbed)
+find_free_port (bt_gateway_testbed_t *testbed)
 {
   int fd;
 
@@ -81,7 +81,10 @@
 }
 
 static pid_t
-start_program (bt_field_t *testbed, const char *program, const char *name, char *const *arguments)
+start_program (bt_gateway_testbed_t *testbed,
+               const char *program,
+               const char *name,
+               char *const *arguments)
 {
   const char *build = getenv ("BT_BUILD_DIR");
   char path[2 * URL_BYTES];
@@ -109,7 +112,7 @@
 }
 
 static pid_t
-start_standin (bt_field_t *testbed, const char *program, const char *name, int32_t port)
+start_standin (bt_gateway_testbed_t *testbed, const char *program, const char *name, int32_t port)
 {
   char text[TEXT_BYTES];
   char *arguments[] = { "--port", text, NULL };
@@ -133,7 +136,9 @@
 }
 
 void
-bt_send_gateway_call (const bt_field_t *testbed, const bt_field_call_t *call, bt_reply_t *reply)
+bt_send_gateway_call (const bt_gateway_testbed_t *testbed,
+                      const bt_gateway_call_t *call,
+                      bt_reply_t *reply)
 {
   char id[HEADER_BYTES];
   char deadline[HEADER_BYTES];
@@ -150,11 +155,11 @@
     }
   if (call->extra != NULL)
     headers[count++] = call->extra;
-  bt_ask_gateway (testbed, call->gateway, call->path, headers, "shrimp", reply);
+  bt_send_gateway_request (testbed, call->gateway, call->path, headers, "shrimp", reply);
 }
 
 int32_t
-bt_call_field_status (const bt_field_t *testbed, const bt_field_call_t *call)
+bt_get_call_status (const bt_gateway_testbed_t *testbed, const bt_gateway_call_t *call)
 {
   bt_reply_t reply;
   int32_t status;
@@ -166,11 +171,13 @@
 }
 
 bool
-bt_wait_call_status (const bt_field_t *testbed, const bt_field_call_t *call, int32_t wanted)
+bt_wait_call_status (const bt_gateway_testbed_t *testbed,
+                     const bt_gateway_call_t *call,
+                     int32_t wanted)
 {
   int64_t limit_ms = bt_read_clock_ms (bt_system_clock ()) + BT_WAIT_LIMIT_MS;
 
-  while (bt_call_field_status (testbed, call) != wanted)
+  while (bt_get_call_status (testbed, call) != wanted)
     {
       if (bt_read_clock_ms (bt_system_clock ()) > limit_ms)
         return false;
@@ -180,7 +187,7 @@
 }
 
 void
-bt_read_gateway_metrics (const bt_field_t *testbed, int32_t index, bt_reply_t *reply)
+bt_read_gateway_metrics (const bt_gateway_testbed_t *testbed, int32_t index, bt_reply_t *reply)
 {
   char url[URL_BYTES];
 
@@ -189,7 +196,7 @@
 }
 
 int64_t
-bt_read_gateway_metric (const bt_field_t *testbed, int32_t index, const char *name)
+bt_read_gateway_metric (const bt_gateway_testbed_t *testbed, int32_t index, const char *name)
 {
   char start[TEXT_BYTES];
   const char *line;
@@ -211,13 +218,13 @@
 }
 
 bool
-bt_set_field_fault (int32_t port, const char *fault)
+bt_set_standin_fault (int32_t port, const char *fault)
 {
   return get_status (port, "/fault", fault) == OK;
 }
 
 bool
-bt_put_field_item (const bt_field_t *testbed, const char *key, const char *value)
+bt_put_store_item (const bt_gateway_testbed_t *testbed, const char *key, const char *value)
 {
   char path[2 * URL_BYTES];
 
@@ -226,7 +233,7 @@
 }
 
 bool
-bt_list_field_runner (const bt_field_t *testbed, int32_t index, const char *state)
+bt_put_runner_item (const bt_gateway_testbed_t *testbed, int32_t index, const char *state)
 {
   char key[URL_BYTES];
   char value[TEXT_BYTES];
@@ -241,7 +248,7 @@
             "\"slots\":8,\"state\":\"%s\",\"cold_left_ms\":0,\"sequence\":1,\"born\":%lld}",
             port == 0 ? testbed->runner_ports[index] : port, state,
             (long long)testbed->runner_start_ms[index]);
-  return bt_put_field_item (testbed, key, value);
+  return bt_put_store_item (testbed, key, value);
 }
 
 static bool
@@ -259,7 +266,7 @@
 }
 
 void
-bt_start_gateway_process (bt_field_t *testbed, int32_t index)
+bt_start_gateway_process (bt_gateway_testbed_t *testbed, int32_t index)
 {
   char instance[TEXT_BYTES];
   char listen[TEXT_BYTES];
@@ -289,7 +296,7 @@
 }
 
 void
-bt_write_runner_id (const bt_field_t *testbed, int32_t index, char *id, size_t capacity)
+bt_write_runner_id (const bt_gateway_testbed_t *testbed, int32_t index, char *id, size_t capacity)
 {
   if (testbed->runner_id_counts[index] <= 1)
     snprintf (id, capacity, "i-%d", index);
@@ -300,7 +307,7 @@
 /* Sets the start time of a runner. It is later than the previous one even if both processes start
  * within the same millisecond. */
 static void
-set_runner_start (bt_field_t *testbed, int32_t index)
+set_runner_start (bt_gateway_testbed_t *testbed, int32_t index)
 {
   struct timespec now;
   int64_t now_ms;
@@ -312,7 +319,7 @@
 }
 
 static bool
-start_runner (bt_field_t *testbed, int32_t index)
+start_runner (bt_gateway_testbed_t *testbed, int32_t index)
 {
   char id[TEXT_BYTES];
   char born[TEXT_BYTES];
@@ -328,28 +335,28 @@
 }
 
 bool
-bt_start_runner_process (bt_field_t *testbed, int32_t index)
+bt_start_runner_process (bt_gateway_testbed_t *testbed, int32_t index)
 {
   testbed->runner_id_counts[index]++;
   return start_runner (testbed, index);
 }
 
 void
-bt_kill_runner_process (bt_field_t *testbed, int32_t index)
+bt_kill_runner_process (bt_gateway_testbed_t *testbed, int32_t index)
 {
   kill_process (testbed->runners[index]);
   testbed->runners[index] = 0;
 }
 
 bool
-bt_restart_runner_process (bt_field_t *testbed, int32_t index)
+bt_restart_runner_process (bt_gateway_testbed_t *testbed, int32_t index)
 {
   bt_kill_runner_process (testbed, index);
   return start_runner (testbed, index);
 }
 
 bool
-bt_reap_runner_process (bt_field_t *testbed, int32_t index)
+bt_reap_runner_process (bt_gateway_testbed_t *testbed, int32_t index)
 {
   if (testbed->runners[index] <= 0
       || waitpid (testbed->runners[index], NULL, WNOHANG) != testbed->runners[index])
@@ -359,7 +366,7 @@
 }
 
 int32_t
-bt_count_logged_runs (const bt_field_t *testbed, int32_t index, const char *request_id)
+bt_count_logged_runs (const bt_gateway_testbed_t *testbed, int32_t index, const char *request_id)
 {
   char path[URL_BYTES];
   char line[TEXT_BYTES];
@@ -378,8 +385,11 @@
 }
 
 static pid_t
-start_hop (
-    bt_field_t *testbed, const char *kind, int32_t index, int32_t hop_port, int32_t target_port)
+start_hop (bt_gateway_testbed_t *testbed,
+           const char *kind,
+           int32_t index,
+           int32_t hop_port,
+           int32_t target_port)
 {
   char name[TEXT_BYTES];
   char port[TEXT_BYTES];
@@ -393,7 +403,7 @@
 }
 
 static bool
-start_runners (bt_field_t *testbed, bool hops)
+start_runners (bt_gateway_testbed_t *testbed, bool hops)
 {
   for (int32_t i = 0; i < testbed->runner_count; i++)
     {
@@ -404,14 +414,14 @@
           testbed->runner_hops[i] = start_hop (testbed, "runner", i, testbed->runner_hop_ports[i],
                                                testbed->runner_ports[i]);
         }
-      if (!bt_start_runner_process (testbed, i) || !bt_list_field_runner (testbed, i, "ready"))
+      if (!bt_start_runner_process (testbed, i) || !bt_put_runner_item (testbed, i, "ready"))
         return false;
     }
   return true;
 }
 
 static void
-start_gateways (bt_field_t *testbed)
+start_gateways (bt_gateway_testbed_t *testbed)
 {
   for (int32_t i = 0; i < testbed->gateway_count; i++)
     {
@@ -445,10 +455,10 @@
   return done;
 }
 
-static bt_field_t *
+static bt_gateway_testbed_t *
 start_testbed (int32_t gateways, int32_t runners, bool hops, const char *configuration)
 {
-  bt_field_t *testbed = calloc (1, sizeof *testbed);
+  bt_gateway_testbed_t *testbed = calloc (1, sizeof *testbed);
 
   testbed->gateway_count = gateways;
   testbed->runner_count = runners;
@@ -462,29 +472,29 @@
   testbed->store_port = find_free_port (testbed);
   testbed->store = start_standin (testbed, "standin-haiyun_store", "store", testbed->store_port);
   if (!wait_for_port (testbed->store_port) || !start_runners (testbed, hops)
-      || !bt_put_field_item (testbed, "op/config", configuration))
+      || !bt_put_store_item (testbed, "op/config", configuration))
     {
-      bt_drop_field (testbed, true);
+      bt_drop_gateway_testbed (testbed, true);
       return NULL;
     }
   start_gateways (testbed);
   return testbed;
 }
 
-bt_field_t *
-bt_new_field (int32_t gateways, const char *configuration)
+bt_gateway_testbed_t *
+bt_new_gateway_testbed (int32_t gateways, const char *configuration)
 {
   return start_testbed (gateways, BT_DEFAULT_RUNNERS, false, configuration);
 }
 
-bt_field_t *
-bt_new_large_field (int32_t gateways, int32_t runners, const char *configuration)
+bt_gateway_testbed_t *
+bt_new_large_gateway_testbed (int32_t gateways, int32_t runners, const char *configuration)
 {
   return start_testbed (gateways, runners, true, configuration);
 }
 
 void
-bt_drop_field (bt_field_t *testbed, bool failed)
+bt_drop_gateway_testbed (bt_gateway_testbed_t *testbed, bool failed)
 {
   char command[URL_BYTES];
 
@@ -510,12 +520,12 @@
 }
 
 void
-bt_ask_gateway (const bt_field_t *testbed,
-                int32_t index,
-                const char *path,
-                const char *const *headers,
-                const char *body,
-                bt_reply_t *reply)
+bt_send_gateway_request (const bt_gateway_testbed_t *testbed,
+                         int32_t index,
+                         const char *path,
+                         const char *const *headers,
+                         const char *body,
+                         bt_reply_t *reply)
 {
   struct curl_slist *lines = NULL;
   char url[2 * URL_BYTES];
@@ -528,7 +538,7 @@
 }
 
 bool
-bt_wait_gateway_ready (const bt_field_t *testbed, int32_t index)
+bt_wait_gateway_ready (const bt_gateway_testbed_t *testbed, int32_t index)
 {
   int64_t limit_ms = bt_read_clock_ms (bt_system_clock ()) + BT_WAIT_LIMIT_MS;
 
@@ -562,7 +572,7 @@
 }
 
 int32_t
-bt_count_runner_runs (const bt_field_t *testbed, int32_t index, const char *request_id)
+bt_count_runner_runs (const bt_gateway_testbed_t *testbed, int32_t index, const char *request_id)
 {
   json_t *found = json_array ();
   int32_t count;
@@ -574,7 +584,7 @@
 }
 
 json_t *
-bt_find_request_runs (const bt_field_t *testbed, const char *request_id)
+bt_find_request_runs (const bt_gateway_testbed_t *testbed, const char *request_id)
 {
   json_t *found = json_array ();
 
--- a/test/process/harness_http.c
+++ b/test/process/harness_http.c
@@ -13,7 +13,7 @@
 };
 
 size_t
-bt_take_reply_bytes (char *data, size_t size, size_t count, void *argument)
+bt_append_reply_bytes (char *data, size_t size, size_t count, void *argument)
 {
   bt_reply_t *reply = argument;
 
@@ -66,7 +66,7 @@
   curl_easy_setopt (easy, CURLOPT_NOSIGNAL, 1L);
   curl_easy_setopt (easy, CURLOPT_TIMEOUT, (long)REPLY_WAIT_S);
   curl_easy_setopt (easy, CURLOPT_HTTPHEADER, lines);
-  curl_easy_setopt (easy, CURLOPT_WRITEFUNCTION, bt_take_reply_bytes);
+  curl_easy_setopt (easy, CURLOPT_WRITEFUNCTION, bt_append_reply_bytes);
   curl_easy_setopt (easy, CURLOPT_WRITEDATA, reply);
   curl_easy_setopt (easy, CURLOPT_HEADERFUNCTION, read_header);
   curl_easy_setopt (easy, CURLOPT_HEADERDATA, reply);
@@ -81,7 +81,7 @@
 }
 
 void
-bt_send_entry_request (const bt_stage_t *testbed,
+bt_send_entry_request (const bt_testbed_t *testbed,
                        const char *entry,
                        const char *account,
                        const char *path,
@@ -93,7 +93,7 @@
   char url[URL_BYTES];
   char token[URL_BYTES];
 
-  snprintf (url, sizeof url, "http://127.0.0.1:%d%s", bt_get_stage_port (testbed, entry), path);
+  snprintf (url, sizeof url, "http://127.0.0.1:%d%s", bt_get_testbed_port (testbed, entry), path);
   snprintf (token, sizeof token, "Authorization: Bearer token-%s", account);
   lines = curl_slist_append (lines, token);
   for (int32_t i = 0; headers != NULL && headers[i] != NULL; i++)
--- a/test/process/harness_http.h
+++ b/test/process/harness_http.h
@@ -10,7 +10,7 @@
 #include "harness.h"
 
 /** Appends bytes to a reply's body. It is a write callback for libcurl. */
-size_t bt_take_reply_bytes (char *data, size_t size, size_t count, void *argument);
+size_t bt_append_reply_bytes (char *data, size_t size, size_t count, void *argument);
 
 /** Returns whether a line of a metrics page is valid: the HELP or TYPE comment of a metric, or a
  * metric with its value. */
--- a/test/process/harness_requests.c
+++ b/test/process/harness_requests.c
@@ -16,7 +16,7 @@
 /* Arguments of has_ticket. */
 typedef struct ticket_wait
 {
-  const bt_stage_t *testbed;
+  const bt_testbed_t *testbed;
   const char *entry;
   const char *account;
   char *key;
@@ -42,7 +42,7 @@
 }
 
 bool
-bt_fetch_ticket (const bt_stage_t *testbed,
+bt_fetch_ticket (const bt_testbed_t *testbed,
                  const char *entry,
                  const char *account,
                  char key[BT_KEY_TEXT_BYTES])
@@ -71,7 +71,7 @@
   for (int32_t i = 0; headers[i] != NULL; i++)
     lines = curl_slist_append (lines, headers[i]);
   snprintf (url, sizeof url, "http://127.0.0.1:%d/v1/completions",
-            bt_get_stage_port (draft->testbed, draft->entry));
+            bt_get_testbed_port (draft->testbed, draft->entry));
   memset (&draft->reply, 0, sizeof draft->reply);
   curl_easy_setopt (easy, CURLOPT_URL, url);
   curl_easy_setopt (easy, CURLOPT_PROXY, "");
@@ -225,7 +225,7 @@
 /* Arguments of has_endpoints. */
 typedef struct endpoints_wait
 {
-  const bt_stage_t *testbed;
+  const bt_testbed_t *testbed;
   const char *entry;
   int32_t count;
 } endpoints_wait_t;
@@ -243,7 +243,7 @@
 }
 
 bool
-bt_wait_endpoints (const bt_stage_t *testbed, const char *entry, int32_t count)
+bt_wait_endpoints (const bt_testbed_t *testbed, const char *entry, int32_t count)
 {
   endpoints_wait_t wait = { testbed, entry, count };
 
--- a/test/process/harness_requests.h
+++ b/test/process/harness_requests.h
@@ -18,7 +18,7 @@
 /** One caller's request. Set the first five members before it is sent. */
 typedef struct bt_draft
 {
-  const bt_stage_t *testbed;
+  const bt_testbed_t *testbed;
   const char *entry;
   const char *key;    /**< Idempotency key; NULL: none. */
   const char *prompt; /**< Shorter than 60 bytes and unique in the testbed. */
@@ -31,7 +31,7 @@
 } bt_draft_t;
 
 /** Gets a ticket for an account's drafts from an entry; waits until the entry issues one. */
-bool bt_fetch_ticket (const bt_stage_t *testbed,
+bool bt_fetch_ticket (const bt_testbed_t *testbed,
                       const char *entry,
                       const char *account,
                       char key[BT_KEY_TEXT_BYTES]);
@@ -64,6 +64,6 @@
 bool bt_wait_draft_started (bt_draft_t *draft);
 
 /** Waits until an entry issues tickets, admits requests and has links to @p count agents. */
-bool bt_wait_endpoints (const bt_stage_t *testbed, const char *entry, int32_t count);
+bool bt_wait_endpoints (const bt_testbed_t *testbed, const char *entry, int32_t count);
 
 #endif
--- a/test/process/test_config_faults.c
+++ b/test/process/test_config_faults.c
@@ -18,15 +18,15 @@
 };
 static const char *const publish_flags[] = { "--isolation-ms", "3000", NULL };
 
-static bt_stage_t *testbed;
+static bt_testbed_t *testbed;
 
 static int
 start_suite (void)
 {
   char *rules = bt_make_version_rules ("v0");
 
-  bt_set_stage_arguments (entry_flags, NULL);
-  testbed = bt_new_stage (ENTRIES, 0, 1, 1000, rules);
+  bt_set_testbed_arguments (entry_flags, NULL);
+  testbed = bt_new_testbed (ENTRIES, 0, 1, 1000, rules);
   free (rules);
   return testbed == NULL ? 1 : 0;
 }
@@ -34,7 +34,7 @@
 static int
 end_suite (void)
 {
-  bt_drop_stage (testbed, CU_get_number_of_failures () > 0);
+  bt_drop_testbed (testbed, CU_get_number_of_failures () > 0);
   return 0;
 }
 
--- a/test/process/test_gateway.c
+++ b/test/process/test_gateway.c
@@ -44,7 +44,7 @@
     ",{\"name\":\"late\",\"host\":\"shop.example\",\"prefix\":\"/late/\",\"kind\":\"idempotent\","
     "\"service\":\"svc\",\"timeout_ms\":3000,\"max_attempts\":2,\"public\":true}";
 
-static bt_field_t *testbed;
+static bt_gateway_testbed_t *testbed;
 
 static void
 write_configuration (
@@ -59,7 +59,7 @@
   char text[4096];
 
   write_configuration (text, sizeof text, 1, ",\"key-other\"", "");
-  testbed = bt_new_field (2, text);
+  testbed = bt_new_gateway_testbed (2, text);
   if (testbed == NULL || !bt_wait_gateway_ready (testbed, 0) || !bt_wait_gateway_ready (testbed, 1))
     return 1;
   return 0;
@@ -68,26 +68,26 @@
 static int
 end_suite (void)
 {
-  bt_drop_field (testbed, CU_get_number_of_failures () > 0);
+  bt_drop_gateway_testbed (testbed, CU_get_number_of_failures () > 0);
   return 0;
 }
 
 /* Returns a request with an id and a key, and with a header that callers must not set. */
-static bt_field_call_t
+static bt_gateway_call_t
 make_call (int32_t gateway, const char *path, const char *id, const char *key)
 {
-  return (bt_field_call_t){ .gateway = gateway,
-                            .path = path,
-                            .id = id,
-                            .key = key,
-                            .extra = "Bilberrytray-Tenant: forged",
-                            .deadline_ms = 4000 };
+  return (bt_gateway_call_t){ .gateway = gateway,
+                              .path = path,
+                              .id = id,
+                              .key = key,
+                              .extra = "Bilberrytray-Tenant: forged",
+                              .deadline_ms = 4000 };
 }
 
 static void
 send_request (int32_t gateway, const char *path, const char *id, const char *key, bt_reply_t *reply)
 {
-  bt_field_call_t call = make_call (gateway, path, id, key);
+  bt_gateway_call_t call = make_call (gateway, path, id, key);
 
   bt_send_gateway_call (testbed, &call, reply);
 }
@@ -95,9 +95,9 @@
 static int32_t
 request_status (int32_t gateway, const char *path, const char *id, const char *key)
 {
-  bt_field_call_t call = make_call (gateway, path, id, key);
+  bt_gateway_call_t call = make_call (gateway, path, id, key);
 
-  return bt_call_field_status (testbed, &call);
+  return bt_get_call_status (testbed, &call);
 }
 
 /* Sends requests that succeed, until the gateway's budget allows some retries. The tests share this
@@ -124,7 +124,7 @@
 set_all_faults (const char *fault)
 {
   for (int32_t i = 0; i < BT_DEFAULT_RUNNERS; i++)
-    CU_ASSERT_TRUE (bt_set_field_fault (testbed->runner_ports[i], fault));
+    CU_ASSERT_TRUE (bt_set_standin_fault (testbed->runner_ports[i], fault));
 }
 
 static void
@@ -260,8 +260,8 @@
 {
   fill_retry_budget (0, BT_DEFAULT_RUNNERS * 2 * MAX_RETRIES);
   set_all_faults ("{\"kind\":\"full\",\"count\":-1,\"match\":\"/stream/\"}");
-  CU_ASSERT_TRUE (bt_set_field_fault (testbed->runner_ports[0],
-                                      "{\"kind\":\"cut\",\"count\":-1,\"match\":\"/stream/\"}"));
+  CU_ASSERT_TRUE (bt_set_standin_fault (testbed->runner_ports[0],
+                                        "{\"kind\":\"cut\",\"count\":-1,\"match\":\"/stream/\"}"));
   for (int32_t i = 0; i < BT_DEFAULT_RUNNERS * 2; i++)
     {
       bt_reply_t reply;
@@ -288,7 +288,8 @@
   CU_ASSERT_EQUAL (status, BAD_GATEWAY);
   CU_ASSERT_EQUAL (count_runs ("r-order"), 1);
   set_all_faults ("{\"kind\":\"none\"}");
-  CU_ASSERT_TRUE (bt_set_field_fault (testbed->runner_ports[0], "{\"kind\":\"cut\",\"count\":1}"));
+  CU_ASSERT_TRUE (
+      bt_set_standin_fault (testbed->runner_ports[0], "{\"kind\":\"cut\",\"count\":1}"));
   for (int32_t i = 0; i < BT_DEFAULT_RUNNERS * 2; i++)
     {
       char id[32];
@@ -306,7 +307,7 @@
 {
   fill_retry_budget (1, BT_DEFAULT_RUNNERS * 2);
   CU_ASSERT_TRUE (
-      bt_set_field_fault (testbed->runner_ports[1], "{\"kind\":\"full\",\"count\":-1}"));
+      bt_set_standin_fault (testbed->runner_ports[1], "{\"kind\":\"full\",\"count\":-1}"));
   for (int32_t i = 0; i < BT_DEFAULT_RUNNERS * 2; i++)
     {
       char id[32];
@@ -331,7 +332,7 @@
 static bool
 wait_status (int32_t gateway, const char *path, const char *id, const char *key, int32_t wanted)
 {
-  bt_field_call_t call = make_call (gateway, path, id, key);
+  bt_gateway_call_t call = make_call (gateway, path, id, key);
 
   return bt_wait_call_status (testbed, &call, wanted);
 }
@@ -343,7 +344,7 @@
 
   CU_ASSERT_EQUAL (request_status (0, "/late/x", "r-early", "key-small"), NOT_FOUND);
   write_configuration (text, sizeof text, 2, "", added_route);
-  CU_ASSERT_TRUE (bt_put_field_item (testbed, "op/config", text));
+  CU_ASSERT_TRUE (bt_put_store_item (testbed, "op/config", text));
   for (int32_t i = 0; i < 2; i++)
     {
       CU_ASSERT_TRUE (wait_status (i, "/late/x", "r-late", "none", OK));
@@ -358,14 +359,14 @@
 {
   char text[4096];
 
-  CU_ASSERT_TRUE (bt_put_field_item (
+  CU_ASSERT_TRUE (bt_put_store_item (
       testbed, "op/config",
       "{\"version\":3,\"services\":[],\"routes\":[{\"name\":\"x\",\"host\":\"shop.example\","
       "\"prefix\":\"/a/\",\"kind\":\"idempotent\",\"service\":\"nothing\"}]}"));
   bt_sleep_ms (400);
   CU_ASSERT_EQUAL (request_status (0, "/late/x", "r-kept", "none"), OK);
   write_configuration (text, sizeof text, 4, "", "");
-  CU_ASSERT_TRUE (bt_put_field_item (testbed, "op/config", text));
+  CU_ASSERT_TRUE (bt_put_store_item (testbed, "op/config", text));
   CU_ASSERT_TRUE (wait_status (0, "/late/x", "r-gone", "none", NOT_FOUND));
 }
 
@@ -373,11 +374,11 @@
 static void
 test_store_outage_stops_no_request (void)
 {
-  CU_ASSERT_TRUE (bt_set_field_fault (testbed->store_port, "{\"kind\":\"down\",\"count\":-1}"));
+  CU_ASSERT_TRUE (bt_set_standin_fault (testbed->store_port, "{\"kind\":\"down\",\"count\":-1}"));
   bt_sleep_ms (600);
   CU_ASSERT_EQUAL (request_status (0, "/a/lookup", "r-outage", "key-small"), OK);
   CU_ASSERT_EQUAL (bt_get_http_status (testbed->ready_ports[0], "/v1/readiness"), OK);
-  CU_ASSERT_TRUE (bt_set_field_fault (testbed->store_port, "{\"kind\":\"none\"}"));
+  CU_ASSERT_TRUE (bt_set_standin_fault (testbed->store_port, "{\"kind\":\"none\"}"));
 }
 
 /* A gateway has been stopping for so long that no caller can still have its address, and one slow
--- a/test/process/test_gateway_crashes.c
+++ b/test/process/test_gateway_crashes.c
@@ -33,7 +33,7 @@
     "\"public\":true}],"
     "\"limits\":{\"max_header_bytes\":16384,\"max_body_bytes\":65536,\"idle_timeout_ms\":15000}}";
 
-static bt_field_t *testbed;
+static bt_gateway_testbed_t *testbed;
 
 static int64_t
 now (void)
@@ -44,7 +44,7 @@
 static bool
 start_testbed (void)
 {
-  testbed = bt_new_field (GATEWAYS, configuration);
+  testbed = bt_new_gateway_testbed (GATEWAYS, configuration);
   if (testbed == NULL)
     return false;
   for (int32_t i = 0; i < GATEWAYS; i++)
@@ -56,16 +56,16 @@
 static void
 drop_testbed (void)
 {
-  bt_drop_field (testbed, CU_get_number_of_failures () > 0);
+  bt_drop_gateway_testbed (testbed, CU_get_number_of_failures () > 0);
   testbed = NULL;
 }
 
 static int32_t
 send_request (int32_t gateway, const char *path, const char *id)
 {
-  bt_field_call_t call = { .gateway = gateway, .path = path, .id = id, .deadline_ms = 3000 };
+  bt_gateway_call_t call = { .gateway = gateway, .path = path, .id = id, .deadline_ms = 3000 };
 
-  return bt_call_field_status (testbed, &call);
+  return bt_get_call_status (testbed, &call);
 }
 
 /* Restarts the runners that have exited, each under its id. Returns how many there were. */
@@ -80,7 +80,7 @@
         continue;
       crashed++;
       CU_ASSERT_TRUE (bt_restart_runner_process (testbed, i));
-      CU_ASSERT_TRUE (bt_list_field_runner (testbed, i, "ready"));
+      CU_ASSERT_TRUE (bt_put_runner_item (testbed, i, "ready"));
     }
   return crashed;
 }
@@ -200,11 +200,11 @@
   int64_t known[GATEWAYS];
 
   CU_ASSERT_TRUE_FATAL (start_testbed ());
-  CU_ASSERT_TRUE (bt_set_field_fault (testbed->store_port, "{\"kind\":\"refuse\",\"count\":-1}"));
+  CU_ASSERT_TRUE (bt_set_standin_fault (testbed->store_port, "{\"kind\":\"refuse\",\"count\":-1}"));
   crash_three_runners ("/a/once/poison");
   /* Lets the first reports fail, so that only a second attempt can report the crashes. */
   bt_sleep_ms (STABLE_MS);
-  CU_ASSERT_TRUE (bt_set_field_fault (testbed->store_port, "{\"kind\":\"none\"}"));
+  CU_ASSERT_TRUE (bt_set_standin_fault (testbed->store_port, "{\"kind\":\"none\"}"));
   bt_sleep_ms (STABLE_MS);
   for (int32_t i = 0; i < GATEWAYS; i++)
     {
--- a/test/process/test_gateway_foreign.c
+++ b/test/process/test_gateway_foreign.c
@@ -23,34 +23,34 @@
     "\"public\":true}],"
     "\"limits\":{\"max_header_bytes\":16384,\"max_body_bytes\":65536,\"idle_timeout_ms\":15000}}";
 
-static bt_field_t *testbed;
+static bt_gateway_testbed_t *testbed;
 
 static int
 start_suite (void)
 {
-  testbed = bt_new_field (1, configuration);
+  testbed = bt_new_gateway_testbed (1, configuration);
   return testbed == NULL || !bt_wait_gateway_ready (testbed, 0) ? 1 : 0;
 }
 
 static int
 end_suite (void)
 {
-  bt_drop_field (testbed, CU_get_number_of_failures () > 0);
+  bt_drop_gateway_testbed (testbed, CU_get_number_of_failures () > 0);
   return 0;
 }
 
 static int32_t
 request_status (const char *id)
 {
-  bt_field_call_t call = { .path = "/a/order", .id = id, .deadline_ms = 3000 };
+  bt_gateway_call_t call = { .path = "/a/order", .id = id, .deadline_ms = 3000 };
 
-  return bt_call_field_status (testbed, &call);
+  return bt_get_call_status (testbed, &call);
 }
 
 static bool
 wait_status (const char *id, int32_t wanted)
 {
-  bt_field_call_t call = { .path = "/a/order", .id = id, .deadline_ms = 3000 };
+  bt_gateway_call_t call = { .path = "/a/order", .id = id, .deadline_ms = 3000 };
 
   return bt_wait_call_status (testbed, &call, wanted);
 }
@@ -94,7 +94,7 @@
   char value[LINE_BYTES];
 
   snprintf (value, sizeof value, format, testbed->runner_ports[0]);
-  CU_ASSERT_TRUE (bt_put_field_item (testbed, key, value));
+  CU_ASSERT_TRUE (bt_put_store_item (testbed, key, value));
 }
 
 static void
@@ -144,7 +144,7 @@
       CU_ASSERT_EQUAL (request_status (id), OK);
       /* Changes an unrelated item, after which the gateway builds a new view. */
       if (i % 6 == 0)
-        bt_put_field_item (testbed, "other/key", id);
+        bt_put_store_item (testbed, "other/key", id);
     }
   put_invalid_item ("servers/x-last", "%d");
   CU_ASSERT_TRUE (wait_log_line ("endpoint-unreadable", "servers/x-last"));
@@ -184,7 +184,7 @@
     }
   CU_ASSERT_TRUE (wait_status ("r-overwritten", UNAVAILABLE));
   for (int32_t i = 0; i < BT_DEFAULT_RUNNERS; i++)
-    CU_ASSERT_TRUE (bt_list_field_runner (testbed, i, "ready"));
+    CU_ASSERT_TRUE (bt_put_runner_item (testbed, i, "ready"));
   CU_ASSERT_TRUE (wait_status ("r-again", OK));
 }
 
--- a/test/process/test_gateway_logs.c
+++ b/test/process/test_gateway_logs.c
@@ -29,7 +29,7 @@
     "\"public\":false}],"
     "\"limits\":{\"max_header_bytes\":16384,\"max_body_bytes\":65536,\"idle_timeout_ms\":15000}}";
 
-static bt_field_t *testbed;
+static bt_gateway_testbed_t *testbed;
 static log_pipe_t gateway_log;
 
 /* Restarts the second gateway with its output in a pipe. The first one's log still shows what went
@@ -37,7 +37,7 @@
 static int
 start_suite (void)
 {
-  testbed = bt_new_field (2, configuration);
+  testbed = bt_new_gateway_testbed (2, configuration);
   if (testbed == NULL || !bt_wait_gateway_ready (testbed, 1) || !open_log_pipe (&gateway_log))
     return 1;
   kill (testbed->gateways[1], SIGKILL);
@@ -51,7 +51,7 @@
 static int
 end_suite (void)
 {
-  bt_drop_field (testbed, CU_get_number_of_failures () > 0);
+  bt_drop_gateway_testbed (testbed, CU_get_number_of_failures () > 0);
   close_log_pipe (&gateway_log);
   return 0;
 }
@@ -59,11 +59,11 @@
 static int32_t
 request_status (const char *path)
 {
-  bt_field_call_t call = {
+  bt_gateway_call_t call = {
     .gateway = 1, .path = path, .id = "r-logs", .key = "key-small", .deadline_ms = 20000
   };
 
-  return bt_call_field_status (testbed, &call);
+  return bt_get_call_status (testbed, &call);
 }
 
 /* Sends @p count requests and returns whether each got the expected status. */
--- a/test/process/test_gateway_peers.c
+++ b/test/process/test_gateway_peers.c
@@ -26,7 +26,7 @@
     "\"public\":false}],"
     "\"limits\":{\"max_header_bytes\":16384,\"max_body_bytes\":65536,\"idle_timeout_ms\":15000}}";
 
-static bt_field_t *testbed;
+static bt_gateway_testbed_t *testbed;
 
 static bool
 put_configuration (int32_t version, const char *keys)
@@ -34,7 +34,7 @@
   char text[2048];
 
   snprintf (text, sizeof text, configuration, version, keys);
-  return bt_put_field_item (testbed, "op/config", text);
+  return bt_put_store_item (testbed, "op/config", text);
 }
 
 static int
@@ -43,7 +43,7 @@
   char text[2048];
 
   snprintf (text, sizeof text, configuration, 1, ",\"key-other\"");
-  testbed = bt_new_field (GATEWAYS, text);
+  testbed = bt_new_gateway_testbed (GATEWAYS, text);
   if (testbed == NULL)
     return 1;
   for (int32_t i = 0; i < GATEWAYS; i++)
@@ -55,14 +55,14 @@
 static int
 end_suite (void)
 {
-  bt_drop_field (testbed, CU_get_number_of_failures () > 0);
+  bt_drop_gateway_testbed (testbed, CU_get_number_of_failures () > 0);
   return 0;
 }
 
-static bt_field_call_t
+static bt_gateway_call_t
 make_call (int32_t gateway, const char *key)
 {
-  return (bt_field_call_t){
+  return (bt_gateway_call_t){
     .gateway = gateway, .path = "/a/lookup", .id = "r-peers", .key = key, .deadline_ms = 4000
   };
 }
@@ -70,15 +70,15 @@
 static int32_t
 request_status (int32_t gateway, const char *key)
 {
-  bt_field_call_t call = make_call (gateway, key);
+  bt_gateway_call_t call = make_call (gateway, key);
 
-  return bt_call_field_status (testbed, &call);
+  return bt_get_call_status (testbed, &call);
 }
 
 static bool
 wait_status (int32_t gateway, const char *key, int32_t status)
 {
-  bt_field_call_t call = make_call (gateway, key);
+  bt_gateway_call_t call = make_call (gateway, key);
 
   return bt_wait_call_status (testbed, &call, status);
 }
--- a/test/process/test_gateway_starts.c
+++ b/test/process/test_gateway_starts.c
@@ -29,34 +29,34 @@
     "\"public\":true}],"
     "\"limits\":{\"max_header_bytes\":16384,\"max_body_bytes\":65536,\"idle_timeout_ms\":15000}}";
 
-static bt_field_t *testbed;
+static bt_gateway_testbed_t *testbed;
 
 static int
 start_suite (void)
 {
-  testbed = bt_new_field (1, configuration);
+  testbed = bt_new_gateway_testbed (1, configuration);
   return testbed == NULL || !bt_wait_gateway_ready (testbed, 0) ? 1 : 0;
 }
 
 static int
 end_suite (void)
 {
-  bt_drop_field (testbed, CU_get_number_of_failures () > 0);
+  bt_drop_gateway_testbed (testbed, CU_get_number_of_failures () > 0);
   return 0;
 }
 
 static int32_t
 request_status (const char *path, const char *id)
 {
-  bt_field_call_t call = { .path = path, .id = id, .deadline_ms = 8000 };
+  bt_gateway_call_t call = { .path = path, .id = id, .deadline_ms = 8000 };
 
-  return bt_call_field_status (testbed, &call);
+  return bt_get_call_status (testbed, &call);
 }
 
 static bool
 wait_status (const char *path, const char *id, int32_t wanted)
 {
-  bt_field_call_t call = { .path = path, .id = id, .deadline_ms = 8000 };
+  bt_gateway_call_t call = { .path = path, .id = id, .deadline_ms = 8000 };
 
   return bt_wait_call_status (testbed, &call, wanted);
 }
@@ -67,7 +67,7 @@
   for (int32_t i = 0; i < BT_DEFAULT_RUNNERS; i++)
     {
       CU_ASSERT_TRUE (bt_restart_runner_process (testbed, i));
-      CU_ASSERT_TRUE (bt_list_field_runner (testbed, i, "ready"));
+      CU_ASSERT_TRUE (bt_put_runner_item (testbed, i, "ready"));
     }
 }
 
@@ -75,7 +75,7 @@
 set_all_faults (const char *fault)
 {
   for (int32_t i = 0; i < BT_DEFAULT_RUNNERS; i++)
-    CU_ASSERT_TRUE (bt_set_field_fault (testbed->runner_ports[i], fault));
+    CU_ASSERT_TRUE (bt_set_standin_fault (testbed->runner_ports[i], fault));
 }
 
 /* Orders are running when their runners are killed. The runners restart under the same ids, and are
@@ -117,7 +117,7 @@
 set_other_faults (const char *fault)
 {
   for (int32_t i = 1; i < BT_DEFAULT_RUNNERS; i++)
-    CU_ASSERT_TRUE (bt_set_field_fault (testbed->runner_ports[i], fault));
+    CU_ASSERT_TRUE (bt_set_standin_fault (testbed->runner_ports[i], fault));
 }
 
 /* All runners but one are full, and that one is killed while it runs a request, and restarts under
@@ -130,8 +130,8 @@
 
   set_other_faults ("{\"kind\":\"full\",\"count\":-1}");
   CU_ASSERT_TRUE (wait_status ("/a/lookup", "r-alone", OK));
-  CU_ASSERT_TRUE (bt_set_field_fault (testbed->runner_ports[0],
-                                      "{\"kind\":\"late\",\"count\":-1,\"match\":\"/a/lookup\"}"));
+  CU_ASSERT_TRUE (bt_set_standin_fault (
+      testbed->runner_ports[0], "{\"kind\":\"late\",\"count\":-1,\"match\":\"/a/lookup\"}"));
   caller = fork ();
   if (caller == 0)
     {
@@ -141,7 +141,7 @@
     }
   bt_sleep_ms (RUN_BEGIN_MS);
   CU_ASSERT_TRUE (bt_restart_runner_process (testbed, 0));
-  CU_ASSERT_TRUE (bt_list_field_runner (testbed, 0, "ready"));
+  CU_ASSERT_TRUE (bt_put_runner_item (testbed, 0, "ready"));
   waitpid (caller, &status, 0);
   CU_ASSERT (WIFEXITED (status) && WEXITSTATUS (status) == 0);
   set_other_faults ("{\"kind\":\"none\"}");
@@ -166,7 +166,7 @@
   CU_ASSERT_TRUE (bt_restart_runner_process (testbed, 0));
   bt_write_runner_id (testbed, 0, key, sizeof key);
   CU_ASSERT_STRING_EQUAL (key, before);
-  CU_ASSERT_TRUE (bt_list_field_runner (testbed, 0, "ready"));
+  CU_ASSERT_TRUE (bt_put_runner_item (testbed, 0, "ready"));
   CU_ASSERT_TRUE (wait_status ("/a/lookup", "r-back", OK));
   set_other_faults ("{\"kind\":\"none\"}");
 }
--- a/test/process/test_gateway_stop.c
+++ b/test/process/test_gateway_stop.c
@@ -39,13 +39,13 @@
     "\"public\":false}],"
     "\"limits\":{\"max_header_bytes\":16384,\"max_body_bytes\":65536,\"idle_timeout_ms\":15000}}";
 
-static bt_field_t *testbed;
+static bt_gateway_testbed_t *testbed;
 static long log_start; /* offset of the stopped gateway's present process in its log */
 
 static int
 start_suite (void)
 {
-  testbed = bt_new_field (2, configuration);
+  testbed = bt_new_gateway_testbed (2, configuration);
   return testbed != NULL && bt_wait_gateway_ready (testbed, 0) && bt_wait_gateway_ready (testbed, 1)
              ? 0
              : 1;
@@ -54,14 +54,14 @@
 static int
 end_suite (void)
 {
-  bt_drop_field (testbed, CU_get_number_of_failures () > 0);
+  bt_drop_gateway_testbed (testbed, CU_get_number_of_failures () > 0);
   return 0;
 }
 
 static void
 send_request (const char *path, const char *id, bt_reply_t *reply)
 {
-  bt_field_call_t call = {
+  bt_gateway_call_t call = {
     .gateway = 1, .path = path, .id = id, .key = "key-small", .deadline_ms = 6000
   };
 
@@ -195,7 +195,7 @@
 set_all_faults (const char *fault)
 {
   for (int32_t i = 0; i < BT_DEFAULT_RUNNERS; i++)
-    CU_ASSERT_TRUE (bt_set_field_fault (testbed->runner_ports[i], fault));
+    CU_ASSERT_TRUE (bt_set_standin_fault (testbed->runner_ports[i], fault));
 }
 
 /* Starts a caller whose request runs longer than any stop here. Its process exits with 0 if the
@@ -432,7 +432,7 @@
   CU_ASSERT (first >= 0);
   for (int32_t i = 0; i < BT_DEFAULT_RUNNERS; i++)
     if (i != first)
-      CU_ASSERT_TRUE (bt_list_field_runner (testbed, i, "draining"));
+      CU_ASSERT_TRUE (bt_put_runner_item (testbed, i, "draining"));
   for (int32_t i = 0; i < BT_DEFAULT_RUNNERS; i++)
     {
       char event[128];
--- a/test/process/test_hostile.c
+++ b/test/process/test_hostile.c
@@ -29,20 +29,20 @@
 
 static const char *const entry_arguments[] = { "--caller-idle-ms", "1000", NULL };
 
-static bt_stage_t *testbed;
+static bt_testbed_t *testbed;
 
 static int
 start_suite (void)
 {
-  bt_set_stage_arguments (entry_arguments, NULL);
-  testbed = bt_new_stage (1, 0, 1, 0, rules);
+  bt_set_testbed_arguments (entry_arguments, NULL);
+  testbed = bt_new_testbed (1, 0, 1, 0, rules);
   return testbed == NULL ? 1 : 0;
 }
 
 static int
 end_suite (void)
 {
-  bt_drop_stage (testbed, CU_get_number_of_failures () > 0);
+  bt_drop_testbed (testbed, CU_get_number_of_failures () > 0);
   return 0;
 }
 
@@ -65,7 +65,7 @@
 static int
 connect_entry (void)
 {
-  return connect_port (bt_get_stage_port (testbed, "entry-0"));
+  return connect_port (bt_get_testbed_port (testbed, "entry-0"));
 }
 
 static void
@@ -224,7 +224,7 @@
 static void
 test_random_bytes_at_each_port_do_no_harm (void)
 {
-  int32_t entry = bt_get_stage_port (testbed, "entry-0");
+  int32_t entry = bt_get_testbed_port (testbed, "entry-0");
 
   for (uint64_t seed = 1; seed <= NOISE_ROUNDS; seed++)
     {
--- a/test/process/test_map_group.c
+++ b/test/process/test_map_group.c
@@ -34,7 +34,7 @@
                                                   "--expert-slots", "5",       "--plan-ms",   "500",
                                                   "--expert-bytes", "1000000", NULL };
 
-static bt_stage_t *testbed;
+static bt_testbed_t *testbed;
 static pid_t group_pid;
 static int group_port;
 static int64_t wanted_map = 1;
@@ -98,10 +98,10 @@
 start_testbed (const char *const *arguments)
 {
   unsetenv ("BILBERRY_GROUP");
-  bt_set_stage_arguments (arguments, NULL);
+  bt_set_testbed_arguments (arguments, NULL);
   if (!start_group ())
     return 1;
-  testbed = bt_new_stage (ENTRIES, RANKS, 0, 1000, rules);
+  testbed = bt_new_testbed (ENTRIES, RANKS, 0, 1000, rules);
   if (testbed == NULL)
     return 1;
   for (int32_t rank = 0; rank < RANKS; rank++)
@@ -125,7 +125,7 @@
 static int
 end_suite (void)
 {
-  bt_drop_stage (testbed, CU_get_number_of_failures () > 0);
+  bt_drop_testbed (testbed, CU_get_number_of_failures () > 0);
   kill (group_pid, SIGTERM);
   waitpid (group_pid, NULL, 0);
   return 0;
--- a/test/process/test_path.c
+++ b/test/process/test_path.c
@@ -13,19 +13,19 @@
     "{\"name\":\"drafts\",\"when\":{\"path\":\"/v1/completions\"},"
     "\"then\":{\"action\":\"route\",\"app\":\"drafts\"}}]}";
 
-static bt_stage_t *testbed;
+static bt_testbed_t *testbed;
 
 static int
 start_suite (void)
 {
-  testbed = bt_new_stage (2, 2, 1, 1000, rules);
+  testbed = bt_new_testbed (2, 2, 1, 1000, rules);
   return testbed == NULL ? 1 : 0;
 }
 
 static int
 end_suite (void)
 {
-  bt_drop_stage (testbed, CU_get_number_of_failures () > 0);
+  bt_drop_testbed (testbed, CU_get_number_of_failures () > 0);
   return 0;
 }
 
--- a/test/process/test_request_silence.c
+++ b/test/process/test_request_silence.c
@@ -21,7 +21,7 @@
     "{\"rules\":[{\"name\":\"drafts\",\"when\":{\"path\":\"/v1/completions\"},"
     "\"then\":{\"action\":\"route\",\"app\":\"drafts\",\"retries\":2}}]}";
 
-static bt_stage_t *testbed;
+static bt_testbed_t *testbed;
 static bt_proxy_t *proxy;
 
 static size_t
@@ -78,7 +78,7 @@
 {
   bool through_proxy = false;
 
-  testbed = bt_new_stage (1, 1, 0, STEP_US, rules);
+  testbed = bt_new_testbed (1, 1, 0, STEP_US, rules);
   if (testbed == NULL)
     return 1;
   proxy = bt_new_proxy (testbed->base_port + AGENT_PORT_OFFSET);
@@ -88,7 +88,7 @@
   if (through_proxy)
     return 0;
   fprintf (stderr, "the entry did not connect to the agent through the proxy\n");
-  bt_drop_stage (testbed, true);
+  bt_drop_testbed (testbed, true);
   return 1;
 }
 
@@ -96,7 +96,7 @@
 end_suite (void)
 {
   bt_drop_proxy (proxy);
-  bt_drop_stage (testbed, CU_get_number_of_failures () > 0);
+  bt_drop_testbed (testbed, CU_get_number_of_failures () > 0);
   return 0;
 }
 
--- a/test/process/test_request_stops.c
+++ b/test/process/test_request_stops.c
@@ -25,20 +25,20 @@
 static const char *const entry_arguments[] = { "--ticket-life-ms", "3000", NULL };
 static const char *const agent_arguments[] = { "--ticket-life-ms", "3000", NULL };
 
-static bt_stage_t *testbed;
+static bt_testbed_t *testbed;
 
 static int
 start_suite (void)
 {
-  bt_set_stage_arguments (entry_arguments, agent_arguments);
-  testbed = bt_new_stage (2, 2, 0, STEP_US, rules);
+  bt_set_testbed_arguments (entry_arguments, agent_arguments);
+  testbed = bt_new_testbed (2, 2, 0, STEP_US, rules);
   return testbed == NULL ? 1 : 0;
 }
 
 static int
 end_suite (void)
 {
-  bt_drop_stage (testbed, CU_get_number_of_failures () > 0);
+  bt_drop_testbed (testbed, CU_get_number_of_failures () > 0);
   return 0;
 }
 
--- a/test/soak/caller.c
+++ b/test/soak/caller.c
@@ -66,7 +66,7 @@
   curl_easy_setopt (easy, CURLOPT_NOSIGNAL, 1L);
   curl_easy_setopt (easy, CURLOPT_TIMEOUT_MS, (long)DEADLINE_MS + TIMEOUT_MARGIN_MS);
   curl_easy_setopt (easy, CURLOPT_POSTFIELDS, "shrimp");
-  curl_easy_setopt (easy, CURLOPT_WRITEFUNCTION, bt_take_reply_bytes);
+  curl_easy_setopt (easy, CURLOPT_WRITEFUNCTION, bt_append_reply_bytes);
   curl_easy_setopt (easy, CURLOPT_WRITEDATA, &outcome->reply);
   curl_easy_setopt (easy, CURLOPT_HEADERFUNCTION, check_header);
   curl_easy_setopt (easy, CURLOPT_HEADERDATA, outcome);
--- a/test/soak/checker.c
+++ b/test/soak/checker.c
@@ -58,7 +58,7 @@
   record_t *records; /* hash table with open addressing by id; an empty id marks a free slot */
   int32_t violations;
   /* When each gateway first refused each key that had been valid. */
-  int64_t refused_ms[BT_FIELD_GATEWAYS][BT_SOAK_KEYS];
+  int64_t refused_ms[BT_MAX_GATEWAYS][BT_SOAK_KEYS];
 };
 
 bt_soak_checker_t *
--- a/test/soak/faults.c
+++ b/test/soak/faults.c
@@ -111,7 +111,7 @@
 
   soak->version++;
   text = bt_write_soak_configuration (soak);
-  if (!bt_put_field_item (soak->field, "op/config", text))
+  if (!bt_put_store_item (soak->field, "op/config", text))
     bt_print_soak_event (soak, "the store did not accept the operator's configuration");
   free (text);
 }
@@ -219,7 +219,7 @@
   char fault[BT_SOAK_TEXT_BYTES];
 
   snprintf (fault, sizeof fault, "{\"kind\":\"%s\",\"count\":-1,\"delay_ms\":%d}", kind, delay_ms);
-  return bt_set_field_fault (port, fault);
+  return bt_set_standin_fault (port, fault);
 }
 
 /* Announces that a runner is draining. The runner goes on serving; when the fault ends, another one
@@ -227,7 +227,7 @@
 static void
 replace_runner (bt_soak_t *soak, int32_t runner)
 {
-  if (!bt_list_field_runner (soak->field, runner, "draining"))
+  if (!bt_put_runner_item (soak->field, runner, "draining"))
     bt_print_soak_event (soak, "runner %d could not be listed as draining", runner);
 }
 
@@ -235,7 +235,7 @@
 start_fault (bt_soak_faults_t *faults, active_fault_t *fault)
 {
   bt_soak_t *soak = faults->soak;
-  bt_field_t *field = soak->field;
+  bt_gateway_testbed_t *field = soak->field;
   bt_hop_fault_t hop_fault = (bt_hop_fault_t)(1 + draw_below (faults, BT_HOP_FAULTS - 1));
   int32_t delay_ms = 1 + draw_below (faults, MAX_DELAY_MS);
   const char *detail = "";
@@ -282,7 +282,7 @@
 end_fault (bt_soak_faults_t *faults, const active_fault_t *fault)
 {
   bt_soak_t *soak = faults->soak;
-  bt_field_t *field = soak->field;
+  bt_gateway_testbed_t *field = soak->field;
 
   switch (fault->kind)
     {
@@ -315,9 +315,9 @@
 
         bt_write_runner_id (field, fault->target, key + strlen (key), sizeof key - strlen (key));
         bt_kill_runner_process (field, fault->target);
-        bt_put_field_item (field, key, NULL);
+        bt_put_store_item (field, key, NULL);
         bt_start_runner_process (field, fault->target);
-        bt_list_field_runner (field, fault->target, "ready");
+        bt_put_runner_item (field, fault->target, "ready");
         break;
       }
     default:
--- a/test/soak/main.c
+++ b/test/soak/main.c
@@ -52,7 +52,8 @@
   soak->start_ms = bt_read_clock_ms (bt_system_clock ());
   setenv ("STORE_LAPSES", "1", 1);
   text = bt_write_soak_configuration (soak);
-  soak->field = bt_new_large_field (soak->settings.gateways, soak->settings.runners, text);
+  soak->field =
+      bt_new_large_gateway_testbed (soak->settings.gateways, soak->settings.runners, text);
   free (text);
   if (soak->field == NULL)
     return false;
@@ -203,16 +204,16 @@
   soak.settings.runners = (int32_t)read_flag (argc, argv, "--runners", 5);
   soak.settings.callers = (int32_t)read_flag (argc, argv, "--callers", 8);
   soak.settings.poison = read_flag (argc, argv, "--poison", 0) != 0;
-  if (soak.settings.gateways < 2 || soak.settings.gateways > BT_FIELD_GATEWAYS
-      || soak.settings.runners < 1 || soak.settings.runners > BT_FIELD_MOST_RUNNERS
-      || soak.settings.callers < 1 || soak.settings.callers > BT_FIELD_GATEWAYS * 4)
+  if (soak.settings.gateways < 2 || soak.settings.gateways > BT_MAX_GATEWAYS
+      || soak.settings.runners < 1 || soak.settings.runners > BT_MAX_RUNNERS
+      || soak.settings.callers < 1 || soak.settings.callers > BT_MAX_GATEWAYS * 4)
     {
       fprintf (stderr, "soak: 2 to %d gateways, 1 to %d runners, 1 to %d callers\n",
-               BT_FIELD_GATEWAYS, BT_FIELD_MOST_RUNNERS, BT_FIELD_GATEWAYS * 4);
+               BT_MAX_GATEWAYS, BT_MAX_RUNNERS, BT_MAX_GATEWAYS * 4);
       return 2;
     }
   curl_global_init (CURL_GLOBAL_DEFAULT);
   passed = start_soak (&soak) && run_soak (&soak);
-  bt_drop_field (soak.field, false);
+  bt_drop_gateway_testbed (soak.field, false);
   return passed ? 0 : 1;
 }
--- a/test/soak/poison.c
+++ b/test/soak/poison.c
@@ -24,8 +24,8 @@
 {
   bt_soak_t *soak;
   bt_random_t random; /* separate, so that a seed gives the same faults with and without poison */
-  int64_t restart_ms[BT_FIELD_MOST_RUNNERS]; /* when to restart each runner; 0: none due */
-  int64_t runs_ms[MAX_RUNS];                 /* sorted */
+  int64_t restart_ms[BT_MAX_RUNNERS]; /* when to restart each runner; 0: none due */
+  int64_t runs_ms[MAX_RUNS];          /* sorted */
   int32_t runs;
   int32_t late_runs;
 };
@@ -56,13 +56,13 @@
 send_poison (const bt_soak_t *soak, const char *path, int32_t gateway, int32_t number)
 {
   char id[ID_BYTES];
-  bt_field_call_t call = {
+  bt_gateway_call_t call = {
     .gateway = gateway, .path = path, .id = id, .key = "k-good", .deadline_ms = DEADLINE_MS
   };
 
   /* bt_check_poison_run reads the gateway from the id. */
   snprintf (id, sizeof id, "p%d-%d", gateway, number);
-  bt_call_field_status (soak->field, &call);
+  bt_get_call_status (soak->field, &call);
 }
 
 void
@@ -85,13 +85,13 @@
 static void
 restart_runner (bt_soak_poison_t *poison, int32_t index)
 {
-  bt_field_t *field = poison->soak->field;
+  bt_gateway_testbed_t *field = poison->soak->field;
 
   poison->restart_ms[index] = 0;
   /* A planned replacement may have started it meanwhile. */
   if (field->runners[index] != 0)
     return;
-  if (!bt_restart_runner_process (field, index) || !bt_list_field_runner (field, index, "ready"))
+  if (!bt_restart_runner_process (field, index) || !bt_put_runner_item (field, index, "ready"))
     bt_print_soak_event (poison->soak, "runner %d could not be restarted", index);
 }
 
--- a/test/soak/soak.h
+++ b/test/soak/soak.h
@@ -56,23 +56,23 @@
 {
   bt_soak_settings_t settings;
   bt_random_t random;
-  bt_field_t *field;
+  bt_gateway_testbed_t *field;
   int64_t start_ms;
-  pid_t callers[BT_FIELD_GATEWAYS * 4];
+  pid_t callers[BT_MAX_GATEWAYS * 4];
   pid_t poison_caller;
   int32_t version; /**< Of the configuration in the store. */
   bt_soak_key_t keys[BT_SOAK_KEYS];
   int32_t key_count;
   /** End of the disturbance of each gateway or of its link to the store, including
    * BT_SOAK_SETTLE_MS after the fault. */
-  int64_t disturbed_ms[BT_FIELD_GATEWAYS];
+  int64_t disturbed_ms[BT_MAX_GATEWAYS];
   int64_t store_disturbed_ms;       /**< The same for the store. */
   int64_t runner_link_disturbed_ms; /**< The same for the links to the runners. */
   /** Until when each gateway was killed or frozen. A request that fails before then is not the
    * gateway's fault. */
-  int64_t halted_ms[BT_FIELD_GATEWAYS];
+  int64_t halted_ms[BT_MAX_GATEWAYS];
   /** SIGTERM was sent before the gateway was able to handle it. */
-  bool stopped_before_ready[BT_FIELD_GATEWAYS];
+  bool stopped_before_ready[BT_MAX_GATEWAYS];
   int32_t failed_stops; /**< Gateways that exited with an error after SIGTERM. */
 } bt_soak_t;
 
