--- a/bench/bench_experiment.c
+++ b/bench/bench_experiment.c
@@ -59,8 +59,8 @@
   const char *name;
   const char *shift = "none";
   double seconds;
-  json_int_t aim_ms;
-  json_int_t pause_ms;
+  json_int_t target_ms;
+  json_int_t max_pause_ms;
   json_int_t shift_ms = 0;
   json_error_t error;
 
@@ -68,12 +68,12 @@
   if (json_unpack_ex (value, &error, JSON_STRICT,
                       "{s:s, s:i, s:F, s:F, s:F, s:I, s:I, s:F, s:F, s?s, s?F, s?I,"
                       " s:{s:i, s:i, s:F, s:F, s:F, s:i, s:i, s:i, s:i, s:F, s:F, s:F}}",
-                      "name", &name, "ranks", &load->ranks, "requests_a_s", &load->requests_a_s,
+                      "name", &name, "ranks", &load->ranks, "requests_a_s", &load->requests_per_s,
                       "prompt_tokens", &load->prompt_tokens, "events", &load->events, "aim_ms",
-                      &aim_ms, "pause_ms", &pause_ms, "seconds", &seconds, "skew", &load->skew,
-                      "shift", &shift, "shift_share", &load->shift_share, "shift_ms", &shift_ms,
-                      "engine", "slots", &engine->slots, "stride", &engine->stride, "step_ms",
-                      &engine->step_ms, "step_request_ms", &engine->step_request_ms,
+                      &target_ms, "pause_ms", &max_pause_ms, "seconds", &seconds, "skew",
+                      &load->skew, "shift", &shift, "shift_share", &load->shift_share, "shift_ms",
+                      &shift_ms, "engine", "slots", &engine->slots, "stride", &engine->stride,
+                      "step_ms", &engine->step_ms, "step_request_ms", &engine->step_request_ms,
                       "read_tokens_per_ms", &engine->read_tokens_per_ms, "expert_sets",
                       &engine->expert_sets, "experts", &engine->experts, "places", &engine->places,
                       "spare_places", &engine->spare_places, "expert_mb", &engine->expert_mb,
@@ -86,14 +86,14 @@
     die (file, "\"shift\" must be none, jump, drift or return in load", &error);
   if (load->ranks < 1 || load->ranks > BT_MAX_RANKS || engine->expert_sets < 1
       || engine->experts < load->ranks || engine->places * load->ranks < engine->experts
-      || load->requests_a_s <= 0 || seconds <= 0 || engine->link_mbps <= 0
+      || load->requests_per_s <= 0 || seconds <= 0 || engine->link_mbps <= 0
       || engine->read_tokens_per_ms <= 0 || (load->shift != BT_SHIFT_NONE && shift_ms <= 0))
     die (file, "values are out of range or contradict each other in load", &error);
   bt_copy_name (load->name, name);
-  load->aim_ms = aim_ms;
-  load->pause_ms = pause_ms;
+  load->target_ms = target_ms;
+  load->max_pause_ms = max_pause_ms;
   load->shift_ms = shift_ms;
-  load->run_ms = (int64_t)(seconds * MS_PER_S);
+  load->duration_ms = (int64_t)(seconds * MS_PER_S);
 }
 
 /* Reads a variant. Values that it does not set stay as shipped. */
@@ -129,10 +129,10 @@
 static void
 add_result (row_t *row, const bt_group_result_t *result)
 {
-  row->sum.asked += result->asked;
+  row->sum.requests += result->requests;
   row->sum.in_time += result->in_time;
   row->sum.late += result->late;
-  row->sum.left += result->left;
+  row->sum.abandoned += result->abandoned;
   row->sum.pass_ms += result->pass_ms;
   row->sum.skew += result->skew;
   row->sum.rounds += result->rounds;
@@ -144,12 +144,12 @@
 print_row (const char *name, const row_t *row, double ceiling)
 {
   const bt_group_result_t *sum = &row->sum;
-  double asked = sum->asked;
+  double requests = sum->requests;
 
   printf ("| %s | %.3f | %.2f | %.3f | %.3f | %.1f | %.2f | %.0f | %.0f |\n", name,
-          sum->in_time / asked, ceiling > 0 ? sum->in_time / asked / ceiling : 0, sum->late / asked,
-          sum->left / asked, sum->pass_ms / row->runs, sum->skew / row->runs,
-          (double)sum->rounds / row->runs, (double)sum->copies / row->runs);
+          sum->in_time / requests, ceiling > 0 ? sum->in_time / requests / ceiling : 0,
+          sum->late / requests, sum->abandoned / requests, sum->pass_ms / row->runs,
+          sum->skew / row->runs, (double)sum->rounds / row->runs, (double)sum->copies / row->runs);
 }
 
 /* Runs one load with all variants. The last variant that knows the demand in advance is the
@@ -175,9 +175,9 @@
           add_result (&rows[i], &result);
         }
       if (variants[i].demand_known)
-        ceiling = (double)rows[i].sum.in_time / rows[i].sum.asked;
+        ceiling = (double)rows[i].sum.in_time / rows[i].sum.requests;
     }
-  printf ("\n%s: %d requests, %zu seeds\n\n", load->name, rows[0].sum.asked, seed_count);
+  printf ("\n%s: %d requests, %zu seeds\n\n", load->name, rows[0].sum.requests, seed_count);
   printf ("| way | in time | of ceiling | late | left | pass ms | skew | rounds | copies |\n");
   printf ("|---|---|---|---|---|---|---|---|---|\n");
   for (size_t i = 0; i < variant_count; i++)
--- a/bench/bench_leader.c
+++ b/bench/bench_leader.c
@@ -341,7 +341,7 @@
   if (group->target_version != 0)
     bt_activate_next_group_map (group->ctx, group->maps, group->target_version);
   group->target_version = 0;
-  if (bt_take_group_jump (group->maps, now_ms))
+  if (bt_poll_group_jump (group->maps, now_ms))
     group->next_plan_ms = now_ms;
   if (now_ms < group->next_plan_ms
       || bt_get_group_map (group->ctx, group->maps, EPOCH, bt_get_group_version (group->rounds))
--- a/bench/harness_core_policy.c
+++ b/bench/harness_core_policy.c
@@ -131,7 +131,7 @@
   const request_t *request = &sim->requests[index];
   bt_admission_request_t admission_request = { .id = (uint64_t)index,
                                                .app = app,
-                                               .again = is_retry };
+                                               .is_retry = is_retry };
   bt_admission_decision_t decision;
   char account[BT_NAME_BYTES];
 
--- a/bench/harness_group.c
+++ b/bench/harness_group.c
@@ -202,8 +202,8 @@
   bt_pass_limiter_settings_t limiter_settings = {
     .ranks = load->ranks,
     .min_pass_ms = load->engine.step_ms * load->engine.stride,
-    .target_pass_ms = group->variant->pass_time_share * (double)load->pause_ms,
-    .pause_ms = (double)load->pause_ms,
+    .target_pass_ms = group->variant->pass_time_share * (double)load->max_pause_ms,
+    .pause_ms = (double)load->max_pause_ms,
     .slots = load->engine.slots,
   };
 
@@ -239,7 +239,7 @@
 {
   const bt_group_load_t *load = group->load;
 
-  while (group->next_arrival_ms <= group->now_ms && group->next_arrival_ms < load->run_ms
+  while (group->next_arrival_ms <= group->now_ms && group->next_arrival_ms < load->duration_ms
          && group->count < MAX_REQUESTS)
     {
       request_t *request = &group->requests[group->count++];
@@ -247,9 +247,9 @@
       *request = (request_t){ .arrival_ms = group->next_arrival_ms, .rank = -1 };
       request->unread_tokens = draw_around (&group->random, load->prompt_tokens);
       request->events_left = (int32_t)draw_around (&group->random, load->events) + 1;
-      group->result->asked++;
+      group->result->requests++;
       group->next_arrival_ms -=
-          log (1.0 - bt_random_unit (&group->random)) * MS_PER_S / load->requests_a_s;
+          log (1.0 - bt_random_unit (&group->random)) * MS_PER_S / load->requests_per_s;
     }
 }
 
@@ -268,7 +268,7 @@
     if (group->requests[i].rank < 0 && group->now_ms - group->requests[i].arrival_ms > ABANDON_MS)
       {
         remove_request (group, i);
-        group->result->left++;
+        group->result->abandoned++;
       }
 }
 
@@ -285,7 +285,7 @@
 
       if (request->rank >= 0)
         continue;
-      if (group->now_ms - request->arrival_ms < (double)group->load->aim_ms / 2)
+      if (group->now_ms - request->arrival_ms < (double)group->load->target_ms / 2)
         return request;
       if (first == NULL)
         first = request;
@@ -433,8 +433,8 @@
 end_request (group_t *group, int32_t index)
 {
   const request_t *request = &group->requests[index];
-  bool in_time = request->first_event_ms - request->arrival_ms <= (double)group->load->aim_ms
-                 && request->longest_pause_ms <= (double)group->load->pause_ms;
+  bool in_time = request->first_event_ms - request->arrival_ms <= (double)group->load->target_ms
+                 && request->longest_pause_ms <= (double)group->load->max_pause_ms;
 
   group->result->in_time += in_time;
   group->result->late += !in_time;
@@ -517,7 +517,7 @@
   const bt_expert_map_t *next;
   double skew[2];
 
-  if (bt_take_group_jump (group->maps, (int64_t)group->now_ms))
+  if (bt_poll_group_jump (group->maps, (int64_t)group->now_ms))
     group->next_plan_ms = group->now_ms;
   if (group->now_ms < group->next_plan_ms)
     return;
@@ -593,7 +593,7 @@
 
   memset (result, 0, sizeof *result);
   init_group (&group, seed);
-  while (group.now_ms < load->run_ms || group.count > 0)
+  while (group.now_ms < load->duration_ms || group.count > 0)
     {
       double pass_ms;
 
--- a/bench/harness_group.h
+++ b/bench/harness_group.h
@@ -29,12 +29,12 @@
   char name[BT_NAME_BYTES];
   bt_engine_t engine;
   int32_t ranks;
-  double requests_a_s;  /**< Arrival rate at the whole group. */
-  double prompt_tokens; /**< Mean per request. */
-  double events;        /**< Mean per stream. */
-  int64_t aim_ms;       /**< Target for the time to the first event. */
-  int64_t pause_ms;     /**< Longest pause between two events that a caller accepts. */
-  int64_t run_ms;
+  double requests_per_s; /**< Arrival rate at the whole group. */
+  double prompt_tokens;  /**< Mean per request. */
+  double events;         /**< Mean per stream. */
+  int64_t target_ms;     /**< Target for the time to the first event. */
+  int64_t max_pause_ms;  /**< Longest pause between two events that a caller accepts. */
+  int64_t duration_ms;
   double skew; /**< Exponent of the power law of expert popularity. */
   bt_shift_kind_t shift;
   double shift_share; /**< Share of sets that a jump, or of experts that a drift changes. */
@@ -46,17 +46,17 @@
 {
   char name[BT_NAME_BYTES];
   bt_group_maps_settings_t maps;
-  double pass_time_share; /**< Target duration of a pass, as a share of pause_ms. */
+  double pass_time_share; /**< Target duration of a pass, as a share of max_pause_ms. */
   bool demand_known; /**< Demand is known in advance and copies take no time: the upper bound. */
 } bt_group_variant_t;
 
 /** Service that the callers got. */
 typedef struct bt_group_result
 {
-  int32_t asked;
-  int32_t in_time; /**< Streams with the first event within the target and no pause too long. */
-  int32_t late;    /**< Complete streams that were not in time. */
-  int32_t left;    /**< Callers that left before their request was admitted. */
+  int32_t requests;
+  int32_t in_time;   /**< Streams with the first event within the target and no pause too long. */
+  int32_t late;      /**< Complete streams that were not in time. */
+  int32_t abandoned; /**< Callers that left before their request was admitted. */
   int32_t passes;
   double pass_ms; /**< Mean duration of a pass. */
   double skew;    /**< Load of the busiest rank over the mean load, averaged over all passes. */
--- a/include/bilberrytray/core/membership.h
+++ b/include/bilberrytray/core/membership.h
@@ -71,8 +71,8 @@
   bool is_listed;
   bool linked;
   bool link_leaving;
-  bool admitting; /**< Entries only: it reports that it may act on its configuration. */
-  bool near;      /**< One end selected the other for a permanent link. */
+  bool admitting;   /**< Entries only: it reports that it may act on its configuration. */
+  bool is_neighbor; /**< One end selected the other for a permanent link. */
   bool neighbor_is_known;
   bool lost; /**< Its link closed, or another instance answered at its address; reset by a new link
                 or a new address. */
--- a/include/bilberrytray/load/admission.h
+++ b/include/bilberrytray/load/admission.h
@@ -38,7 +38,7 @@
   const char *rule;        /**< Name of the matching rule; NULL for none. */
   int32_t rule_per_second; /**< The rule's limit in requests per second; 0: none. */
   int32_t rule_burst;      /**< Requests that may pass at once; 0: the requests of one second. */
-  bool again;              /**< A retry: exempt from the rule's limit and not counted as demand. */
+  bool is_retry;           /**< A retry: exempt from the rule's limit and not counted as demand. */
   uint64_t seed;           /**< Random number that spreads the retry-after times. */
 } bt_admission_request_t;
 
--- a/include/bilberrytray/load/retry_budget.h
+++ b/include/bilberrytray/load/retry_budget.h
@@ -15,7 +15,7 @@
 {
   int32_t share_percent; /**< Retries allowed per 100 requests; 0 allows none. */
   int32_t reserve;       /**< Maximum number of saved retries, at least 1. */
-  int32_t first;         /**< Retries in a new budget, at most the reserve. */
+  int32_t initial;       /**< Retries in a new budget, at most the reserve. */
 } bt_retry_budget_options_t;
 
 /** Sets the defaults: 10 retries per 100 requests, a reserve of 10, and 10 in a new budget. */
--- a/include/bilberrytray/maps/map_controller.h
+++ b/include/bilberrytray/maps/map_controller.h
@@ -17,7 +17,7 @@
   int32_t ranks;
   int64_t lease_margin_ms; /**< It stops sending this long before lease expiry. */
   int64_t resend_ms; /**< An order whose effect is not reported within this time is sent again. */
-  int64_t look_ms;   /**< A rank that has not reported for this long is queried. */
+  int64_t query_after_ms; /**< A rank that has not reported for this long is queried. */
   int64_t arm_limit_ms;   /**< A round not armed on every rank within this time is abandoned. */
   int64_t stage_limit_ms; /**< The same limit for staging. */
   uint64_t arm_steps;     /**< Steps from the latest known to the armed one. */
--- a/include/bilberrytray/store/http_client.h
+++ b/include/bilberrytray/store/http_client.h
@@ -28,11 +28,11 @@
 typedef struct bt_http_request
 {
   const char *url;
-  const char *method; /**< NULL: POST with a body, GET without one. */
-  const char *body;   /**< JSON to send; NULL for none. */
-  int64_t total_ms;   /**< Limit for this call; 0 for the client's limit. */
-  bool fresh;         /**< Use a new connection. */
-  int64_t wait_ms;    /**< If above 0, the answer is a stream that is read for at most this time. */
+  const char *method;    /**< NULL: POST with a body, GET without one. */
+  const char *body;      /**< JSON to send; NULL for none. */
+  int64_t total_ms;      /**< Limit for this call; 0 for the client's limit. */
+  bool fresh_connection; /**< Use a new connection. */
+  int64_t wait_ms; /**< If above 0, the answer is a stream that is read for at most this time. */
   bt_http_line_t on_line; /**< Called for each line of a streamed answer. */
   void *line_data;
 } bt_http_request_t;
--- a/include/bilberrytray/wire/link.h
+++ b/include/bilberrytray/wire/link.h
@@ -50,11 +50,11 @@
   const char *instance;
   uint64_t incarnation;
   const char *failure_domain;
-  const char *address; /**< Where this process accepts links; sent to peers, may be "". */
-  const char *secret;  /**< Shared by all processes of one deployment. */
-  int64_t beat_ms;     /**< Interval between heartbeats. */
-  int64_t idle_ms;     /**< A link without a received frame for this time is dead. */
-  int64_t opening_ms;  /**< Time limit of the handshake. */
+  const char *address;           /**< Where this process accepts links; sent to peers, may be "". */
+  const char *secret;            /**< Shared by all processes of one deployment. */
+  int64_t heartbeat_interval_ms; /**< Interval between heartbeats. */
+  int64_t idle_ms;               /**< A link without a received frame for this time is dead. */
+  int64_t handshake_timeout_ms;  /**< Time limit of the handshake. */
   size_t max_frame_bytes;
   size_t max_unsent_bytes; /**< With more unsent bytes than this, the link is closed. */
   int32_t max_links;
--- a/source/agent/agent.c
+++ b/source/agent/agent.c
@@ -11,7 +11,7 @@
 
 enum
 {
-  LINK_OPENING_MS = 2000,
+  LINK_HANDSHAKE_TIMEOUT_MS = 2000,
   MAX_UNSENT_BYTES = 16 << 20,
   RECORD_GRACE_MS = 1000,
 };
@@ -225,9 +225,9 @@
   options.failure_domain = settings->failure_domain;
   options.address = settings->listen;
   options.secret = settings->secret;
-  options.beat_ms = settings->beat_ms;
+  options.heartbeat_interval_ms = settings->beat_ms;
   options.idle_ms = settings->link_idle_ms;
-  options.opening_ms = LINK_OPENING_MS;
+  options.handshake_timeout_ms = LINK_HANDSHAKE_TIMEOUT_MS;
   options.max_frame_bytes = (size_t)settings->max_frame_bytes;
   options.max_unsent_bytes = MAX_UNSENT_BYTES;
   options.max_links = (int32_t)settings->max_links;
--- a/source/agent/engine_client.c
+++ b/source/agent/engine_client.c
@@ -114,7 +114,7 @@
   char url[URL_BYTES];
   char *body = client->platform->write_order (order, map);
   /* Uses a new connection so that libcurl never sends the order twice. */
-  bt_http_request_t request = { .url = url, .body = body, .fresh = true };
+  bt_http_request_t request = { .url = url, .body = body, .fresh_connection = true };
   bt_http_answer_t answer = { 0 };
   bt_error_t error = { 0 };
 
--- a/source/agent/sidecar.c
+++ b/source/agent/sidecar.c
@@ -10,7 +10,7 @@
 enum
 {
   MS_PER_S = 1000,
-  LINK_OPENING_MS = 2000,
+  LINK_HANDSHAKE_TIMEOUT_MS = 2000,
   MAX_FRAME_BYTES = 1 << 20,
   MAX_UNSENT_BYTES = 1 << 20,
 };
@@ -276,9 +276,9 @@
     .failure_domain = settings->failure_domain,
     .address = settings->listen,
     .secret = settings->secret,
-    .beat_ms = settings->beat_ms,
+    .heartbeat_interval_ms = settings->beat_ms,
     .idle_ms = settings->link_idle_ms,
-    .opening_ms = LINK_OPENING_MS,
+    .handshake_timeout_ms = LINK_HANDSHAKE_TIMEOUT_MS,
     .max_frame_bytes = MAX_FRAME_BYTES,
     .max_unsent_bytes = MAX_UNSENT_BYTES,
     .max_links = (int32_t)settings->max_links,
--- a/source/core/membership.c
+++ b/source/core/membership.c
@@ -168,10 +168,10 @@
       if (member->neighbor_is_known && digest == membership->entries_digest)
         continue;
       member->neighbor_is_known = true;
-      member->near = count <= BT_AGENT_LINKS
-                     || (!agent && chooser_selects (ctx, self, other, candidates, count))
-                     || (membership->role == BT_LISTED_ENTRY
-                         && chooser_selects (ctx, other, self, candidates, count));
+      member->is_neighbor = count <= BT_AGENT_LINKS
+                            || (!agent && chooser_selects (ctx, self, other, candidates, count))
+                            || (membership->role == BT_LISTED_ENTRY
+                                && chooser_selects (ctx, other, self, candidates, count));
     }
   membership->entries_digest = digest;
   bt_free (ctx, candidates);
@@ -344,7 +344,7 @@
     return true;
   if (member->linked)
     return now_ms - member->heard_ms <= membership->settings.link_idle_ms;
-  return member->is_listed && !member->near && !member->lost;
+  return member->is_listed && !member->is_neighbor && !member->lost;
 }
 
 static void
@@ -429,7 +429,7 @@
         continue;
       bt_copy_name (entry->instance, member->listed.instance);
       bt_copy_name (entry->failure_domain, member->listed.failure_domain);
-      entry->near = member->near;
+      entry->near = member->is_neighbor;
       (*count)++;
     }
   return entries;
--- a/source/entry/call_admission.c
+++ b/source/entry/call_admission.c
@@ -51,7 +51,7 @@
   request->rule = rule->name;
   request->rule_per_second = (int32_t)rule->then.limit_per_s;
   request->rule_burst = (int32_t)rule->then.limit_burst;
-  request->again = is_retry;
+  request->is_retry = is_retry;
   request->seed = entry->seed++;
 }
 
--- a/source/entry/entry.c
+++ b/source/entry/entry.c
@@ -52,9 +52,9 @@
   options.failure_domain = settings->failure_domain;
   options.address = settings->link_listen;
   options.secret = settings->secret;
-  options.beat_ms = settings->beat_ms;
+  options.heartbeat_interval_ms = settings->beat_ms;
   options.idle_ms = settings->link_idle_ms;
-  options.opening_ms = HANDSHAKE_TIMEOUT_MS;
+  options.handshake_timeout_ms = HANDSHAKE_TIMEOUT_MS;
   options.max_frame_bytes = (size_t)settings->max_frame_bytes;
   options.max_unsent_bytes = MAX_UNSENT_BYTES;
   options.max_links = (int32_t)settings->max_links;
--- a/source/entry/entry_links.c
+++ b/source/entry/entry_links.c
@@ -114,7 +114,7 @@
   peer->listed = true;
   peer->listed_leaving = listed->leaving;
   member = bt_find_member (entry->membership, listed->instance);
-  peer->is_neighbor = member != NULL && member->near;
+  peer->is_neighbor = member != NULL && member->is_neighbor;
 }
 
 static void
--- a/source/entry/map_control.c
+++ b/source/entry/map_control.c
@@ -356,7 +356,7 @@
   controller.ranks = (int32_t)settings->ranks;
   controller.lease_margin_ms = settings->lease_s * MS_PER_S / LEASE_MARGIN_DIVISOR;
   controller.resend_ms = RESEND_MS;
-  controller.look_ms = QUERY_AFTER_MS;
+  controller.query_after_ms = QUERY_AFTER_MS;
   controller.arm_limit_ms = ARM_LIMIT_MS;
   controller.stage_limit_ms = settings->stage_limit_ms;
   controller.arm_steps = (uint64_t)settings->arm_steps;
--- a/source/entry/operator_links.c
+++ b/source/entry/operator_links.c
@@ -132,9 +132,9 @@
                                 .failure_domain = "",
                                 .address = "",
                                 .secret = secret,
-                                .beat_ms = HEARTBEAT_INTERVAL_MS,
+                                .heartbeat_interval_ms = HEARTBEAT_INTERVAL_MS,
                                 .idle_ms = IDLE_MS,
-                                .opening_ms = HANDSHAKE_TIMEOUT_MS,
+                                .handshake_timeout_ms = HANDSHAKE_TIMEOUT_MS,
                                 .max_frame_bytes = MAX_FRAME_BYTES,
                                 .max_unsent_bytes = MAX_FRAME_BYTES,
                                 .max_links = MAX_ENTRIES };
--- a/source/gateway/agent_links.c
+++ b/source/gateway/agent_links.c
@@ -11,9 +11,9 @@
 
 enum
 {
-  BEAT_MS = 500,
+  HEARTBEAT_INTERVAL_MS = 500,
   IDLE_MS = 1600,
-  OPENING_MS = 1000,
+  HANDSHAKE_TIMEOUT_MS = 1000,
   REDIAL_MS = 400,
   MAX_FRAME_BYTES = 1 << 20,
   MAX_UNSENT_BYTES = 1 << 20,
@@ -282,9 +282,9 @@
     .failure_domain = options->failure_domain,
     .address = "",
     .secret = options->secret,
-    .beat_ms = BEAT_MS,
+    .heartbeat_interval_ms = HEARTBEAT_INTERVAL_MS,
     .idle_ms = IDLE_MS,
-    .opening_ms = OPENING_MS,
+    .handshake_timeout_ms = HANDSHAKE_TIMEOUT_MS,
     .max_frame_bytes = MAX_FRAME_BYTES,
     .max_unsent_bytes = MAX_UNSENT_BYTES,
     .max_links = MAX_LINKS,
--- a/source/gateway/agent_updates.c
+++ b/source/gateway/agent_updates.c
@@ -26,10 +26,10 @@
 }
 
 static bt_pass_limiter_t *
-find_pace (bt_gateway_t *gateway,
-           const bt_engine_report_t *report,
-           const bt_declarations_t *declarations,
-           int32_t app)
+find_limiter (bt_gateway_t *gateway,
+              const bt_engine_report_t *report,
+              const bt_declarations_t *declarations,
+              int32_t app)
 {
   const bt_engine_t *engine = &declarations->apps[app].engine;
   bt_pass_limiter_settings_t settings = {
@@ -39,28 +39,28 @@
     .pause_ms = (double)find_min_pause_ms (declarations, app),
     .slots = engine->slots,
   };
-  bt_group_pace_t *row;
-
-  for (int32_t i = 0; i < gateway->pace_count; i++)
-    if (strcmp (gateway->paces[i].group, report->group) == 0)
-      return gateway->paces[i].pace;
-  gateway->paces = bt_realloc (gateway->ctx, gateway->paces, (size_t)gateway->pace_count + 1,
-                               sizeof *gateway->paces);
-  row = &gateway->paces[gateway->pace_count++];
+  bt_group_limiter_t *row;
+
+  for (int32_t i = 0; i < gateway->limiter_count; i++)
+    if (strcmp (gateway->limiters[i].group, report->group) == 0)
+      return gateway->limiters[i].limiter;
+  gateway->limiters = bt_realloc (gateway->ctx, gateway->limiters,
+                                  (size_t)gateway->limiter_count + 1, sizeof *gateway->limiters);
+  row = &gateway->limiters[gateway->limiter_count++];
   bt_copy_name (row->group, report->group);
-  row->pace = bt_new_pass_limiter (gateway->ctx, &settings);
-  return row->pace;
+  row->limiter = bt_new_pass_limiter (gateway->ctx, &settings);
+  return row->limiter;
 }
 
 void
-bt_drop_group_paces (bt_gateway_t *gateway)
+bt_drop_group_limiters (bt_gateway_t *gateway)
 {
-  for (int32_t i = 0; i < gateway->pace_count; i++)
-    bt_drop_pass_limiter (gateway->ctx, gateway->paces[i].pace);
-  bt_free (gateway->ctx, gateway->paces);
+  for (int32_t i = 0; i < gateway->limiter_count; i++)
+    bt_drop_pass_limiter (gateway->ctx, gateway->limiters[i].limiter);
+  bt_free (gateway->ctx, gateway->limiters);
 }
 
-/* Records a report in the group's pass pace. Returns the number of concurrent requests that each
+/* Records a report in the group's pass limiter. Returns the number of concurrent requests that each
  * engine of the group may run now; 0 if the engine is in no group. */
 static int32_t
 record_pass (bt_gateway_t *gateway,
@@ -69,14 +69,14 @@
              int32_t app)
 {
   const bt_engine_report_t *report = &update->report;
-  bt_pass_limiter_t *pace;
+  bt_pass_limiter_t *limiter;
 
   if (report->group[0] == '\0' || report->ranks < 1 || app < 0
       || declarations->apps[app].engine.slots == 0)
     return 0;
-  pace = find_pace (gateway, report, declarations, app);
-  bt_record_pass (pace, report->rank, report->maps.step, report->running, update->received_ms);
-  return bt_get_running_limit (pace);
+  limiter = find_limiter (gateway, report, declarations, app);
+  bt_record_pass (limiter, report->rank, report->maps.step, report->running, update->received_ms);
+  return bt_get_running_limit (limiter);
 }
 
 /* Returns the number of concurrent requests that this engine may run now. Every pass waits for the
--- a/source/gateway/gateway.c
+++ b/source/gateway/gateway.c
@@ -50,7 +50,7 @@
     .reserve = get_retry_reserve (gateway),
   };
 
-  options.first = options.reserve < MAX_INITIAL_RETRIES ? options.reserve : MAX_INITIAL_RETRIES;
+  options.initial = options.reserve < MAX_INITIAL_RETRIES ? options.reserve : MAX_INITIAL_RETRIES;
   return bt_new_retry_budget (gateway->ctx, &options);
 }
 
@@ -187,7 +187,7 @@
     .lease_s = settings->lead_lease_s,
     .renew_ms = settings->lead_renew_ms,
     .plan_ms = settings->plan_ms,
-    .steady_ms = HANDOVER_DELAY_MS,
+    .handover_delay_ms = HANDOVER_DELAY_MS,
   };
 
   if (settings->agent_port == 0)
@@ -406,7 +406,7 @@
   bt_drop_store_follower (ctx, gateway->follower);
   bt_drop_crash_control (ctx, gateway->crashes);
   bt_drop_exchange_pool (ctx, gateway->exchanges);
-  bt_drop_group_paces (gateway);
+  bt_drop_group_limiters (gateway);
   bt_drop_endpoint_table (ctx, gateway->endpoints);
   bt_drop_admission (ctx, gateway->admission);
   bt_drop_router (ctx, gateway->router);
--- a/source/gateway/gateway_private.h
+++ b/source/gateway/gateway_private.h
@@ -29,12 +29,12 @@
   bt_retry_budget_t *budget;
 } bt_app_budget_t;
 
-/** The pace of the passes of one group of engines. */
-typedef struct bt_group_pace
+/** The pass limiter of one group of engines. */
+typedef struct bt_group_limiter
 {
   char group[BT_NAME_BYTES];
-  bt_pass_limiter_t *pace;
-} bt_group_pace_t;
+  bt_pass_limiter_t *limiter;
+} bt_group_limiter_t;
 
 struct bt_gateway
 {
@@ -67,8 +67,8 @@
   bt_agent_links_t *agents;
   bt_group_control_t *groups;
   bt_loop_hook_t agent_hook;
-  bt_group_pace_t *paces;
-  int32_t pace_count;
+  bt_group_limiter_t *limiters;
+  int32_t limiter_count;
   bt_app_budget_t *budgets;
   int32_t budget_count;
 
@@ -97,8 +97,8 @@
 /** Applies what the agents have reported since the last call. */
 void bt_handle_agent_updates (bt_gateway_t *gateway);
 
-/** Frees the pass paces of all groups. */
-void bt_drop_group_paces (bt_gateway_t *gateway);
+/** Frees the pass limiters of all groups. */
+void bt_drop_group_limiters (bt_gateway_t *gateway);
 
 /** Starts to process a caller's request: matches a rule, then sends, queues or refuses it. */
 void bt_start_forward (bt_gateway_t *gateway, bt_frontend_call_t *call);
--- a/source/gateway/group_control.c
+++ b/source/gateway/group_control.c
@@ -258,7 +258,7 @@
 is_better_instance_stable (const bt_group_control_t *control, int64_t now_ms)
 {
   return control->better_since_ms != 0 && !control->handover_failed
-         && now_ms - control->better_since_ms > control->options.steady_ms;
+         && now_ms - control->better_since_ms > control->options.handover_delay_ms;
 }
 
 /* Returns true if no round prevents a handover. A leaving leader also waits for groups whose state
--- a/source/gateway/group_control.h
+++ b/source/gateway/group_control.h
@@ -16,13 +16,14 @@
   const bt_platform_t *platform;
   const char *store;
   const char *instance;
-  double cores;      /**< Processor share of this instance, in cores. */
-  int64_t lease_s;   /**< Lifetime of the lease. */
-  int64_t renew_ms;  /**< Interval between two renewals. */
-  int64_t plan_ms;   /**< Interval between two plans for one group. */
-  int64_t steady_ms; /**< An instance with more processor share must be listed this long before the
-                          leader hands over to it. Otherwise an instance that comes and goes would
-                          leave the groups without a leader each time. */
+  double cores;              /**< Processor share of this instance, in cores. */
+  int64_t lease_s;           /**< Lifetime of the lease. */
+  int64_t renew_ms;          /**< Interval between two renewals. */
+  int64_t plan_ms;           /**< Interval between two plans for one group. */
+  int64_t handover_delay_ms; /**< An instance with more processor share must be listed this long
+                                 before the leader hands over to it. Otherwise an instance that
+                                 comes and goes would leave the groups without a leader each
+                                 time. */
 } bt_group_control_options_t;
 
 bt_group_control_t *bt_new_group_control (bt_context_t *ctx,
--- a/source/gateway/group_maps.c
+++ b/source/gateway/group_maps.c
@@ -161,7 +161,7 @@
 }
 
 bool
-bt_take_group_jump (bt_group_maps_t *maps, int64_t now_ms)
+bt_poll_group_jump (bt_group_maps_t *maps, int64_t now_ms)
 {
   return bt_poll_load_jump (maps->load, now_ms);
 }
--- a/source/gateway/group_maps.h
+++ b/source/gateway/group_maps.h
@@ -55,7 +55,7 @@
 bt_record_rank_picks (bt_group_maps_t *maps, const uint32_t *picks, int32_t count, int64_t now_ms);
 
 /** Returns true once after demand has jumped. */
-bool bt_take_group_jump (bt_group_maps_t *maps, int64_t now_ms);
+bool bt_poll_group_jump (bt_group_maps_t *maps, int64_t now_ms);
 
 /** Sets the factor by which a rank's work takes longer than normal; 1 for a healthy rank. */
 void bt_set_rank_pace (bt_group_maps_t *maps, int32_t rank, double pace);
--- a/source/gateway/leaving_notice.c
+++ b/source/gateway/leaving_notice.c
@@ -8,8 +8,8 @@
 {
   /* Peers on the same machine or in another failure domain answer within a few ms. The rest gives a
    * suspended peer time to resume. */
-  OPENING_MS = 3000,
-  BEAT_MS = 250,
+  HANDSHAKE_TIMEOUT_MS = 3000,
+  HEARTBEAT_INTERVAL_MS = 250,
   IDLE_MS = 3000,
   MAX_FRAME_BYTES = 4096,
   MAX_UNSENT_BYTES = 65536,
@@ -80,9 +80,9 @@
   bt_leaving_notice_t *notice =
       bt_calloc (ctx, 1, sizeof *notice + (size_t)count * sizeof (bt_link_t *));
   bt_link_options_t links = {
-    .beat_ms = BEAT_MS,
+    .heartbeat_interval_ms = HEARTBEAT_INTERVAL_MS,
     .idle_ms = IDLE_MS,
-    .opening_ms = OPENING_MS,
+    .handshake_timeout_ms = HANDSHAKE_TIMEOUT_MS,
     .max_frame_bytes = MAX_FRAME_BYTES,
     .max_unsent_bytes = MAX_UNSENT_BYTES,
     .max_links = count,
--- a/source/gateway/managed_group.c
+++ b/source/gateway/managed_group.c
@@ -186,7 +186,7 @@
 static void
 schedule_plan_after_jump (bt_managed_group_t *group, int64_t now_ms)
 {
-  if (!bt_take_group_jump (group->maps, now_ms))
+  if (!bt_poll_group_jump (group->maps, now_ms))
     return;
   group->next_plan_ms = now_ms;
   bt_log_event (group->ctx, BT_LOG_INFO, "demand-jump", "{s:s, s:f}", "group", group->name,
--- a/source/gateway/peer_feed.c
+++ b/source/gateway/peer_feed.c
@@ -16,9 +16,9 @@
    * last update may be outdated by then. The follower reads the store itself after 800 ms, so its
    * delay is at most that plus one read, well within the two seconds in which a change must take
    * effect. */
-  BEAT_MS = 250,
+  HEARTBEAT_INTERVAL_MS = 250,
   IDLE_MS = 800,
-  OPENING_MS = 500,
+  HANDSHAKE_TIMEOUT_MS = 500,
   /* Interval between connection attempts to two candidates. */
   REDIAL_MS = 600,
   /* An item may have up to a megabyte, such as a large configuration. */
@@ -261,9 +261,9 @@
 {
   bt_peer_feed_t *feed = bt_calloc (ctx, 1, sizeof *feed);
   bt_link_options_t link_options = {
-    .beat_ms = BEAT_MS,
+    .heartbeat_interval_ms = HEARTBEAT_INTERVAL_MS,
     .idle_ms = IDLE_MS,
-    .opening_ms = OPENING_MS,
+    .handshake_timeout_ms = HANDSHAKE_TIMEOUT_MS,
     .max_frame_bytes = MAX_FRAME_BYTES,
     .max_unsent_bytes = MAX_UNSENT_BYTES,
     .max_links = MAX_LINKS,
--- a/source/load/admission.c
+++ b/source/load/admission.c
@@ -151,7 +151,7 @@
 {
   rule_limit_t *limit;
 
-  if (request->rule == NULL || request->rule_per_second <= 0 || request->again)
+  if (request->rule == NULL || request->rule_per_second <= 0 || request->is_retry)
     return true;
   limit = find_or_add_limit (ctx, admission, request, now_ms);
   limit->tokens +=
@@ -220,7 +220,7 @@
   const double by_share = same_account * SECOND_MS / account_rate;
 
   /* A retry has waited before: it is served first within its account. */
-  if (request->again)
+  if (request->is_retry)
     return SECOND_MS / rate;
   return by_order > by_share ? by_order : by_share;
 }
@@ -282,7 +282,7 @@
     .target_ms = request->target_left_ms > 0 ? now_ms + request->target_left_ms : 0,
     .queued_ms = now_ms,
     .share = request->share,
-    .at_front = request->again,
+    .at_front = request->is_retry,
   };
 
   if (late_ms > 0)
@@ -313,7 +313,7 @@
     .target_ms = request->target_left_ms > 0 ? now_ms + request->target_left_ms : 0,
     .queued_ms = now_ms,
     .share = request->share,
-    .at_front = request->again,
+    .at_front = request->is_retry,
   };
 
   if (request->deadline_left_ms > paused_ms
@@ -341,7 +341,7 @@
       refuse (admission, decision, BT_REASON_RULE_LIMIT, wait_ms, request->seed);
       return;
     }
-  if (!request->again)
+  if (!request->is_retry)
     bt_add_demand (ctx, &app->demand, request->account, request->share, now_ms);
   bt_get_capacity (admission->router, request->app, now_ms, &capacity);
   if (capacity.endpoints > 0)
--- a/source/load/retry_budget.c
+++ b/source/load/retry_budget.c
@@ -20,7 +20,7 @@
 {
   options->share_percent = DEFAULT_SHARE_PERCENT;
   options->reserve = DEFAULT_RESERVE;
-  options->first = DEFAULT_RESERVE;
+  options->initial = DEFAULT_RESERVE;
 }
 
 bt_retry_budget_t *
@@ -30,7 +30,7 @@
 
   budget->options = *options;
   if (options->share_percent > 0)
-    budget->tokens = (int64_t)options->first * RETRY_COST;
+    budget->tokens = (int64_t)options->initial * RETRY_COST;
   return budget;
 }
 
--- a/source/maps/map_controller.c
+++ b/source/maps/map_controller.c
@@ -484,7 +484,7 @@
                     bt_map_actions_t *actions)
 {
   for (int32_t rank = 0; rank < controller->settings.ranks; rank++)
-    if (now_ms - controller->views[rank].reported_ms >= controller->settings.look_ms)
+    if (now_ms - controller->views[rank].reported_ms >= controller->settings.query_after_ms)
       send_query (ctx, controller, rank, now_ms, actions);
 }
 
--- a/source/store/http_client.c
+++ b/source/store/http_client.c
@@ -159,7 +159,7 @@
                     (long)(streamed ? request->wait_ms : total_ms));
   curl_easy_setopt (client->curl, CURLOPT_LOW_SPEED_LIMIT, may_idle ? 0L : 1L);
   curl_easy_setopt (client->curl, CURLOPT_LOW_SPEED_TIME, may_idle ? 0L : idle_s);
-  curl_easy_setopt (client->curl, CURLOPT_FRESH_CONNECT, request->fresh ? 1L : 0L);
+  curl_easy_setopt (client->curl, CURLOPT_FRESH_CONNECT, request->fresh_connection ? 1L : 0L);
   curl_easy_setopt (client->curl, CURLOPT_CUSTOMREQUEST, request->method);
   if (request->body == NULL)
     {
--- a/source/store/kv_calls.c
+++ b/source/store/kv_calls.c
@@ -144,7 +144,8 @@
   /* libcurl resends a request when a reused connection turns out to be closed. A write whose answer
    * was lost that way would be executed twice, and the second execution would look like a conflict
    * with another writer. On a new connection libcurl does not resend, so the write is sent once. */
-  sent.fresh = kind == BT_KV_CALL_PUT || kind == BT_KV_CALL_TXN || kind == BT_KV_CALL_GRANT;
+  sent.fresh_connection =
+      kind == BT_KV_CALL_PUT || kind == BT_KV_CALL_TXN || kind == BT_KV_CALL_GRANT;
   pthread_mutex_lock (lock);
   succeeded = wait_for_rate_limit (ctx, calls, &failure);
   if (succeeded)
--- a/source/wire/link_loop.c
+++ b/source/wire/link_loop.c
@@ -303,7 +303,7 @@
 
   if (link->state != BT_LINK_UP)
     {
-      if (now_ms - link->created_ms > options->opening_ms)
+      if (now_ms - link->created_ms > options->handshake_timeout_ms)
         {
           bt_set_error (&error, BT_ERROR_TIMEOUT, "The handshake timed out.");
           fail_link (link, &error);
@@ -320,7 +320,7 @@
       fail_link (link, &error);
       return;
     }
-  if (now_ms - link->last_heartbeat_ms >= options->beat_ms)
+  if (now_ms - link->last_heartbeat_ms >= options->heartbeat_interval_ms)
     {
       link->last_heartbeat_ms = now_ms;
       options->handler->vtable->on_heartbeat_due (options->handler, link);
--- a/test/core/test_membership.c
+++ b/test/core/test_membership.c
@@ -177,8 +177,8 @@
     {
       const bt_member_t *member = bt_get_member (fixture.membership, i);
 
-      neighbor_count += member->near ? 1 : 0;
-      if (!member->near && !member->linked)
+      neighbor_count += member->is_neighbor ? 1 : 0;
+      if (!member->is_neighbor && !member->linked)
         unlinked = member;
     }
   CU_ASSERT_TRUE (neighbor_count >= 7 && neighbor_count <= MANY / 2);
--- a/test/gateway/test_group_control.c
+++ b/test/gateway/test_group_control.c
@@ -12,7 +12,7 @@
   LEASE_S = 600,
   RENEW_MS = 10,
   PLAN_MS = 5,
-  STEADY_MS = 50,
+  HANDOVER_DELAY_MS = 50,
   RENEWALS = 200,
   LIMIT_MS = 10000,
 };
@@ -155,7 +155,7 @@
                                          .lease_s = LEASE_S,
                                          .renew_ms = RENEW_MS,
                                          .plan_ms = PLAN_MS,
-                                         .steady_ms = STEADY_MS };
+                                         .handover_delay_ms = HANDOVER_DELAY_MS };
 
   atomic_store (&renewed, 0);
   atomic_store (&released, 0);
--- a/test/gateway/test_group_load.c
+++ b/test/gateway/test_group_load.c
@@ -29,12 +29,12 @@
                                         .link_mbps = 92000,
                                         .expert_share = 0.85 },
                             .ranks = 8,
-                            .requests_a_s = 35,
+                            .requests_per_s = 35,
                             .prompt_tokens = 800,
                             .events = 24,
-                            .aim_ms = 500,
-                            .pause_ms = 120,
-                            .run_ms = 20000,
+                            .target_ms = 500,
+                            .max_pause_ms = 120,
+                            .duration_ms = 20000,
                             .skew = 1.5,
                             .shift_share = 0.6,
                             .shift_ms = 3000 };
@@ -51,8 +51,8 @@
       bt_group_result_t result;
 
       bt_simulate_group (ctx, load, way, seed, &result);
-      CU_ASSERT_EQUAL (result.in_time + result.late + result.left, result.asked);
-      sum.asked += result.asked;
+      CU_ASSERT_EQUAL (result.in_time + result.late + result.abandoned, result.requests);
+      sum.requests += result.requests;
       sum.in_time += result.in_time;
       sum.late += result.late;
       sum.copies += result.copies;
@@ -64,7 +64,7 @@
 static double
 get_in_time_share (const bt_group_result_t *result)
 {
-  return (double)result->in_time / result->asked;
+  return (double)result->in_time / result->requests;
 }
 
 /* Streams paused for seconds, because the map followed jumps in the demand for experts too slowly:
@@ -107,9 +107,9 @@
   load.engine.spare_places = 2;
   load.engine.expert_mb = 420;
   load.ranks = 32;
-  load.requests_a_s = 146;
+  load.requests_per_s = 146;
   load.events = 19.4;
-  load.pause_ms = 150;
+  load.max_pause_ms = 150;
   load.skew = 1;
   load.shift = BT_SHIFT_JUMP;
   load.shift_share = 0.65;
@@ -143,7 +143,7 @@
   bt_group_result_t always;
 
   load.shift = BT_SHIFT_JUMP;
-  load.requests_a_s = 15;
+  load.requests_per_s = 15;
   cheap.maps.copy_weight = 5;
   by_need = run_load (&load, &shipped);
   always = run_load (&load, &cheap);
--- a/test/load/test_admission.c
+++ b/test/load/test_admission.c
@@ -126,7 +126,7 @@
 test_rule_limit_allows_burst_and_returns_wait (void)
 {
   const bt_admission_request_t request = { .id = 1, .rule = "r", .rule_per_second = 2 };
-  bt_admission_request_t again = request;
+  bt_admission_request_t retry = request;
   bt_admission_decision_t decision;
 
   open_fixture (100);
@@ -135,8 +135,8 @@
   decision = decide (request, 0);
   CU_ASSERT_EQUAL (decision.reason, BT_REASON_RULE_LIMIT);
   CU_ASSERT (decision.retry_after_ms >= 500);
-  again.again = true;
-  CU_ASSERT_EQUAL (decide (again, 0).action, BT_ADMISSION_ADMIT);
+  retry.is_retry = true;
+  CU_ASSERT_EQUAL (decide (retry, 0).action, BT_ADMISSION_ADMIT);
   CU_ASSERT_EQUAL (decide (request, 500).action, BT_ADMISSION_ADMIT);
   CU_ASSERT_EQUAL (decide (request, 500).reason, BT_REASON_RULE_LIMIT);
   close_fixture ();
@@ -231,7 +231,7 @@
   fill_endpoint ();
   decide ((bt_admission_request_t){ .id = 1 }, 0);
   decide ((bt_admission_request_t){ .id = 2 }, 0);
-  decide ((bt_admission_request_t){ .id = 3, .again = true }, 0);
+  decide ((bt_admission_request_t){ .id = 3, .is_retry = true }, 0);
   decide ((bt_admission_request_t){ .id = 4, .priority = 1 }, 0);
   CU_ASSERT_EQUAL (free_slot (0), 4);
   CU_ASSERT_EQUAL (free_slot (0), 3);
--- a/test/load/test_retry_budget.c
+++ b/test/load/test_retry_budget.c
@@ -30,7 +30,7 @@
 test_saved_retries_are_limited_to_the_reserve (void)
 {
   bt_context_t *ctx = bt_new_context ();
-  bt_retry_budget_options_t options = { .share_percent = 10, .reserve = 3, .first = 3 };
+  bt_retry_budget_options_t options = { .share_percent = 10, .reserve = 3, .initial = 3 };
   bt_retry_budget_t *budget = bt_new_retry_budget (ctx, &options);
 
   for (int32_t i = 0; i < 1000; i++)
@@ -49,7 +49,7 @@
   bt_context_t *ctx = bt_new_context ();
   bt_retry_budget_options_t options = { .share_percent = 10,
                                         .reserve = BT_RETRY_COUNT,
-                                        .first = BT_RETRY_COUNT };
+                                        .initial = BT_RETRY_COUNT };
   bt_retry_budget_t *budget = bt_new_retry_budget (ctx, &options);
 
   for (int32_t round = 0; round < 2; round++)
@@ -85,7 +85,7 @@
   bt_context_t *ctx = bt_new_context ();
   bt_retry_budget_options_t options = { .share_percent = 15,
                                         .reserve = bt_divide_retry_reserve (total, instances),
-                                        .first = bt_divide_retry_reserve (total, instances) };
+                                        .initial = bt_divide_retry_reserve (total, instances) };
   int64_t taken = 0;
 
   for (int32_t i = 0; i < 2 * instances; i++)
@@ -128,7 +128,7 @@
 test_smaller_reserve_drops_saved_retries (void)
 {
   bt_context_t *ctx = bt_new_context ();
-  bt_retry_budget_options_t options = { .share_percent = 10, .reserve = 8, .first = 8 };
+  bt_retry_budget_options_t options = { .share_percent = 10, .reserve = 8, .initial = 8 };
   bt_retry_budget_t *budget = bt_new_retry_budget (ctx, &options);
 
   bt_set_retry_reserve (budget, 3);
--- a/test/maps/test_map_controller.c
+++ b/test/maps/test_map_controller.c
@@ -157,7 +157,7 @@
     run (&fixture, 1);
   CU_ASSERT_EQUAL (fixture.group.ranks[1].state.in_use_digest, 42);
   lockstep_replace (&fixture.group, 0);
-  fixture.now_ms += settings.look_ms;
+  fixture.now_ms += settings.query_after_ms;
   bt_grant_map_lease (fixture.controller, FENCE + 1, fixture.now_ms, LEASE_MS);
   run (&fixture, 60);
   CU_ASSERT_TRUE (bt_is_map_group_converged (fixture.controller));
--- a/test/wire/test_link.c
+++ b/test/wire/test_link.c
@@ -83,9 +83,9 @@
   options.failure_domain = "hall";
   options.address = "";
   options.secret = secret;
-  options.beat_ms = IDLE_MS / 8;
+  options.heartbeat_interval_ms = IDLE_MS / 8;
   options.idle_ms = IDLE_MS;
-  options.opening_ms = IDLE_MS;
+  options.handshake_timeout_ms = IDLE_MS;
   options.max_frame_bytes = 65536;
   options.max_unsent_bytes = 1 << 20;
   options.max_links = 16;
