--- a/include/bilberrytray/core/protocol.h
+++ b/include/bilberrytray/core/protocol.h
@@ -45,7 +45,7 @@
   uint32_t attempt; /**< Increases with each message of a call that expects a reply. */
 } bt_reply_path_t;
 
-/** Entry to agent: run a request, attach to its run or return the stored answer. */
+/** Entry to agent: run a request, attach to its run or return the kept answer. */
 typedef struct bt_dispatch
 {
   bt_reply_path_t path;
@@ -81,7 +81,7 @@
   bt_identity_t target;
   bt_ticket_t ticket;
   bool has_grant; /**< To a granted agent: its grant is set. To the home agent: the tombstoned grant
-                     is set. */
+                     is set, if there is one. */
   bt_grant_t grant; /**< See has_grant. */
 } bt_tombstone_request_t;
 
--- a/include/bilberrytray/load/admission.h
+++ b/include/bilberrytray/load/admission.h
@@ -20,7 +20,8 @@
   int64_t demand_window_ms; /**< Time constant of the decaying average of each account's demand. */
   int64_t spread_ms;        /**< Minimum width of the random part of retry-after times. */
   int64_t max_retry_after_ms;  /**< Upper bound of the retry-after times that are sent. */
-  int64_t no_endpoint_wait_ms; /**< How long requests stay queued without a usable endpoint. */
+  int64_t no_endpoint_wait_ms; /**< How long queued requests wait without a usable endpoint;
+                                    new ones are then refused at once. */
   int64_t paused_wait_ms;      /**< The same while endpoints are paused and expected to resume. */
 } bt_admission_options_t;
 
@@ -61,7 +62,8 @@
 } bt_admission_decision_t;
 
 /** Sets the defaults: 4096 queued requests per app, waits multiplied by 150%, demand averaged over
- * 2 s, retry-after times spread over at least 1 s and at most 5 min. */
+ * 2 s, retry-after times with a random part at least 1 s wide and of at most 5 min in all, and
+ * waits of 1 s without a usable endpoint and of 3 s while endpoints are paused. */
 void bt_default_admission_options (bt_admission_options_t *options);
 
 /** Creates an admission control that reads capacity from @p router, which must outlive it. */
--- a/include/bilberrytray/load/outlier.h
+++ b/include/bilberrytray/load/outlier.h
@@ -13,16 +13,19 @@
 /** Settings of outlier detection. */
 typedef struct bt_outlier_options
 {
-  int32_t failures;     /**< Consecutive failures that eject an endpoint. */
+  int32_t failures;     /**< Consecutive failures that eject an endpoint; one is enough while it
+                           recovers. */
   int32_t slow_percent; /**< An answer is slow if its time exceeds this percentage of the peers'
                            mean. */
-  int32_t slow_answers; /**< Consecutive slow answers that eject an endpoint. */
+  int32_t slow_answers; /**< Consecutive slow answers that eject an endpoint; one is enough while it
+                           recovers. */
   int64_t ejection_ms; /**< Duration of the first ejection; doubles with each further ejection until
                           the endpoint has recovered. */
   int64_t max_ejection_ms;     /**< Maximum duration of an ejection. */
   int32_t max_ejected_percent; /**< Maximum percentage of an app's endpoints that may be ejected. */
   int32_t probe_percent;    /**< Initial share of its normal work after an ejection, in percent. */
-  int32_t probes_in_flight; /**< Requests that an endpoint may hold at first after an ejection. */
+  int32_t probes_in_flight; /**< Not read so far: requests that an endpoint may hold at first after
+                               an ejection. */
 } bt_outlier_options_t;
 
 /** Outlier record of one endpoint. Initialise it with zeros. */
--- a/include/bilberrytray/load/pass_limiter.h
+++ b/include/bilberrytray/load/pass_limiter.h
@@ -46,7 +46,7 @@
 void bt_record_pass (
     bt_pass_limiter_t *limiter, int32_t rank, int64_t step, int32_t running, int64_t now_ms);
 
-/** Returns the number of requests that each engine may run now, from 1 to its slots. */
+/** Returns the number of requests that each engine may run now: at least 2, at most its slots. */
 int32_t bt_get_running_limit (const bt_pass_limiter_t *limiter);
 
 /** Returns true while demand jumps so often that the limit reserves capacity for the next jump. */
--- a/include/bilberrytray/load/router.h
+++ b/include/bilberrytray/load/router.h
@@ -58,7 +58,7 @@
   const bt_identity_t *excluded; /**< Agents already tried; may be NULL. */
   int32_t excluded_count;
   const bt_identity_t *only; /**< The only agent that may be chosen; NULL: any. */
-  uint64_t seed;             /**< Random seed for the sample of endpoints. */
+  uint64_t seed;             /**< Random seed for the sample of endpoints and for ties. */
 } bt_route_request_t;
 
 /** Route of an attempt. The number distinguishes a link from a later one to the same agent. */
@@ -107,9 +107,9 @@
  * membership; values below 1 count as 1. */
 void bt_set_router_entries (bt_router_t *router, int32_t entries);
 
-/** Adds an endpoint or updates the one of the same identity, and records that its link is up. Also
- * removes older incarnations of the same instance and endpoints without a link for more than ten
- * minutes. */
+/** Adds an endpoint or updates the one of the same identity, and records that its link is up. An
+ * added endpoint takes over the outlier record of another incarnation of the same instance, which
+ * is removed, and so are endpoints without a link for more than ten minutes. */
 void bt_put_endpoint (bt_context_t *ctx,
                       bt_router_t *router,
                       const bt_endpoint_t *endpoint,
@@ -176,8 +176,9 @@
                             int64_t took_ms,
                             int64_t now_ms);
 
-/** Records that the link to an agent died. The endpoint gets no work, and this entry's counts for
- * it are reset, until bt_record_link_up or bt_put_endpoint. */
+/** Records that the link to an agent died, which counts as a failure if requests were in flight.
+ * Resets this entry's counts for the endpoint, which gets no work until bt_record_link_up or
+ * bt_put_endpoint. */
 void bt_record_link_down (bt_router_t *router, const bt_identity_t *identity, int64_t now_ms);
 
 /** Records that the link to an agent is up again. bt_put_endpoint includes this. */
--- a/include/bilberrytray/load/run_queue.h
+++ b/include/bilberrytray/load/run_queue.h
@@ -74,8 +74,8 @@
 /** Removes a queued request whose caller has left; returns false if it is not queued. */
 bool bt_cancel_run (bt_run_queue_t *queue, uint64_t id);
 
-/** Sets whether the agent is leaving. New requests are then refused; queued and running ones are
- * completed. */
+/** Sets whether the agent is leaving. While it is, new requests are refused; queued and running
+ * ones are completed. */
 void bt_set_run_queue_leaving (bt_run_queue_t *queue, bool leaving);
 
 /** Sets the number of slots that the endpoint reports. Requests that are already running keep their
--- a/include/bilberrytray/maps/adaptive_load.h
+++ b/include/bilberrytray/maps/adaptive_load.h
@@ -28,8 +28,8 @@
 /** NULL is accepted. */
 void bt_drop_adaptive_load (bt_context_t *ctx, bt_adaptive_load_t *load);
 
-/** With @p keep, a jump is still reported, but the average does not restart. It serves as the
- * baseline to compare with. */
+/** With @p keep, a jump is still reported, but the average does not restart: the baseline to
+ * compare the restart with. */
 void bt_keep_load_mean (bt_adaptive_load_t *load, bool keep);
 
 /** Adds the counts that one rank collected since its last report, by layer and expert. */
--- a/include/bilberrytray/maps/group_rounds.h
+++ b/include/bilberrytray/maps/group_rounds.h
@@ -72,8 +72,9 @@
   int64_t sequence;   /**< Refused when the engine has accepted another number of orders. */
   int64_t version;    /**< PREPARE, ARM, DISARM. */
   int64_t step;       /**< HOLD, ARM, GO. */
-  int64_t started_ms; /**< The engine start on whose report the order is based; 0: unknown. The
-                         engine's agent refuses the order at any other start. */
+  int64_t started_ms; /**< Start time of the engine in the report that the order is based on; 0:
+                         unknown. The engine's agent refuses the order if the engine has another
+                         start time. */
 } bt_group_order_t;
 
 /** The outcome of an order. */
@@ -140,8 +141,8 @@
 void bt_stop_leading_group (bt_group_rounds_t *rounds);
 
 /** Processes the report of a rank. Pass the reports of a rank in the order in which they were read.
- * A report of another start of the rank's engine discards the order pending for that rank and
- * abandons the round in progress. */
+ * A report with another start time, after a restart of the rank's engine, discards the order
+ * pending for that rank and abandons the round in progress. */
 void bt_handle_rank_report (bt_group_rounds_t *rounds,
                             int32_t rank,
                             const bt_rank_report_t *report,
@@ -157,8 +158,8 @@
                                    int64_t now_ms);
 
 /** Begins a round and returns the version of the new map; the caller keeps the content of that map
- * for the PREPARE orders. Returns 0 when the group is not in BT_GROUP_CALM or not every rank has
- * reported recently. */
+ * for the PREPARE orders. Returns 0 when the group is not in BT_GROUP_CALM, not every rank has
+ * reported recently, or the versions of this leader are used up. */
 int64_t bt_begin_group_round (bt_group_rounds_t *rounds, int64_t now_ms);
 
 /** Finds the next order to send. Call it until it returns false, and again after each report and
--- a/include/bilberrytray/maps/map_controller.h
+++ b/include/bilberrytray/maps/map_controller.h
@@ -67,8 +67,8 @@
 /** True while the lease allows sending orders. */
 bool bt_holds_map_lease (const bt_map_controller_t *controller, int64_t now_ms);
 
-/** Begins a round for the map with @p digest; false while another round is in progress, a rank is
- * missing, or there is no lease. */
+/** Begins a round for the map with @p digest; false while another round is in progress, the
+ * group has not converged (see bt_is_map_group_converged), or there is no lease. */
 bool bt_begin_map_round (bt_map_controller_t *controller, uint64_t digest, int64_t now_ms);
 
 /** Processes an agent's report. */
--- a/include/bilberrytray/maps/map_planner.h
+++ b/include/bilberrytray/maps/map_planner.h
@@ -18,7 +18,8 @@
 typedef struct bt_map_weights
 {
   double skew_weight;        /**< Value of one millisecond of step time saved. */
-  double cost_weight;        /**< Cost of one millisecond of step time spent on transfers. */
+  double cost_weight;        /**< Cost of one millisecond of step time spent on transfers and held
+                                steps. */
   int64_t horizon_ms;        /**< How long a gain is assumed to last. */
   int64_t held_step_cost_ms; /**< Cost of one held step, in milliseconds of step time. */
   double pay_ratio;          /**< Hysteresis: the gain must be this many times the cost. */
@@ -38,7 +39,8 @@
       held_steps_per_round; /**< Held steps per round, as seen in past rounds; 0 without faults. */
   double copy_ms;           /**< Time a rank takes to copy one replica; ranks copy in parallel. */
   double round_ms;          /**< Duration of a round without copying; above 0 for short rounds. */
-  int32_t max_new_replicas; /**< Most new replicas per rank and layer in one round; 0: no limit. */
+  int32_t max_new_replicas; /**< Maximum number of new replicas per rank and layer in one round; 0:
+                               no limit. */
 } bt_map_limits_t;
 
 /** When the replicas of each expert last changed, for min_stay_ms. */
@@ -103,8 +105,8 @@
   const bt_map_planner_vtable_t *vtable;
 };
 
-/** The planner that changes the map only where the gain over the horizon exceeds the cost of the
- * transfers. */
+/** The planner that changes the map only where the gain over the horizon exceeds pay_ratio times
+ * the cost of the transfers and held steps, both weighted. */
 const bt_map_planner_t *bt_get_cost_benefit_planner (void);
 
 /** The planner for many short rounds in a row: it picks the number of copies per rank that lowers
--- a/include/bilberrytray/maps/map_rank.h
+++ b/include/bilberrytray/maps/map_rank.h
@@ -39,7 +39,7 @@
                        int64_t now_ms,
                        bt_map_actions_t *actions);
 
-/** Processes the service's answer to BT_MAP_READ_FLOOR: the fencing number of the newest
+/** Processes the lease service's answer to BT_MAP_READ_FLOOR: the fencing number of the newest
  * controller. */
 void bt_handle_map_floor (bt_map_rank_t *rank, uint64_t fence);
 
--- a/include/bilberrytray/maps/map_round.h
+++ b/include/bilberrytray/maps/map_round.h
@@ -4,7 +4,7 @@
 /** @file
  * The messages of a map round: orders from a controller to a rank's agent and on to its engine,
  * reports back, and questions between agents. One round changes the map of a whole group in four
- * stages: stage, arm for a step, decide at rank 0, learn.
+ * phases: stage, arm for a step, decide at rank 0, learn.
  *
  * The decision of a round is the one that rank 0's engine stores, and the first one stored is
  * final. An armed engine that does not know the decision holds at its step, so the group is delayed
@@ -70,8 +70,10 @@
   int32_t rank;
   uint64_t fence; /**< Fencing number of the controller that sends the order. */
   uint64_t id;    /**< Increases with each order of a controller; the report carries the same id. */
-  uint64_t incarnation; /**< The engine start that the order is meant for; 0 in a query: any. */
-  uint64_t agent;       /**< The agent start that the order is meant for; 0 in a query: any. */
+  uint64_t incarnation; /**< The engine incarnation that the order is meant for; 0 in a query:
+                             any. */
+  uint64_t agent;       /**< The agent incarnation that the order is meant for; 0 in a query:
+                             any. */
   bt_round_id_t round;  /**< The round that the order is about, possibly of an older controller. */
   uint64_t step;        /**< ARM and LEARN: the step of the switch; JOIN: the group's next step. */
   uint64_t digest;      /**< The map of the round. */
@@ -127,7 +129,7 @@
   uint64_t fence; /**< Fencing number of the order that it answers. */
   uint64_t id;    /**< Id of the order that it answers. */
   uint64_t floor; /**< The highest fencing number that the agent has seen. */
-  uint64_t agent; /**< Identifies the start of the agent. */
+  uint64_t agent; /**< Incarnation of the agent. */
   bt_map_refusal_t refusal;
   bt_engine_state_t engine;
 } bt_map_report_t;
@@ -136,7 +138,7 @@
 typedef struct bt_map_ask
 {
   int32_t rank;         /**< The asking rank. */
-  uint64_t incarnation; /**< Identifies the start of the asking agent. */
+  uint64_t incarnation; /**< Incarnation of the asking agent. */
   uint64_t nonce;       /**< Lets the asking agent ignore answers to abandoned questions. */
   bt_round_id_t round;
 } bt_map_ask_t;
@@ -152,7 +154,7 @@
 {
   BT_MAP_SEND_ORDER = 0, /**< Controller: send an order to a rank's agent. */
   BT_MAP_ENGINE_ORDER,   /**< Agent: send an order to its engine; a query reads its state. */
-  BT_MAP_READ_FLOOR,     /**< Agent: read the current fencing number from the service. */
+  BT_MAP_READ_FLOOR,     /**< Agent: read the current fencing number from the lease service. */
   BT_MAP_REPORT,         /**< Agent: send a report to the controller that sent the order. */
   BT_MAP_ASK,            /**< Agent: send a question to rank 0's agent. */
   BT_MAP_TELL,           /**< Rank 0's agent: send an answer to the asking rank. */
--- a/include/bilberrytray/requests/arbiter.h
+++ b/include/bilberrytray/requests/arbiter.h
@@ -16,17 +16,18 @@
 typedef struct bt_arbiter_options
 {
   bt_identity_t self;
-  uint64_t max_records;       /**< Most keys of runs and grants on record at once. */
-  uint64_t tombstone_reserve; /**< Most tombstones beyond max_records. Once these are used up, an
-                                   expiry floor replaces further tombstones; it also refuses
-                                   other unused tickets that expire no later. */
-  uint64_t max_bytes;         /**< Most bytes of records and kept answers together. */
+  uint64_t max_records;       /**< Maximum number of keys on record, without the tombstones in the
+                                   reserve. */
+  uint64_t tombstone_reserve; /**< Maximum number of tombstones beyond max_records. Once these are
+                                 used up, an expiry floor replaces further tombstones; it also
+                                 refuses other unused tickets that expire no later. */
+  uint64_t max_bytes;         /**< Maximum size of records and kept answers together. */
   uint64_t max_answer_bytes;  /**< A longer answer is not kept. */
   int64_t keep_answer_ms;     /**< How long a complete answer is kept after its end. */
   int64_t grace_ms;           /**< How long a record is kept after its expiry. */
   int64_t ticket_life_ms;     /**< Longest life of tickets and grants; see bt_can_arbiter_exit. */
   int64_t retry_after_ms;     /**< Retry-after time of refusals because the records are full. */
-  uint32_t max_resumes;       /**< Most times that the stream of one run is resumed. */
+  uint32_t max_resumes;       /**< Maximum number of times that the stream of one run is resumed. */
   uint32_t faults;            /**< Bits of bt_fault_t; 0 outside tests. */
 } bt_arbiter_options_t;
 
--- a/include/bilberrytray/requests/crash_table.h
+++ b/include/bilberrytray/requests/crash_table.h
@@ -38,9 +38,9 @@
   int64_t keep_ms;         /**< A crash expires this long after its request was last seen. */
   int64_t match_window_ms; /**< Longest time between a broken attempt and the report that its
                               endpoint ended, in either order. */
-  int32_t max_crashes;     /**< Most crashes kept. */
-  uint64_t seed;           /**< Of the random addition to keep_ms, which differs between
-                                          instances, so that one of them retracts a crash for all. */
+  int32_t max_crashes;     /**< Maximum number of crashes kept. */
+  uint64_t seed;           /**< Seed of the random extension of keep_ms, which differs between
+                              instances, so that one of them retracts a crash for all. */
 } bt_crash_options_t;
 
 /** Kind of an update of the list that all instances share. */
@@ -94,7 +94,7 @@
                                  int32_t count,
                                  int64_t now_ms);
 
-/** Removes crashes, suspects and ended incarnations that are too old. */
+/** Retracts crashes, and removes suspects and ended incarnations, that are too old. */
 void bt_expire_crashes (bt_context_t *ctx, bt_crash_table_t *table, int64_t now_ms);
 
 /** Number of crashes of all requests. While it is 0, no request has to be looked up. */
@@ -116,6 +116,6 @@
                        int64_t now_ms);
 
 /** Removes the next update for the shared list from the queue; false when the queue is empty. */
-bool bt_take_crash_update (bt_crash_table_t *table, bt_crash_update_t *order);
+bool bt_take_crash_update (bt_crash_table_t *table, bt_crash_update_t *update);
 
 #endif
--- a/include/bilberrytray/requests/delivery.h
+++ b/include/bilberrytray/requests/delivery.h
@@ -27,9 +27,10 @@
   int64_t reply_limit_ms;      /**< Time limit for the reply to one message. */
   int64_t reconnect_limit_ms;  /**< Time limit for reconnecting to a lost agent. */
   int64_t retry_after_ms;      /**< Retry-after time when the refusal itself has none. */
-  int32_t max_resends;         /**< Most resends of one message, including those that resume a
-                                    stream. */
-  int32_t max_followed_grants; /**< Most grants followed, to limit redirects between agents. */
+  int32_t max_resends;         /**< Maximum number of resends of one message, including those that
+                                    resume a stream. */
+  int32_t max_followed_grants; /**< Maximum number of grants followed, to limit redirects between
+                                    agents. */
   uint32_t faults;             /**< Bits of bt_fault_t; 0 outside tests. */
 } bt_delivery_options_t;
 
@@ -64,15 +65,16 @@
 {
   BT_DELIVERY_ASK_CANDIDATE = 0, /**< excluded, excluded_count: agents already tried. */
   BT_DELIVERY_ASK_BUDGET,        /**< retry: reason for the retry. */
-  BT_DELIVERY_SEND_DISPATCH,     /**< identity, dispatch; without path.link and deadline */
-  BT_DELIVERY_SEND_GRANT,        /**< identity, grant_request */
-  BT_DELIVERY_SEND_TOMBSTONE,    /**< identity, tombstone_request */
-  BT_DELIVERY_SEND_CANCEL,       /**< path */
-  BT_DELIVERY_FORWARD_HEAD,      /**< status, data */
-  BT_DELIVERY_FORWARD_PIECE,     /**< data */
-  BT_DELIVERY_FINISH_COMPLETE,   /**< The answer is complete. */
-  BT_DELIVERY_FINISH_REFUSED,    /**< reason, outcome, retry_after_ms; no answer has begun. */
-  BT_DELIVERY_ABORT,             /**< reason: abort the answer that has begun, visibly. */
+  BT_DELIVERY_SEND_DISPATCH,  /**< identity, dispatch; the calling code sets path.link and sends the
+                                   time left until the deadline */
+  BT_DELIVERY_SEND_GRANT,     /**< identity, grant_request */
+  BT_DELIVERY_SEND_TOMBSTONE, /**< identity, tombstone_request */
+  BT_DELIVERY_SEND_CANCEL,    /**< path */
+  BT_DELIVERY_FORWARD_HEAD,   /**< status, data */
+  BT_DELIVERY_FORWARD_PIECE,  /**< data */
+  BT_DELIVERY_FINISH_COMPLETE, /**< The answer is complete. */
+  BT_DELIVERY_FINISH_REFUSED,  /**< reason, outcome, retry_after_ms; no answer has begun. */
+  BT_DELIVERY_ABORT,           /**< reason: abort the answer that has begun, visibly. */
 } bt_delivery_action_kind_t;
 
 typedef struct bt_delivery_action
--- a/include/bilberrytray/requests/event_stream.h
+++ b/include/bilberrytray/requests/event_stream.h
@@ -19,7 +19,7 @@
 /** Progress of a stream: what was delivered so far. Zero-initialise it. */
 typedef struct bt_event_stream
 {
-  char last_id[BT_EVENT_ID_BYTES]; /**< Id of the last delivered event; "" before the first. */
+  char last_id[BT_EVENT_ID_BYTES]; /**< Id of the last delivered event that has one, or "". */
   int64_t last_number;             /**< last_id as a number; -1 when it is not a number. */
   int64_t events;                  /**< Number of delivered events that have an id. */
   bool gap; /**< An event's id did not follow the previous one, so the stream is broken. */
--- a/include/bilberrytray/requests/ticket.h
+++ b/include/bilberrytray/requests/ticket.h
@@ -15,7 +15,7 @@
 /** Size of a signing key, in bytes. */
 #define BT_TICKET_SECRET_BYTES 32
 
-/** Most signing keys in a key ring, for rotation. */
+/** Maximum number of signing keys in a key ring, where they overlap during rotation. */
 #define BT_TICKET_RING_MAX_KEYS 4
 
 /** Size of the longest ticket text with its terminating zero, in bytes. */
--- a/source/core/membership.c
+++ b/source/core/membership.c
@@ -136,9 +136,9 @@
                  int32_t count)
 {
   int32_t chosen[BT_AGENT_LINKS];
-  int32_t given = bt_choose_subset (ctx, chooser, candidates, count, BT_AGENT_LINKS, chosen);
+  int32_t chosen_count = bt_choose_subset (ctx, chooser, candidates, count, BT_AGENT_LINKS, chosen);
 
-  for (int32_t i = 0; i < given; i++)
+  for (int32_t i = 0; i < chosen_count; i++)
     if (strcmp (candidates[chosen[i]].instance, wanted) == 0)
       return true;
   return false;
@@ -217,7 +217,7 @@
   bool restarted = member->incarnation != 0 && member->incarnation != hello->identity.incarnation;
 
   /* A process that was partitioned while its replacement took over may reconnect. Its records and
-   * promises are outdated, and it must not replace the live incarnation. */
+   * tombstones are outdated, and it must not replace the live incarnation. */
   if (restarted && member->replaced_incarnation == hello->identity.incarnation)
     return BT_LINK_REFUSED;
   if (restarted)
--- a/source/load/admission.c
+++ b/source/load/admission.c
@@ -295,8 +295,8 @@
 }
 
 /* Queues a request while all endpoints are paused because their group is being formed, which takes
- * one or two seconds. A caller that can wait longer than that is served sooner by waiting here than
- * by retrying. */
+ * one or two seconds. A caller that can wait longer than paused_wait_ms is served sooner by waiting
+ * here than by retrying; any other is refused. */
 static void
 wait_while_paused (bt_context_t *ctx,
                    bt_admission_t *admission,
--- a/source/load/choice.c
+++ b/source/load/choice.c
@@ -10,9 +10,9 @@
   WHOLE_PERCENT = 100,
 };
 
-/* Weight of the total load in the cost. Even when both have free slots, the endpoint with fewer
- * requests is slightly better: its steps are shorter, and in a group that steps together the
- * fullest rank determines the step time. */
+/* Weight of the total load in the cost. Even among endpoints that all have free slots, the one
+ * with fewer requests is slightly better: its steps are shorter, and in a group that steps together
+ * the fullest rank determines the step time. */
 static const double load_weight = 0.5;
 
 /* Run times that differ from the mean by less than this part of it count as equal. They vary with
@@ -97,9 +97,9 @@
 }
 
 /* Returns the mean time of a run. An endpoint that was slow once gets no work while the others have
- * room, and without work it cannot show that it has recovered: it would stay idle while others run
- * two requests each. So its measured time decays towards the mean of all endpoints, and it is tried
- * again later. */
+ * room, and without work it cannot show that it has recovered: it would stay idle for good while
+ * others run two requests each. So its measured time decays towards the mean of all endpoints, and
+ * it is tried again later. */
 static double
 get_mean_ms (const averages_t *averages,
              const bt_router_options_t *options,
--- a/source/load/demand.h
+++ b/source/load/demand.h
@@ -18,7 +18,8 @@
   double burst_count; /**< The same over a quarter of the window, so that a burst shows quickly. */
   int32_t share;      /**< Weight of the account, at least 1. */
   int64_t updated_ms;
-  int64_t retry_at_ms; /**< Retry time that was last announced to the account. */
+  int64_t retry_at_ms; /**< Retry time last announced to the account; nothing sets it so far,
+                           so it is 0. */
 } bt_account_demand_t;
 
 /** Accounts of one app. Initialise it with zeros and set the window. */
--- a/source/load/endpoint_state.h
+++ b/source/load/endpoint_state.h
@@ -66,9 +66,10 @@
  * that this entry has sent and seen end since the time of the report. */
 int32_t bt_get_endpoint_load (const bt_endpoint_state_t *state);
 
-/** The same estimate under the assumption that each other entry has sent as much as this one since
- * the report, in proportion to its part of the load. Otherwise eight entries with the same old
- * report of a free endpoint would all fill it. */
+/** The same estimate under the assumption that the requests of the other entries have grown since
+ * the report in the same proportion as those of this one, but by no more than this one's growth for
+ * each entry. Otherwise eight entries with the same old report of a free endpoint would all fill
+ * it. */
 int32_t bt_get_endpoint_expected_load (const bt_endpoint_state_t *state, int32_t entries);
 
 /** Returns true if the agent or this entry has measured the time of a run there. */
@@ -88,7 +89,7 @@
 /** Records a load report. */
 void bt_record_endpoint_load (bt_endpoint_state_t *state, const bt_load_t *load, int64_t now_ms);
 
-/** Resets the counts and the load after the link died. */
+/** Resets the request counts after the link died. The reported slots and run time are kept. */
 void bt_forget_endpoint_load (bt_endpoint_state_t *state);
 
 /** Adds @p change to the number of own requests in flight. */
--- a/source/load/fair_queue.c
+++ b/source/load/fair_queue.c
@@ -37,7 +37,7 @@
   account_t *accounts;
   int32_t account_count;
   int32_t account_capacity;
-  uint64_t virtual_time;   /* virtual time: start tag of the item served last */
+  uint64_t virtual_time;   /* highest start tag of the items served so far */
   int64_t next_give_up_ms; /* lower bound of give_up_ms of all items */
 };
 
@@ -77,8 +77,9 @@
   return NONE;
 }
 
-/* Returns an account that can be removed: it has no items and its start tag is not ahead of the
- * virtual time. Without reuse, account names seen once would fill the table. */
+/* Returns the index of an account whose entry can be reused: it has no items and its start tag is
+ * not ahead of the virtual time; NONE if there is none. Without reuse, account names seen once
+ * would fill the table. */
 static int32_t
 find_reusable_account (const bt_fair_queue_t *queue)
 {
--- a/source/load/pass_limiter.c
+++ b/source/load/pass_limiter.c
@@ -12,7 +12,8 @@
   MIN_RUNNING = 2,
   /* Minimum limit: a rank that runs fewer requests has hardly shorter passes. */
   MIN_LIMIT = 2,
-  /* A window without reports for this long is discarded: the group is idle or reports no steps. */
+  /* A window that began longer ago than this is discarded: the group is idle or reports no
+   * steps. */
   STALE_MS = 1500,
   NEVER = -1,
   /* Two jumps within this time are frequent: most streams take about two seconds and meet one of
@@ -22,7 +23,7 @@
   JUMP_MS = 1000,
 };
 
-/* Part of the way by which the limit follows a measurement that allows more, per window. A
+/* Fraction of its distance to a measurement that allows more by which the limit grows per window. A
  * measurement that allows fewer requests is applied at once, since every pass that is too long
  * makes all streams late. */
 static const double growth_rate = 0.3;
@@ -30,7 +31,8 @@
 /* The same while jumps are frequent. */
 static const double growth_rate_between_jumps = 0.02;
 
-/* Part of the way by which recent_limit falls per window; a jump may extend over two windows. */
+/* Fraction of its distance to fast_limit by which recent_limit falls per window; a jump may extend
+ * over two windows. */
 static const double decay_rate = 0.25;
 
 struct bt_pass_limiter
@@ -43,7 +45,7 @@
   double pass_ms;
   double limit;
   double fast_limit;   /* the limit that would result if it always grew back at the fast rate */
-  double recent_limit; /* decaying maximum of fast_limit: keeps the value before a jump while the
+  double recent_limit; /* decaying maximum of fast_limit: about the value before a jump while the
                           jump begins */
   int64_t jump_ms;     /* start of the last jump; NEVER before the first */
   int64_t previous_jump_ms; /* start of the jump before the last */
--- a/source/load/router.c
+++ b/source/load/router.c
@@ -16,7 +16,7 @@
   NO_ENDPOINT_RETRY_AFTER_MS = 1000,
   /* An endpoint without a link is removed after this time. */
   REMOVE_AFTER_MS = 600000,
-  FIRST_ENDPOINTS = 16,
+  INITIAL_CAPACITY = 16,
 };
 
 struct bt_router
@@ -147,7 +147,7 @@
   outlier = remove_stale (ctx, router, &endpoint->identity, now_ms);
   if (router->count == router->capacity)
     {
-      router->capacity = router->capacity == 0 ? FIRST_ENDPOINTS : router->capacity * 2;
+      router->capacity = router->capacity == 0 ? INITIAL_CAPACITY : router->capacity * 2;
       router->endpoints = bt_realloc (ctx, router->endpoints, (size_t)router->capacity,
                                       sizeof (bt_endpoint_state_t *));
     }
@@ -328,7 +328,8 @@
   bt_set_endpoint_prefix (state, prefix, true, now_ms);
 }
 
-/* Returns the mean time of a run at the other usable endpoints of the app, or 0. */
+/* Returns the mean time of a run at the other endpoints of the app that are measured and not
+ * ejected; 0 if there are none. */
 static int64_t
 get_peers_service_ms (bt_router_t *router, const bt_endpoint_state_t *state)
 {
@@ -387,8 +388,8 @@
     bt_eject_outlier (&state->outlier, &router->options.outlier, now_ms);
 }
 
-/* Assesses a cancelled attempt. A short one is ignored; one without an answer for far longer than
- * its peers take counts as a slow answer. */
+/* Records a cancelled attempt as a stall and assesses it. Outlier detection ignores a short one;
+ * one without an answer for far longer than the peers take counts as a slow answer. */
 static bt_outlier_event_t
 record_cancelled (bt_router_t *router, bt_endpoint_state_t *state, int64_t took_ms)
 {
@@ -459,10 +460,10 @@
 
 /* Returns the part of an endpoint in the room of this entry. It is negative if the estimate, which
  * assumes that the other entries sent there as much as this one, exceeds the endpoint's capacity.
- * The requests of the others went to some endpoint, so the excess reduces the room at the remaining
- * ones. Without this, each entry sends one request to each endpoint however few it may run: a limit
- * below the number of entries is always exceeded, and every pass of a newly formed group is too
- * long. */
+ * The requests of the others went to some endpoint, so the excess, up to the growth assumed for
+ * them, reduces the room at the remaining ones. Without this, each entry sends one request to each
+ * endpoint however few it may run: a limit below the number of entries is always exceeded, and
+ * every pass of a newly formed group is too long. */
 static int32_t
 get_endpoint_room (const bt_endpoint_state_t *state,
                    const bt_router_options_t *options,
--- a/source/maps/group_ranks.c
+++ b/source/maps/group_ranks.c
@@ -108,12 +108,12 @@
 int32_t
 bt_get_max_refusals (const bt_group_rounds_t *rounds)
 {
-  int32_t most = 0;
+  int32_t max_refusals = 0;
 
   for (int32_t i = 0; i < rounds->settings.ranks; i++)
-    if (rounds->ranks[i].refusals > most)
-      most = rounds->ranks[i].refusals;
-  return most;
+    if (rounds->ranks[i].refusals > max_refusals)
+      max_refusals = rounds->ranks[i].refusals;
+  return max_refusals;
 }
 
 bool
--- a/source/maps/group_rounds.c
+++ b/source/maps/group_rounds.c
@@ -135,7 +135,8 @@
   bt_advance_group (rounds, now_ms);
 }
 
-/* Finds the rank with a pending order; NULL when the result of the order is no longer expected. */
+/* Finds the rank whose pending order has an id; NULL when the result of that order is no longer
+ * expected. */
 static bt_rank_state_t *
 find_ordered_rank (bt_group_rounds_t *rounds, uint64_t id)
 {
@@ -198,10 +199,10 @@
 bool
 bt_poll_report_request (bt_group_rounds_t *rounds)
 {
-  bool ask = rounds->reports_requested;
+  bool requested = rounds->reports_requested;
 
   rounds->reports_requested = false;
-  return ask;
+  return requested;
 }
 
 int64_t
--- a/source/maps/group_rounds_private.h
+++ b/source/maps/group_rounds_private.h
@@ -42,7 +42,7 @@
   int64_t timed_ms;
   int32_t holder;         /* the rank that holds the group, or is to hold it, for this leader */
   int32_t hold_attempts;  /* hold orders sent in this phase */
-  bool own_hold;          /* the hold was seen in force and has not been released since */
+  bool own_hold;          /* the hold is known to be this leader's own, and is not yet released */
   bool takes_over_hold;   /* in SECURING: the hold of another leader is taken over */
   int64_t hold_seen_ms;   /* when the hold was first reported, in HOLDING */
   bool reports_requested; /* a report is to be requested from all agents */
@@ -86,7 +86,7 @@
 /** The highest number of refusals by one rank in this phase. */
 int32_t bt_get_max_refusals (const bt_group_rounds_t *rounds);
 
-/** True when a rank has prepared the version of the clearing. It has accepted an order with this
+/** True when a rank has prepared clearing_version. It has accepted an order with this
  * leader's fencing number since, and refuses all orders sent before. */
 bool bt_is_rank_cleared (const bt_group_rounds_t *rounds, const bt_rank_state_t *rank);
 
--- a/source/maps/map_controller_private.h
+++ b/source/maps/map_controller_private.h
@@ -14,10 +14,10 @@
 {
   bool known;
   uint64_t id;          /* id of the order that the latest report answers */
-  uint64_t executed_id; /* id of the latest executed order; 0 after a refusal */
+  uint64_t executed_id; /* id of the latest executed order; 0 after a refusal other than BUSY */
   bt_engine_state_t engine;
-  uint64_t agent;       /* identifies the start of its agent */
-  int64_t resend_at_ms; /* an order of the same kind is not sent again before */
+  uint64_t agent;       /* incarnation of its agent */
+  int64_t resend_at_ms; /* an order of the same kind is not sent again before this time */
   int64_t reported_ms;
   bt_map_order_kind_t sent_kind;
 } bt_rank_view_t;
@@ -60,9 +60,9 @@
  * ended first. */
 bt_map_order_t bt_find_open_round (const bt_map_controller_t *controller);
 
-/** Records what rank 0 has decided, and returns whether the round is applied. A later query may
- * return an older report, or rank 0 may be replaced, while orders to apply the map are still in
- * flight to other ranks. */
+/** Records what rank 0 has decided, and returns whether the round is applied. The record is
+ * needed because a later query may return an older report, or rank 0 may be replaced, while orders
+ * to apply the map are still in flight to other ranks. */
 bool bt_record_decision (bt_map_controller_t *controller, bt_round_id_t round);
 
 /** Sends a decision to the ranks that do not know it; false while there are any. */
--- a/source/maps/map_layer.h
+++ b/source/maps/map_layer.h
@@ -80,7 +80,7 @@
   int64_t transfers;
 } bt_layer_gain_t;
 
-/** Relieves the busiest rank repeatedly, and keeps the changes up to the point of the highest net
+/** Relieves the busiest ranks repeatedly, and keeps the changes up to the point of the highest net
  * value. Replicas of @p pinned experts are not removed. */
 bt_layer_gain_t bt_improve_map_layer (bt_context_t *ctx,
                                       bt_expert_map_t *map,
--- a/source/maps/map_planner.c
+++ b/source/maps/map_planner.c
@@ -212,7 +212,7 @@
     }
 }
 
-/* True when a plan pays for the round as a whole, including the steps that a round holds. */
+/* True when the gain of a plan pays for the round as a whole, including the steps that it holds. */
 static bool
 is_round_worthwhile (const bt_map_input_t *input, const bt_map_plan_t *plan)
 {
@@ -245,8 +245,8 @@
 }
 
 /* Limits a round to its maximum number of bytes: a round that stages everything before anything
- * takes effect comes late. The layers with the highest gain per byte go first; the others follow
- * with the next plan. */
+ * takes effect comes late. The layers with the highest gain per byte go first, the first one even
+ * if it exceeds the maximum alone; the others follow with the next plan. */
 static void
 limit_round_bytes (const bt_map_input_t *input, bt_map_plan_t *plan, bt_layer_gain_t *gains)
 {
--- a/source/maps/map_rank.c
+++ b/source/maps/map_rank.c
@@ -21,7 +21,7 @@
   bool floor_read;
   bool engine_known;
   bt_engine_state_t engine; /* last known state */
-  int64_t ready_ms;         /* the engine is not called before */
+  int64_t ready_ms;         /* the engine is not called before this time */
   int64_t next_read_ms;     /* time of the next READ_FLOOR */
 
   uint64_t call; /* number of the last call */
@@ -119,7 +119,8 @@
     rank->nonce = 0;
   rank->engine = *state;
   rank->engine_known = true;
-  /* An engine may not record the dropping of a round that it was not armed for. */
+  /* An engine might keep no record of a round that was dropped before the engine was armed for
+   * it. */
   if (bt_compare_rounds (rank->newest_dropped, state->decided) > 0)
     {
       rank->engine.decided = rank->newest_dropped;
@@ -361,7 +362,8 @@
   call_engine (ctx, rank, purpose, &order, now_ms, actions);
 }
 
-/* Drops a round whose controller is presumed dead. It died between arming and deciding, the lease
+/* Drops a round whose controller is presumed dead, once other ranks have asked about it for
+ * give_up_ms: the controller died between arming and deciding, the lease
  * service is down so that no successor takes over, and the armed ranks would hold forever. Rank 0
  * may drop the round by itself: the round is decided only there, so no rank can have been told
  * otherwise. No other rank may do so. */
--- a/source/maps/map_search.c
+++ b/source/maps/map_search.c
@@ -412,7 +412,7 @@
   search->limited_by_copies = false;
   if (!start_step (&step))
     return false;
-  for (int32_t turn = 0; turn < HOT_RANKS && turn < layer->ranks; turn++)
+  for (int32_t examined = 0; examined < HOT_RANKS && examined < layer->ranks; examined++)
     {
       const int16_t *held = bt_get_held_experts (layer, hot);
 
--- a/source/maps/map_search.h
+++ b/source/maps/map_search.h
@@ -36,8 +36,7 @@
   int32_t max_new_replicas; /**< Maximum number of new replicas of the layer on one rank; 0: no
                                limit. */
   int32_t slots;            /**< Replicas that one rank can hold. */
-  double transfer_load;     /**< The reduction of the busiest rank's load that one transfer must be
-                               worth. */
+  double transfer_load;     /**< Reduction of the busiest rank's load that is worth one transfer. */
   int32_t *copies;          /**< By rank: new replicas in all layers; NULL: not counted. */
   int32_t max_copies;       /**< Limit of each element of @p copies. */
   bool limited_by_copies;   /**< The last search skipped changes because of that limit. */
--- a/source/requests/arbiter.c
+++ b/source/requests/arbiter.c
@@ -330,9 +330,9 @@
   end_run (ctx, arbiter, record, now_ms);
 }
 
-/* Resumes a silent or broken stream at the bytes received so far. The endpoint still has the run,
- * so this starts no new one. When the stream cannot be resumed, the run fails as one that may have
- * run. */
+/* Resumes a silent, broken or incomplete stream after the bytes received so far. The endpoint still
+ * has the run, so this starts no new one. When the stream cannot be resumed, the run fails as one
+ * that may have run. */
 static void
 resume_run (bt_context_t *ctx,
             bt_arbiter_t *arbiter,
--- a/source/requests/crash_table.c
+++ b/source/requests/crash_table.c
@@ -146,7 +146,7 @@
 }
 
 bool
-bt_take_crash_update (bt_crash_table_t *table, bt_crash_update_t *order)
+bt_take_crash_update (bt_crash_table_t *table, bt_crash_update_t *update)
 {
   if (table->updates_taken == table->update_count)
     {
@@ -154,7 +154,7 @@
       table->update_count = 0;
       return false;
     }
-  *order = table->updates[table->updates_taken++];
+  *update = table->updates[table->updates_taken++];
   return true;
 }
 
--- a/source/requests/delivery.c
+++ b/source/requests/delivery.c
@@ -316,8 +316,8 @@
     send_message (ctx, delivery, BT_MESSAGE_GRANT, home, now_ms, actions);
 }
 
-/* Continues after a refusal: the agent that refused first tombstones the key, then another agent is
- * chosen. */
+/* Continues when the policy has decided on a retry. If it is allowed, the agent of the current
+ * grant first tombstones the key, then another agent is chosen; otherwise the delivery gives up. */
 static void
 handle_budget (bt_context_t *ctx,
                bt_delivery_t *delivery,
--- a/source/requests/delivery_private.h
+++ b/source/requests/delivery_private.h
@@ -85,7 +85,9 @@
                               bt_reason_t reason,
                               bt_delivery_actions_t *actions);
 
-/** Gives up. The caller is refused once it is proved that the request did not run and will not. */
+/** Gives up. A request with a key is refused once tombstones prove that it did not run and will
+ * not. A request without a key ends at once: as not run if no dispatch is unconfirmed, else as
+ * unknown. An answer that has begun is aborted. */
 void bt_give_up_delivery (bt_context_t *ctx,
                           bt_delivery_t *delivery,
                           bt_reason_t reason,
--- a/source/requests/record.h
+++ b/source/requests/record.h
@@ -60,7 +60,7 @@
 typedef struct bt_record_limits
 {
   uint64_t max_records;
-  uint64_t tombstone_reserve; /**< Most tombstones beyond max_records. */
+  uint64_t tombstone_reserve; /**< Maximum number of tombstones beyond max_records. */
   uint64_t max_bytes;         /**< Of records and kept answers together. */
   uint64_t max_answer_bytes;  /**< Of one kept answer. */
   int64_t grace_ms;           /**< How long a record is kept after its expiry. */
@@ -132,8 +132,8 @@
 bool bt_add_watcher (bt_context_t *ctx, bt_record_t *record, const bt_watcher_t *watcher);
 void bt_remove_watcher (bt_record_t *record, int32_t index);
 
-/** Sweeps a part of the table: removes expired records, and the pieces of answers past
- * keep_answer_ms. A limited number of calls covers the whole table. */
+/** Sweeps a part of the table: removes records past their expiry and grace_ms, and the pieces of
+ * answers past keep_answer_ms. A limited number of calls covers the whole table. */
 void bt_sweep_records (bt_context_t *ctx, bt_record_table_t *table, int64_t now_ms);
 
 uint64_t bt_count_table_records (const bt_record_table_t *table);
