--- a/include/bilberrytray/maps/map_controller.h
+++ b/include/bilberrytray/maps/map_controller.h
@@ -20,9 +20,10 @@
   int64_t query_after_ms; /**< A rank that has not reported for this long is queried. */
   int64_t arm_limit_ms;   /**< A round not armed on every rank within this time is abandoned. */
   int64_t stage_limit_ms; /**< The same limit for staging. */
-  uint64_t arm_steps;     /**< Steps from the latest known to the armed one. */
-  uint64_t first_digest;  /**< The digest of the map that a group without any map starts with. */
-  uint32_t test_options;  /**< Bits of bt_map_option_t; 0 outside tests. */
+  uint64_t arm_steps;    /**< Steps from the latest known to the armed one; doubled after each round
+                              that was armed too late, up to 16-fold, until a round is applied. */
+  uint64_t first_digest; /**< The digest of the map that a group without any map starts with. */
+  uint32_t test_options; /**< Bits of bt_map_option_t; 0 outside tests. */
 } bt_map_controller_settings_t;
 
 /** The phase of a round. */
--- a/include/bilberrytray/maps/map_rank.h
+++ b/include/bilberrytray/maps/map_rank.h
@@ -20,8 +20,8 @@
                             start or a lost answer. The engine is queried only after that. */
   int64_t call_limit_ms; /**< A call that is not answered within this time is abandoned. */
   int64_t ask_ms;        /**< Interval between questions to rank 0 while the round is undecided. */
-  int64_t give_up_ms;    /**< Rank 0 drops an undecided round that other ranks have asked about for
-                            this long: the controller is presumed gone. */
+  int64_t give_up_ms; /**< Rank 0 drops an undecided round that ranks, itself included, have asked
+                         about for this long: the controller is presumed gone. */
   uint32_t test_options; /**< Bits of bt_map_option_t; 0 outside tests. */
 } bt_map_rank_settings_t;
 
--- a/source/load/run_queue.c
+++ b/source/load/run_queue.c
@@ -86,9 +86,8 @@
 }
 
 /* Queues a request, if necessary by evicting one of a lower priority or of an account that has more
- * requests queued. Eight
- * entries, each of them fair, can still fill one endpoint's queue with the requests of one
- * account. */
+ * requests queued. Eight entries, each of them fair, can still fill one endpoint's queue with the
+ * requests of one account. */
 static bool
 queue_request (bt_context_t *ctx,
                bt_run_queue_t *queue,
--- a/source/maps/group_phases.c
+++ b/source/maps/group_phases.c
@@ -116,8 +116,8 @@
 }
 
 /* Computes the number of steps from the latest known one to that of the switch, at most twice
- * hold_steps once the times are known. Each step too many
- * keeps the old map for another pass, at the very time when passes are long. */
+ * hold_steps once the times are known. Each step too many keeps the old map for another pass, at
+ * the very time when passes are long. */
 static int64_t
 count_steps_ahead (const bt_group_rounds_t *rounds)
 {
--- a/source/maps/map_rank.c
+++ b/source/maps/map_rank.c
@@ -362,11 +362,11 @@
   call_engine (ctx, rank, purpose, &order, now_ms, actions);
 }
 
-/* Drops a round whose controller is presumed dead, once other ranks have asked about it for
- * give_up_ms: the controller died between arming and deciding, the lease
- * service is down so that no successor takes over, and the armed ranks would hold forever. Rank 0
- * may drop the round by itself: the round is decided only there, so no rank can have been told
- * otherwise. No other rank may do so. */
+/* Drops a round whose controller is presumed dead, once ranks have asked about it for
+ * give_up_ms: the controller died between arming and deciding, the lease service is down so that no
+ * successor takes over, and the armed ranks would hold forever. Rank 0 may drop the round by
+ * itself: the round is decided only there, so no rank can have been told otherwise. No other rank
+ * may do so. */
 static void
 drop_abandoned_round (bt_context_t *ctx,
                       bt_map_rank_t *rank,
--- a/source/requests/delivery.c
+++ b/source/requests/delivery.c
@@ -317,7 +317,8 @@
 }
 
 /* Continues when the policy has decided on a retry. If it is allowed, the agent of the current
- * grant first tombstones the key, then another agent is chosen; otherwise the delivery gives up. */
+ * grant, if there is one, first tombstones the key, then another agent is chosen; otherwise the
+ * delivery gives up. */
 static void
 handle_budget (bt_context_t *ctx,
                bt_delivery_t *delivery,
