--- a/include/bilberrytray/base.h
+++ b/include/bilberrytray/base.h
@@ -2,7 +2,7 @@
 #define BILBERRYTRAY_BASE_H
 
 /** @file
- * Everything of the base package.
+ * Includes the commonly used headers of the base package.
  */
 
 #include "bilberrytray/base/address.h"
--- a/include/bilberrytray/base/error.h
+++ b/include/bilberrytray/base/error.h
@@ -11,7 +11,7 @@
 typedef enum bt_error_code
 {
   BT_ERROR_NONE = 0,
-  BT_ERROR_USAGE,     /**< The command line or the settings are wrong. */
+  BT_ERROR_USAGE,     /**< The command line or the settings are invalid. */
   BT_ERROR_FORMAT,    /**< Input is malformed or out of range. */
   BT_ERROR_TOO_LARGE, /**< Input exceeds a limit. */
   BT_ERROR_CLOSED,    /**< The peer closed the connection. */
--- a/include/bilberrytray/base/event_log.h
+++ b/include/bilberrytray/base/event_log.h
@@ -6,11 +6,11 @@
  * decision that affects a request or changes the state that the process assumes, together with the
  * inputs of the decision.
  *
- * Writing never blocks: lines are dropped while the reader does not read. Each level has its own
- * budget of lines per second, so that a flood at one level drops no lines of another. Dropped lines
- * are counted in "bilberry_log_lines_lost_total". When the next event can be written, an event
- * "log-left-out" precedes it with the number of dropped lines and how many of them had level
- * warning or error.
+ * Writing never blocks: lines are lost while the reader does not read. Each level has its own
+ * budget of lines per second, and lines over the budget are dropped, so that a flood at one level
+ * drops no lines of another. Both are counted in "bilberry_log_lines_lost_total" by cause, "reader"
+ * or "budget". When the next event can be written, an event "log-left-out" precedes it for each
+ * cause with the number of these lines and how many of them had level warning or error.
  */
 
 #include <jansson.h>
--- a/include/bilberrytray/config/config_sync.h
+++ b/include/bilberrytray/config/config_sync.h
@@ -42,7 +42,8 @@
   int64_t fallback_ms;    /**< Reads the store itself after this time without a fresh update. */
   int64_t pull_grace_ms;  /**< Time that digests may differ before a pull is sent. */
   int64_t pull_retry_ms;  /**< Shortest time between two pulls to one peer. */
-  int64_t store_retry_ms; /**< Longest delay after one failed store call; doubles up to 8 s. */
+  int64_t store_retry_ms; /**< Longest delay after the first failed store call; doubles
+                               with each further failure in a row, up to 8 s. */
   uint32_t guards_off;    /**< 0, except in tests. */
 } bt_sync_settings_t;
 
@@ -133,8 +134,8 @@
 {
   char instance[BT_NAME_BYTES];
   char failure_domain[BT_NAME_BYTES];
-  bool near; /**< One of the two instances chose to link to the other; in a small fleet all are
-                near. */
+  bool near; /**< A neighbor: one of the two instances chose to link to the other; in a small fleet
+                all are neighbors. */
 } bt_sync_member_t;
 
 /** Replaces the list of members, which may or may not include this instance. */
@@ -218,8 +219,8 @@
   int64_t floor;
   int64_t revision;
   int64_t fresh_age_ms; /**< -1 if there was never a fresh update. */
-  int32_t members;      /**< Near members, including this instance. */
-  int32_t peers_agreed; /**< Near members that had the same documents within the isolation limit. */
+  int32_t members;      /**< This instance and its neighbors. */
+  int32_t peers_agreed; /**< Neighbors that had the same documents within the isolation limit. */
   bool watcher;
   uint64_t stale_reads; /**< Reads dropped because they were older than the floor. */
   uint64_t pulls;       /**< Pulls sent. */
--- a/include/bilberrytray/config/declarations.h
+++ b/include/bilberrytray/config/declarations.h
@@ -41,7 +41,7 @@
   char name[BT_NAME_BYTES];
   uint8_t (*token_hashes)[BT_TOKEN_HASH_BYTES];
   int32_t token_count;
-  int32_t share;    /**< Weight in fair queueing, at least 1. */
+  int32_t share;    /**< Weight in fair sharing, at least 1. */
   int32_t priority; /**< A bt_priority_t that overrides the rule's; -1: the rule decides. */
 } bt_account_t;
 
@@ -133,7 +133,7 @@
                             program issued. */
   int64_t limit_per_s;   /**< 0: none. */
   int64_t limit_burst;   /**< Largest burst, in requests; 0 without a limit. */
-  int32_t retries;       /**< Maximum number of further attempts. */
+  int32_t retries;       /**< Maximum number of retries of a request. */
   char *affinity_header; /**< Requests with the same value prefer the same endpoint; NULL: none. */
   int64_t affinity_prefix_bytes;
   bool open;        /**< Callers need no client account. */
--- a/include/bilberrytray/config/publisher.h
+++ b/include/bilberrytray/config/publisher.h
@@ -28,7 +28,8 @@
 
 typedef struct bt_publish_settings
 {
-  int64_t retry_ms;        /**< Between store calls, and between pushes to an unconfirmed entry. */
+  int64_t retry_ms;        /**< Delay before a store call is repeated, and between pushes to an
+                                entry that has not confirmed. */
   int64_t write_limit_ms;  /**< Time limit for reads and the commit, from the start. */
   int64_t spread_limit_ms; /**< Time limit for the entries to confirm, from the read-back. */
   int64_t isolation_ms;    /**< The entries' isolation limit. */
@@ -64,7 +65,7 @@
 
 const char *bt_name_publish_result (bt_publish_result_t result);
 
-/** A document that another change wrote after the base was read. */
+/** A document that another change wrote after the base revision. */
 typedef struct bt_publish_conflict
 {
   char name[BT_NAME_BYTES];
--- a/include/bilberrytray/page/page.h
+++ b/include/bilberrytray/page/page.h
@@ -17,7 +17,8 @@
  * page releases the text with free. */
 typedef char *(*bt_page_route_t) (void *argument, const char *method, const char *path);
 
-/** Serves the page at "IP:PORT" on its own thread. @p route may be NULL. */
+/** Serves the page at "IP:PORT" on its own thread. @p route may be NULL; if it is not, it also has
+ * to answer /healthz. */
 bt_page_t *bt_new_page (bt_context_t *ctx,
                         const char *address,
                         bt_page_route_t route,
--- a/include/bilberrytray/store/http_client.h
+++ b/include/bilberrytray/store/http_client.h
@@ -18,7 +18,8 @@
 {
   int64_t connect_ms;  /**< Maximum time to connect. */
   int64_t total_ms;    /**< Maximum time of a call. */
-  int64_t idle_ms;     /**< Maximum time without data; rounded up to whole seconds. */
+  int64_t idle_ms;     /**< Maximum time without data, rounded up to whole seconds. Not
+                            applied to a streamed call or to one with its own total_ms. */
   size_t answer_bytes; /**< Maximum size of an answer. */
 } bt_http_limits_t;
 
--- a/include/bilberrytray/wire/link.h
+++ b/include/bilberrytray/wire/link.h
@@ -46,7 +46,7 @@
 /** Settings of a loop. Strings must outlive it. */
 typedef struct bt_link_options
 {
-  const char *role; /**< "entry" or "agent". */
+  const char *role; /**< "entry", "agent" or "operator". */
   const char *instance;
   uint64_t incarnation;
   const char *failure_domain;
--- a/source/base/context_private.h
+++ b/source/base/context_private.h
@@ -46,7 +46,8 @@
 /** True if lines of @p level are logged at the context's level. */
 bool bt_is_level_enabled (bt_context_t *ctx, bt_log_level_t level);
 
-/** Creates the counters of lost lines, so that the metrics page shows them even at zero. */
+/** Creates the counters of lost and dropped lines, so that the metrics page shows them even at
+ * zero. */
 void bt_init_log_counters (bt_context_t *ctx);
 
 /** Formats the current UTC time as ISO 8601 with milliseconds. */
--- a/source/base/event_fields.c
+++ b/source/base/event_fields.c
@@ -10,9 +10,10 @@
   FIRST_NON_ASCII = 0x80,
 };
 
-/* Replaces bytes that are not ASCII in text that is truncated or not valid UTF-8. A caller's id can
- * contain any bytes, and jansson rejects invalid UTF-8 and with it the whole event, so a caller
- * could keep its requests out of the log. */
+/* Makes a JSON string of at most MAX_TEXT_BYTES - 1 bytes. If the text is truncated or not valid
+ * UTF-8, each non-ASCII byte is replaced by '?'. A caller's id can contain any bytes, and jansson
+ * rejects invalid UTF-8 and with it the whole event, so a caller could keep its requests out of the
+ * log. */
 static json_t *
 make_text_value (const char *text)
 {
--- a/source/base/event_log.c
+++ b/source/base/event_log.c
@@ -117,8 +117,9 @@
     }
 }
 
-/* Reports lost lines and takes the event from the budget. False if the event must be dropped. It is
- * called before the event is formatted, since during a flood most events are dropped. */
+/* Reports lost and dropped lines and takes the event from the budget. False if the event must be
+ * dropped. It is called before the event is formatted, since during a flood most events are
+ * dropped. */
 static bool
 admit_event (bt_context_t *ctx, bt_log_level_t level)
 {
--- a/source/config/config_sync.c
+++ b/source/config/config_sync.c
@@ -58,7 +58,7 @@
   bt_drop_config_table (ctx, sync->table);
   bt_free (ctx, sync->peers);
   bt_free (ctx, sync->members);
-  bt_free (ctx, sync->near_members);
+  bt_free (ctx, sync->is_neighbor);
   bt_free (ctx, sync);
 }
 
@@ -141,12 +141,12 @@
 }
 
 static bool
-is_member (const bt_config_sync_t *sync, const char *instance, bool *near)
+is_member (const bt_config_sync_t *sync, const char *instance, bool *is_neighbor)
 {
   for (int32_t i = 0; i < sync->member_count; i++)
     if (strcmp (sync->members[i].instance, instance) == 0)
       {
-        *near = sync->near_members[i];
+        *is_neighbor = sync->is_neighbor[i];
         return true;
       }
   return false;
@@ -158,10 +158,10 @@
 remove_unlinked_peers (bt_config_sync_t *sync)
 {
   int32_t kept = 0;
-  bool near;
+  bool is_neighbor;
 
   for (int32_t i = 0; i < sync->peer_count; i++)
-    if (sync->peers[i].linked || is_member (sync, sync->peers[i].identity.instance, &near))
+    if (sync->peers[i].linked || is_member (sync, sync->peers[i].identity.instance, &is_neighbor))
       sync->peers[kept++] = sync->peers[i];
   sync->peer_count = kept;
 }
@@ -188,17 +188,17 @@
                      int32_t count)
 {
   sync->members = bt_realloc (ctx, sync->members, (size_t)count, sizeof *sync->members);
-  sync->near_members = bt_realloc (ctx, sync->near_members, (size_t)count, sizeof (bool));
+  sync->is_neighbor = bt_realloc (ctx, sync->is_neighbor, (size_t)count, sizeof (bool));
   sync->member_count = count;
-  sync->near_count = 1;
+  sync->neighborhood_size = 1;
   for (int32_t i = 0; i < count; i++)
     {
       bool self = strcmp (members[i].instance, sync->self.instance) == 0;
 
       bt_copy_name (sync->members[i].instance, members[i].instance);
       bt_copy_name (sync->members[i].failure_domain, members[i].failure_domain);
-      sync->near_members[i] = members[i].near && !self;
-      sync->near_count += sync->near_members[i] ? 1 : 0;
+      sync->is_neighbor[i] = members[i].near && !self;
+      sync->neighborhood_size += sync->is_neighbor[i] ? 1 : 0;
     }
   choose_watchers (ctx, sync);
   remove_unlinked_peers (sync);
@@ -210,19 +210,19 @@
   return time_ms != NEVER_MS && now_ms - time_ms <= limit_ms;
 }
 
-/* Counts the near members that had the same documents within the isolation limit or, with
+/* Counts the neighbors that had the same documents within the isolation limit or, with
  * @p start_quorum, those that count towards the start quorum. */
 static int32_t
 count_peers (const bt_config_sync_t *sync, int64_t now_ms, bool start_quorum)
 {
   int32_t count = 0;
-  bool near;
+  bool is_neighbor;
 
   for (int32_t i = 0; i < sync->peer_count; i++)
     {
       const peer_t *peer = &sync->peers[i];
 
-      if (!is_member (sync, peer->identity.instance, &near) || !near)
+      if (!is_member (sync, peer->identity.instance, &is_neighbor) || !is_neighbor)
         continue;
       if (start_quorum ? peer->in_start_quorum
                        : is_within (peer->agreed_ms, now_ms, sync->settings.isolation_ms))
@@ -239,12 +239,12 @@
 static bool
 has_start_quorum (const bt_config_sync_t *sync)
 {
-  int32_t needed = (sync->near_count + 1) / 2;
+  int32_t needed = (sync->neighborhood_size + 1) / 2;
 
   if (!bt_has_sync_guard (sync, BT_SYNC_ANY_PEER))
     needed = 1;
   return sync->member_count > 0 && count_peers (sync, 0, true) >= needed && needed > 0
-         && sync->near_count > 1;
+         && sync->neighborhood_size > 1;
 }
 
 /* Returns whether this instance hears from a majority of the entries, itself included. While the
@@ -258,7 +258,7 @@
 
   if (!bt_has_sync_guard (sync, BT_SYNC_ANY_PEER))
     return agreed > 0;
-  return sync->member_count > 0 && 2 * (agreed + 1) > sync->near_count;
+  return sync->member_count > 0 && 2 * (agreed + 1) > sync->neighborhood_size;
 }
 
 bt_sync_state_t
@@ -567,7 +567,7 @@
   status->floor = sync->floor;
   status->revision = bt_get_table_revision (sync->table);
   status->fresh_age_ms = sync->fresh_ms == NEVER_MS ? -1 : now_ms - sync->fresh_ms;
-  status->members = sync->near_count;
+  status->members = sync->neighborhood_size;
   status->peers_agreed = count_peers (sync, now_ms, false);
   status->watcher = sync->watcher;
   status->stale_reads = sync->stale_reads;
--- a/source/config/config_sync_private.h
+++ b/source/config/config_sync_private.h
@@ -41,9 +41,9 @@
   int32_t peer_count;
   int32_t peer_capacity;
   bt_subset_candidate_t *members;
-  bool *near_members;
+  bool *is_neighbor; /**< For each member; false for this instance. */
   int32_t member_count;
-  int32_t near_count; /**< Near members, including this instance. */
+  int32_t neighborhood_size; /**< This instance and its neighbors. */
   bool watcher;
   bool has_read; /**< The store was read since the start. */
   bool ready;    /**< This instance knows what is in force. */
@@ -66,7 +66,8 @@
 bt_sync_action_t *
 bt_add_sync_action (bt_context_t *ctx, bt_sync_actions_t *actions, bt_sync_action_kind_t kind);
 
-/** Puts pushed or read documents in force where they are newer, and forwards them if any was. */
+/** Puts pushed or read documents in force where they are newer. If any was, they are forwarded to
+ * the peers, unless this instance is not ready or @p source is an operator. */
 void bt_apply_sync_documents (bt_context_t *ctx,
                               bt_config_sync_t *sync,
                               const bt_identity_t *source,
--- a/source/config/config_table.c
+++ b/source/config/config_table.c
@@ -14,7 +14,7 @@
   int32_t count;
   int32_t capacity;
   int64_t revision;
-  uint64_t digest; /**< Sum over the documents, so that one can be replaced alone. */
+  uint64_t digest; /**< Sum of the documents' hashes, so that one can be replaced alone. */
   uint64_t offers[BT_OFFER_COUNT];
 };
 
--- a/source/entry/call_admission.c
+++ b/source/entry/call_admission.c
@@ -2,8 +2,6 @@
 
 #include <string.h>
 
-/* Asks admission whether a call is sent now, queued or refused. */
-
 uint64_t
 bt_get_call_prefix (const bt_call_t *call)
 {
@@ -65,6 +63,7 @@
     bt_refuse_call (entry, call, BT_OUTCOME_NOT_RUN, decision->reason, decision->retry_after_ms);
 }
 
+/* Asks admission whether a call is sent now, queued or refused. */
 void
 bt_request_admission (bt_entry_t *entry, bt_call_t *call, bool is_retry)
 {
@@ -77,9 +76,9 @@
   apply_decision (entry, call, &decision);
 }
 
-/* Updates the number of entry instances that send to the same endpoints in the router. */
+/* Tells the router how many entry instances send to the same endpoints. */
 static void
-count_entries (bt_entry_t *entry)
+update_router_entries (bt_entry_t *entry)
 {
   int32_t entries = 1;
 
@@ -94,7 +93,7 @@
   int64_t now_ms = bt_now_ms (entry->ctx);
   bt_admission_decision_t decision = { 0 };
 
-  count_entries (entry);
+  update_router_entries (entry);
   while (bt_next_admission (entry->admission, now_ms, &decision))
     {
       bt_call_t *call = bt_find_call (entry, decision.id);
--- a/source/entry/caller.h
+++ b/source/entry/caller.h
@@ -63,7 +63,7 @@
  * so slowly that too much of the answer is pending; the answer is then aborted. */
 bool bt_add_answer (bt_context_t *ctx, bt_caller_t *caller, const void *data, size_t bytes);
 
-/** Marks the answer as complete. */
+/** Marks the answer as complete and counts its outcome. */
 void bt_end_answer (bt_context_t *ctx, bt_caller_t *caller);
 
 /** Refuses the request at once, or aborts the answer if it has begun; the outcome is then
--- a/source/entry/config_documents.h
+++ b/source/entry/config_documents.h
@@ -17,7 +17,7 @@
                              const char *prefix,
                              bt_document_list_t *list);
 
-/** Adds the documents of a push. */
+/** Adds the documents of a push. Skips unknown names and revisions that are not above 0. */
 void bt_add_push_documents (bt_context_t *ctx,
                             const Bilberry__ConfigPush *push,
                             bt_document_list_t *list);
--- a/source/entry/config_driver.h
+++ b/source/entry/config_driver.h
@@ -2,8 +2,8 @@
 #define BILBERRYTRAY_SOURCE_ENTRY_CONFIG_DRIVER_H
 
 /** @file
- * Runs config sync: performs the actions that bt_config_sync decides on, on links and on the
- * key-value store, and puts new declarations in force.
+ * Runs config sync: performs the actions of bt_config_sync on links and on the key-value store, and
+ * puts new declarations in force.
  *
  * One thread calls the store, one call at a time. A second one runs the periodic ticks and parses
  * new documents, so that a large document does not delay requests. The entry's lock guards all
--- a/source/entry/config_driver_private.h
+++ b/source/entry/config_driver_private.h
@@ -26,8 +26,7 @@
   BT_CONFIG_GAUGE_COUNT,
 };
 
-/** A reply to an operator, held back until the documents it pushed are in force or found
- * invalid. */
+/** A reply to an operator, held back until the pushed documents are in force or found invalid. */
 typedef struct bt_config_reply
 {
   bt_link_t *link;
--- a/source/entry/http_server.c
+++ b/source/entry/http_server.c
@@ -31,8 +31,8 @@
   bt_counter_t *connections; /* accepted so far */
 };
 
-/** Returns whether a header is not forwarded: headers of this connection, and the caller's
- * token. */
+/** Returns whether a header must not be forwarded: it concerns only this connection, or contains
+ * the caller's token. */
 static bool
 is_unforwarded_header (const char *name)
 {
--- a/source/entry/map_control.c
+++ b/source/entry/map_control.c
@@ -256,8 +256,8 @@
     bt_log (control->ctx, BT_LOG_INFO, BT_PART_MAPS,
             "Controlling group %s with fencing number %llu.", control->settings.group,
             (unsigned long long)fence);
-  /* The store may still hold the lease of a controller that has already stopped. It is not
-   * renewed, so that it expires and a new fencing number is issued. */
+  /* The controller stops before its lease ends, so the store may still have the lease. It is
+   * forgotten and not renewed, so that it expires and a new fencing number is issued. */
   if (!held)
     bt_forget_fenced_lease (control->lease);
 }
--- a/source/entry/map_planning.c
+++ b/source/entry/map_planning.c
@@ -162,12 +162,12 @@
 static bool
 is_map_cached (bt_map_planning_t *planning, uint64_t digest)
 {
-  bool has;
+  bool cached;
 
   pthread_mutex_lock (&planning->lock);
-  has = find_cached_map (planning, digest) != NULL;
+  cached = find_cached_map (planning, digest) != NULL;
   pthread_mutex_unlock (&planning->lock);
-  return has;
+  return cached;
 }
 
 /* Adds a stored map to the cache, but only if it can be decoded, has the group's shape and has
@@ -295,7 +295,7 @@
   return true;
 }
 
-/* Plans from a copy of the loads, so that reports do not wait for the lock. */
+/* Plans from a copy of the loads, so that reports do not have to wait until the plan is made. */
 static bt_map_plan_t *
 make_plan (bt_map_planning_t *planning, const bt_expert_map_t *map, int64_t now_ms)
 {
--- a/source/entry/map_planning.h
+++ b/source/entry/map_planning.h
@@ -38,14 +38,15 @@
 void
 bt_record_map_loads (bt_map_planning_t *planning, const Bilberry__MapReport *frame, int64_t now_ms);
 
-/** Plans once per interval if the map @p in_use is cached. Returns the digest of a map whose
- * gain is sufficient, or 0. That map is then stored, and the maps that no rank can need any more
- * are deleted from the store. Nothing is written unless @p fence is still the newest fencing
- * number. Blocks on the store; call it from one thread only. */
+/** Plans once per interval if the map @p in_use is cached and loads were reported. Returns the
+ * digest of a map whose gain is sufficient, or 0. That map is then stored, and the maps that no
+ * rank can need any more are deleted from the store. Nothing is written unless @p fence is still
+ * the newest fencing number. Blocks on the store; call it from one thread only. */
 uint64_t bt_plan_next_map (
     bt_map_planning_t *planning, bt_kv_t *kv, uint64_t fence, uint64_t in_use, int64_t now_ms);
 
-/** Reads a map from the store unless it is cached. Blocks; call it from one thread only. */
+/** Caches a map that is not cached yet: builds the first map, and reads any other from the store.
+ * Does nothing if @p digest is 0. Blocks on the store; call it from one thread only. */
 void bt_fetch_map (bt_map_planning_t *planning, bt_kv_t *kv, uint64_t digest);
 
 /** Copies a map's bytes, which the caller frees. Returns false if the map is not cached. Can be
--- a/source/entry/request_trace.c
+++ b/source/entry/request_trace.c
@@ -22,7 +22,7 @@
 {
   json_t *object;
   int64_t at_ms;
-  int32_t order; /* in which it was added */
+  int32_t order; /* number of lines that were added before it */
 } trace_line_t;
 
 struct bt_request_trace
@@ -225,7 +225,7 @@
   return found;
 }
 
-/* Prints a line without the fields that are the same in all lines or already printed. */
+/* Prints the time, instance and event, and all other fields except the level and the request. */
 static void
 print_line (const trace_line_t *line, FILE *out)
 {
--- a/source/entry/request_trace.h
+++ b/source/entry/request_trace.h
@@ -18,7 +18,7 @@
 void bt_drop_request_trace (bt_context_t *ctx, bt_request_trace_t *trace);
 
 /** Adds a log line: a JSON object, after any prefix that a log collector has added. Lines
- * without an object are counted. */
+ * without an object or without a valid time are counted as skipped. */
 void bt_add_trace_line (bt_context_t *ctx, bt_request_trace_t *trace, const char *line);
 
 /** Prints, in time order, the events of the request and the events that changed the state of its
--- a/source/entry/tickets.c
+++ b/source/entry/tickets.c
@@ -12,8 +12,8 @@
   BASE_TEN = 10,
 };
 
-/* Issues one ticket for an agent that serves the app. Returns false if there is none that is not
- * leaving. */
+/* Issues one ticket for an agent that serves the app. Returns false if there is none, or
+ * all of them are leaving. */
 static bool
 mint_ticket (bt_entry_t *entry, const char *app, const char *account, char *text)
 {
