--- a/source/entry/config_driver.h
+++ b/source/entry/config_driver.h
@@ -18,7 +18,7 @@
 
 typedef struct bt_config_driver bt_config_driver_t;
 
-/** Starts the driver and reports the links that are already up to it. @p kv must outlive it. */
+/** Starts the driver and tells it about the links that are already up. @p kv must outlive it. */
 bt_config_driver_t *
 bt_new_config_driver (bt_context_t *ctx, bt_entry_t *entry, bt_kv_t *kv, bt_error_t *error);
 
