--- a/include/bilberrytray/gateway/gateway.h
+++ b/include/bilberrytray/gateway/gateway.h
@@ -53,8 +53,8 @@
 /** Serves until bt_stop_gateway is called and the stop is complete. */
 void bt_run_gateway (bt_gateway_t *gateway);
 
-/** Starts a graceful stop: callers are told to use other instances, requests under way are
- * finished, then bt_run_gateway returns. Can be called from any thread; a second call has no
+/** Starts a graceful stop: callers are told to use other instances, requests in progress
+ * are finished, then bt_run_gateway returns. Can be called from any thread; a second call has no
  * effect. */
 void bt_stop_gateway (bt_gateway_t *gateway);
 
--- a/include/bilberrytray/gateway/platform.h
+++ b/include/bilberrytray/gateway/platform.h
@@ -27,7 +27,7 @@
 typedef struct bt_listed_endpoint
 {
   char id[BT_NAME_BYTES]; /**< Survives a restart: the id and started_ms together identify one
-                             start. */
+                             incarnation. */
   char app[BT_NAME_BYTES];
   char address[BT_ADDRESS_BYTES];
   char failure_domain[BT_NAME_BYTES];
@@ -98,7 +98,7 @@
    * the endpoint. */
   bool (*read_request_header) (const char *name, const char *value, bt_request_info_t *info);
 
-  /** Passes the headers that the gateway itself sets on an attempt to @p put. */
+  /** Calls @p put with each header that the gateway itself sets on an attempt. */
   void (*write_attempt_headers) (const bt_attempt_info_t *info, bt_put_header_t put, void *data);
 
   /** Decodes a header of an endpoint's answer. Returns true if the header is forwarded unchanged to
--- a/source/agent/agent.c
+++ b/source/agent/agent.c
@@ -184,7 +184,7 @@
 }
 
 static void
-on_link_beat (bt_link_handler_t *handler, bt_link_t *link)
+on_heartbeat_due (bt_link_handler_t *handler, bt_link_t *link)
 {
   bt_agent_t *agent = (bt_agent_t *)handler;
 
@@ -197,7 +197,7 @@
 }
 
 static const bt_link_handler_vtable_t link_vtable = { on_link_up, on_link_frame, on_link_down,
-                                                      on_link_beat };
+                                                      on_heartbeat_due };
 
 static void
 fill_upstream_options (bt_agent_t *agent, bt_upstream_options_t *options)
@@ -265,16 +265,16 @@
 start_agent (bt_agent_t *agent, bt_error_t *error)
 {
   bt_upstream_options_t options = { 0 };
-  bt_error_t clear_error = { 0 };
+  bt_error_t cancel_error = { 0 };
   int32_t cancelled;
 
   fill_upstream_options (agent, &options);
   /* An engine continues the runs of an agent that died. This agent does not know their keys, and
    * their callers were answered with "unknown". Unless cancelled, these runs would occupy slots
    * that this agent considers free. */
-  if (!bt_cancel_orphaned_runs (agent->ctx, &options, &cancelled, &clear_error))
+  if (!bt_cancel_orphaned_runs (agent->ctx, &options, &cancelled, &cancel_error))
     bt_log (agent->ctx, BT_LOG_WARNING, BT_PART_ENGINE,
-            "Can't cancel the runs of an earlier agent: %s", clear_error.message);
+            "Can't cancel the runs of an earlier agent: %s", cancel_error.message);
   else if (cancelled > 0)
     bt_log (agent->ctx, BT_LOG_INFO, BT_PART_ENGINE, "Cancelled %d runs of an earlier agent.",
             cancelled);
--- a/source/agent/command_side.c
+++ b/source/agent/command_side.c
@@ -19,7 +19,7 @@
   { "failure-domain", BT_SETTING_TEXT, FIELD (failure_domain), NULL, 0, 0,
     "Failure domain of this instance." },
   { "secret", BT_SETTING_TEXT, FIELD (secret), NULL, 0, 0,
-    "Secret that all processes of the deployment share; better set by its variable." },
+    "Secret shared by all processes of the deployment; prefer the environment variable." },
   { "log-level", BT_SETTING_TEXT, FIELD (log_level), "info", 0, 0,
     "error, warning, info or debug." },
   { "report-ms", BT_SETTING_INTEGER, FIELD (report_ms), "100", 20, 60000,
@@ -31,8 +31,9 @@
   { "beat-ms", BT_SETTING_INTEGER, FIELD (beat_ms), "500", 10, 60000,
     "Interval of heartbeats, ms." },
   { "link-idle-ms", BT_SETTING_INTEGER, FIELD (link_idle_ms), "1600", 50, 600000,
-    "A link without any frame is dead after this, ms." },
-  { "max-links", BT_SETTING_INTEGER, FIELD (max_links), "256", 1, 10000, "Maximum of links." },
+    "A link without any frame for this long is closed, ms." },
+  { "max-links", BT_SETTING_INTEGER, FIELD (max_links), "256", 1, 10000,
+    "Maximum number of links." },
 };
 
 /** Arguments of the signal thread. */
@@ -102,8 +103,8 @@
   bt_agent_command_t command = {
     .usage =
         "Usage: bilberry-agent side [FLAGS]\n\n"
-        "Runs beside an engine that requests reach directly: tells the entry instances how it\n"
-        "stands and carries out the orders of its group's leader.\n\n",
+        "Runs beside an engine that requests reach directly: reports the engine's state to the\n"
+        "entry instances and executes the orders of its group's leader.\n\n",
     .settings = sidecar_settings,
     .setting_count = sizeof sidecar_settings / sizeof sidecar_settings[0],
     .log_level = &settings.log_level,
--- a/source/agent/map_agent.c
+++ b/source/agent/map_agent.c
@@ -228,7 +228,8 @@
   pthread_mutex_unlock (&agent->lock);
 }
 
-/* The fencing number of the newest controller is the revision at which it took its lease. */
+/* The fencing number of the newest controller is the revision at which it was granted its
+ * lease. */
 static void
 read_fencing_floor (bt_map_agent_t *agent)
 {
--- a/source/agent/map_agent.h
+++ b/source/agent/map_agent.h
@@ -35,7 +35,7 @@
 /** Handles a frame about maps and ignores other frames. @p agent may be NULL. */
 void bt_handle_map_agent_frame (bt_map_agent_t *agent, bt_link_t *link, const bt_frame_t *frame);
 
-/** Sends a report on a link that names the group and the rank. @p agent may be NULL. */
+/** Sends a report that names the group and the rank on @p link. @p agent may be NULL. */
 void bt_announce_map_agent (bt_map_agent_t *agent, bt_link_t *link);
 
 #endif
--- a/source/agent/messages.h
+++ b/source/agent/messages.h
@@ -8,7 +8,7 @@
 #include "bilberrytray/core/protocol.h"
 #include "bilberrytray/wire/link.h"
 
-/** Reads a dispatch. If its ticket is invalid, sends a refusal and returns false. */
+/** Reads a dispatch. If it carries an invalid ticket, sends a refusal and returns false. */
 bool bt_read_dispatch (bt_context_t *ctx,
                        const bt_ticket_ring_t *ring,
                        bt_link_t *link,
@@ -16,14 +16,16 @@
                        int64_t now_ms,
                        bt_dispatch_t *dispatch);
 
-/** Reads a grant request. If its ticket is invalid, sends a refusal and returns false. */
+/** Reads a grant request. If its proposal is missing or its ticket is invalid, sends a refusal and
+ * returns false. */
 bool bt_read_grant_request (bt_context_t *ctx,
                             const bt_ticket_ring_t *ring,
                             bt_link_t *link,
                             const Bilberry__GrantRequest *frame,
                             bt_grant_request_t *request);
 
-/** Reads a tombstone request. If its ticket is invalid, answers it and returns false. */
+/** Reads a tombstone request. If its ticket is invalid, answers that no tombstone was set
+ * and returns false. */
 bool bt_read_tombstone_request (bt_context_t *ctx,
                                 const bt_ticket_ring_t *ring,
                                 bt_link_t *link,
--- a/source/agent/orphaned_runs.c
+++ b/source/agent/orphaned_runs.c
@@ -91,7 +91,7 @@
   json_t *body;
   json_t *run;
   size_t index;
-  bool cleared = true;
+  bool all_cancelled = true;
 
   *cancelled = 0;
   if (!options->is_model)
@@ -106,9 +106,9 @@
 
     if (id == NULL || id[0] == '\0' || json_is_true (json_object_get (run, "ended")))
       continue;
-    cleared = cleared && cancel_engine_run (ctx, options, id, error);
+    all_cancelled = all_cancelled && cancel_engine_run (ctx, options, id, error);
     (*cancelled)++;
   }
   json_decref (body);
-  return cleared;
+  return all_cancelled;
 }
--- a/source/agent/sidecar.c
+++ b/source/agent/sidecar.c
@@ -137,23 +137,24 @@
 on_heartbeat_due (bt_link_handler_t *handler, bt_link_t *link)
 {
   bt_sidecar_t *sidecar = (bt_sidecar_t *)handler;
-  Bilberry__Heartbeat beat = BILBERRY__HEARTBEAT__INIT;
+  Bilberry__Heartbeat heartbeat = BILBERRY__HEARTBEAT__INIT;
   bt_frame_t frame = BILBERRY__FRAME__INIT;
 
-  beat.now_ms = bt_now_ms (sidecar->ctx);
+  heartbeat.now_ms = bt_now_ms (sidecar->ctx);
   frame.body_case = BILBERRY__FRAME__BODY_HEARTBEAT;
-  frame.heartbeat = &beat;
+  frame.heartbeat = &heartbeat;
   bt_send_frame (sidecar->ctx, link, &frame);
 }
 
 static const bt_link_handler_vtable_t handler_vtable = { on_link_up, on_frame, on_link_down,
                                                          on_heartbeat_due };
 
-/* Returns true when an order is based on the report of another start of the engine beside this
- * agent. The order count does not detect this, because it repeats after a restart. If the engine
- * did not answer the last call, its start time is read first. */
+/* Returns true when an order is based on the report of another incarnation of the engine beside
+ * this agent. The order count does not detect this, because it repeats after a restart. If the
+ * engine did not answer the last call, its start time is read first; if that fails, returns true as
+ * well. */
 static bool
-is_for_earlier_start (bt_sidecar_t *sidecar, const bt_sidecar_order_t *queued)
+is_for_other_incarnation (bt_sidecar_t *sidecar, const bt_sidecar_order_t *queued)
 {
   bt_engine_report_t report;
 
@@ -161,7 +162,7 @@
     return false;
   if (sidecar->engine_lost && !bt_read_sidecar_engine_state (sidecar, &report))
     return true;
-  return bt_is_different_engine_start (sidecar->engine_started_ms, queued->order.started_ms);
+  return bt_is_different_engine_incarnation (sidecar->engine_started_ms, queued->order.started_ms);
 }
 
 /* Executes one order. An older leader's order is refused here too, because not every engine checks
@@ -176,7 +177,7 @@
   int64_t start_ms = bt_now_ms (sidecar->ctx);
   int32_t status = 0;
 
-  if (is_for_earlier_start (sidecar, queued))
+  if (is_for_other_incarnation (sidecar, queued))
     result = BT_ORDER_REFUSED;
   else if (order->fence >= sidecar->max_fence)
     {
--- a/source/agent/sidecar_private.h
+++ b/source/agent/sidecar_private.h
@@ -37,12 +37,12 @@
   bt_link_loop_t *links_loop;
   int32_t cancelled;
   bool engine_lost;          /* the engine did not answer the last call */
-  int64_t engine_started_ms; /* start time in the engine's last report; 0: it gave none */
+  int64_t engine_started_ms; /* start time in the engine's last report; 0: not reported */
   uint64_t max_fence;        /* the highest fencing number seen */
   int64_t report_read_ms;    /* when the engine's last report was requested */
   bt_sidecar_metrics_t metrics;
   int64_t next_report_ms;
-  /* Lock order: this lock is taken before any call into a link. */
+  /* Lock order: acquired before any call into a link. */
   pthread_mutex_t lock; /* guards the members below */
   pthread_cond_t wakeup;
   bool stopping;
@@ -51,14 +51,14 @@
   bt_sidecar_order_t **last_order;
 };
 
-/** Returns true when both start times of an engine are known and differ. */
-bool bt_is_different_engine_start (int64_t first_ms, int64_t second_ms);
+/** Returns true when both start times of an engine are known (not 0) and differ. */
+bool bt_is_different_engine_incarnation (int64_t first_ms, int64_t second_ms);
 
 /** Reads the engine's state, and logs when the engine stops answering, answers again or has
  * restarted. Returns false when it did not answer. */
 bool bt_read_sidecar_engine_state (bt_sidecar_t *sidecar, bt_engine_report_t *report);
 
-/** Sends the result of an order to the entry that gave it. */
+/** Sends the result of an order to the entry that sent it. */
 void bt_send_sidecar_result (bt_sidecar_t *sidecar,
                              bt_link_t *link,
                              uint64_t order_id,
--- a/source/agent/sidecar_reports.c
+++ b/source/agent/sidecar_reports.c
@@ -4,7 +4,7 @@
 #include "sidecar_private.h"
 
 bool
-bt_is_different_engine_start (int64_t first_ms, int64_t second_ms)
+bt_is_different_engine_incarnation (int64_t first_ms, int64_t second_ms)
 {
   return first_ms != 0 && second_ms != 0 && first_ms != second_ms;
 }
@@ -24,7 +24,7 @@
                   answered ? "engine-regained" : "engine-lost", "{s:s}", "message", error.message);
   sidecar->engine_lost = !answered;
   if (answered
-      && bt_is_different_engine_start (sidecar->engine_started_ms, report->maps.started_ms))
+      && bt_is_different_engine_incarnation (sidecar->engine_started_ms, report->maps.started_ms))
     bt_log_event (sidecar->ctx, BT_LOG_INFO, "engine-restarted", "{s:I, s:I}", "started_ms",
                   (json_int_t)report->maps.started_ms, "before_ms",
                   (json_int_t)sidecar->engine_started_ms);
@@ -101,7 +101,7 @@
       message.n_picks = (size_t)extras->picks.count;
     }
   if (peer->wants_places && extras->places.places != NULL
-      && !bt_is_different_engine_start (extras->places.started_ms, report->maps.started_ms))
+      && !bt_is_different_engine_incarnation (extras->places.started_ms, report->maps.started_ms))
     {
       message.has_places = true;
       message.places_epoch = extras->places.epoch;
--- a/source/agent/upstream.h
+++ b/source/agent/upstream.h
@@ -64,7 +64,7 @@
   bool is_model;   /**< True for a model engine, false for a plain service. */
   int64_t connect_ms;
   int64_t idle_ms;     /**< A transfer without data for this long is silent. */
-  int32_t max_resumes; /**< Maximum of further connections for one run. */
+  int32_t max_resumes; /**< Maximum number of further connections for one run. */
   int64_t load_ms;     /**< Interval of load requests. */
   bt_upstream_handler_t *handler;
 } bt_upstream_options_t;
@@ -105,7 +105,9 @@
 void bt_cancel_upstream_run (bt_context_t *ctx, bt_upstream_t *upstream, uint64_t run);
 
 /** Cancels the runs that a model engine still executes from before this agent's start, and waits
- * for the answers. Does nothing for a plain service, which lists no runs. */
+ * for the answers. @p cancelled receives the number of runs found. Returns false and sets @p error
+ * when the list can't be read or a run can't be cancelled; the runs after it are then left alone.
+ * Does nothing for a plain service, which lists no runs. */
 bool bt_cancel_orphaned_runs (bt_context_t *ctx,
                               const bt_upstream_options_t *options,
                               int32_t *cancelled,
--- a/source/gateway/agent_links.h
+++ b/source/gateway/agent_links.h
@@ -79,14 +79,15 @@
 void bt_request_agent_places (bt_agent_links_t *links, const char *endpoint);
 
 /** Sends an order for the engine @p endpoint through the agent beside the engine @p via. Returns
- * false if that agent is not linked. @p map is set for PREPARE orders only, else NULL. */
+ * false if that agent is not linked or the order can't be sent. @p map is set for PREPARE orders
+ * only, else NULL. */
 bool bt_send_agent_order (bt_agent_links_t *links,
                           const char *via,
                           const char *endpoint,
                           const bt_group_order_t *order,
                           const bt_map_bytes_t *map);
 
-/** Returns n such that every nth report of a rank carries its picks, in a group of so many ranks.
+/** Returns n such that every nth report of a rank carries its picks, in a group of @p ranks ranks.
  */
 int32_t bt_get_picks_interval (int32_t ranks);
 
--- a/source/gateway/agent_updates.c
+++ b/source/gateway/agent_updates.c
@@ -2,7 +2,7 @@
 
 #include "gateway_private.h"
 
-/* The share of the longest pause that callers accept which one pass may take. The rest covers
+/* The fraction of the longest pause accepted by callers that one pass may take up. The rest covers
  * passes that are longer because they read prompts, and the transmission of the event to the
  * caller. */
 static const double pass_share = 0.70;
@@ -110,10 +110,10 @@
   bt_record_load (gateway->router, identity, &load, now_ms);
 }
 
-/* Passes an engine's report to the router and to the group control. The agent may report a start of
- * the engine that the store does not list yet. Its load does not belong to the listed start and is
- * ignored, but its shut state applies to everything that is sent to the address. A report of a
- * start before the listed one is outdated and is ignored. */
+/* Passes an engine's report to the router and to the group control. The agent may report an
+ * incarnation of the engine that the store does not list yet. Its load does not belong to the
+ * listed incarnation and is ignored, but its paused state applies to everything that is sent to the
+ * address. A report of an incarnation before the listed one is outdated and is ignored. */
 static void
 handle_update (void *data, const bt_agent_update_t *update)
 {
@@ -127,11 +127,11 @@
   int32_t app;
 
   if (listed == NULL || declarations == NULL
-      || (!bt_is_listed_start (listed, started_ms) && started_ms < listed->started_ms))
+      || (!bt_is_listed_incarnation (listed, started_ms) && started_ms < listed->started_ms))
     return;
   app = bt_find_app (declarations, listed->app);
   bt_identify_endpoint (listed, &identity);
-  if (bt_is_listed_start (listed, started_ms))
+  if (bt_is_listed_incarnation (listed, started_ms))
     {
       pass_limit = record_pass (gateway, update, declarations, app);
       record_load (gateway, update, &identity,
--- a/source/gateway/crash_control.c
+++ b/source/gateway/crash_control.c
@@ -33,20 +33,20 @@
 static void
 publish_changes (bt_crash_control_t *control)
 {
-  bt_crash_update_t order;
+  bt_crash_update_t update;
 
-  while (bt_take_crash_update (control->table, &order))
+  while (bt_take_crash_update (control->table, &update))
     {
       char text[BT_FINGERPRINT_TEXT_BYTES];
 
-      bt_write_fingerprint (&order.crash.request, text);
+      bt_write_fingerprint (&update.crash.request, text);
       bt_log_event (control->ctx, BT_LOG_INFO,
-                    order.kind == BT_CRASH_PUBLISH ? "crash-known" : "crash-forgotten",
+                    update.kind == BT_CRASH_PUBLISH ? "crash-known" : "crash-forgotten",
                     "{s:s, s:s, s:I, s:i}", "fingerprint", text, "endpoint",
-                    order.crash.endpoint.instance, "started_ms",
-                    (json_int_t)order.crash.endpoint.incarnation, "ends",
-                    bt_count_crashes (control->table, &order.crash.request));
-      bt_report_crash (control->reporter, &order);
+                    update.crash.endpoint.instance, "started_ms",
+                    (json_int_t)update.crash.endpoint.incarnation, "ends",
+                    bt_count_crashes (control->table, &update.crash.request));
+      bt_report_crash (control->reporter, &update);
     }
   bt_set_gauge (control->known_gauge, bt_count_known_crashes (control->table));
 }
@@ -146,7 +146,7 @@
 }
 
 /* Suspends the endpoints whose crash other instances report. If this instance has not noticed the
- * end of such an endpoint, a request sent to it could only run at the endpoint's next start, and a
+ * end of such an endpoint, a request sent to it could only run in its next incarnation, and a
  * crash there would be mistaken for the crash that is already known. */
 static void
 suspend_ended_endpoints (bt_crash_control_t *control,
--- a/source/gateway/crash_control.h
+++ b/source/gateway/crash_control.h
@@ -19,7 +19,7 @@
   const char *store;    /**< The store's "IP:PORT". */
   const char *instance; /**< Name of this instance. */
   int64_t max_ends;     /**< See crash_table.h. */
-  int64_t keep_ms;
+  int64_t keep_ms;      /**< See crash_table.h. */
 } bt_crash_control_options_t;
 
 /** Registers with @p endpoints to be notified when an endpoint ends. Strings of the options must
@@ -32,7 +32,8 @@
 /** NULL is accepted. */
 void bt_drop_crash_control (bt_context_t *ctx, bt_crash_control_t *control);
 
-/** Records that the endpoint at @p address broke off an attempt that may have run there. */
+/** Records that the endpoint at @p address broke off an attempt that may have run there, and checks
+ * whether its port is closed. */
 void
 bt_add_crash_suspect (bt_crash_control_t *control, const bt_crash_t *attempt, const char *address);
 
@@ -52,7 +53,7 @@
  * recorded. */
 bool bt_has_crash_suspects (const bt_crash_control_t *control);
 
-/** Returns the number of endpoint starts that ended while running a request. */
+/** Returns the number of endpoint incarnations that ended while running a request. */
 int32_t bt_count_crash_ends (const bt_crash_control_t *control, const bt_fingerprint_t *request);
 
 /** Returns true if a request must be refused. The caller may retry after @p retry_after_ms. */
--- a/source/gateway/crash_reporter.c
+++ b/source/gateway/crash_reporter.c
@@ -18,12 +18,12 @@
   MAX_QUEUED = 1024,
   /* Pause between two attempts while the store fails, in addition to the client's own back-off. */
   FAILED_PAUSE_MS = 150,
-  /* A batch that fails this long after its first order was queued is dropped, so that an order
+  /* A batch that fails this long after its first report was queued is dropped, so that a report
      which the store never accepts does not block the others for ever. */
   GIVE_UP_MS = 600000,
 };
 
-/** A queued order and the store key that it writes or deletes. */
+/** A queued crash update and the store key that it writes or deletes. */
 typedef struct report
 {
   bt_crash_update_kind_t kind;
@@ -49,7 +49,7 @@
 };
 
 static bt_counter_t *
-find_outcome (bt_context_t *ctx, const char *outcome)
+find_outcome_counter (bt_context_t *ctx, const char *outcome)
 {
   return bt_find_counter (ctx, BT_COUNTER, "bilberry_crash_reports_total",
                           "Crashes told to the other instances.", "outcome", outcome);
@@ -68,8 +68,8 @@
   reporter->ctx = ctx;
   reporter->instance = instance;
   reporter->kv = platform->vtable->new_store (ctx, store, seed);
-  reporter->written = find_outcome (ctx, "written");
-  reporter->failed = find_outcome (ctx, "failed");
+  reporter->written = find_outcome_counter (ctx, "written");
+  reporter->failed = find_outcome_counter (ctx, "failed");
   pthread_mutex_init (&reporter->lock, NULL);
   bt_init_condition (&reporter->changed);
   return reporter;
@@ -173,13 +173,13 @@
 }
 
 void
-bt_report_crash (bt_crash_reporter_t *reporter, const bt_crash_update_t *order)
+bt_report_crash (bt_crash_reporter_t *reporter, const bt_crash_update_t *update)
 {
-  report_t report = { .kind = order->kind, .queued_ms = bt_now_ms (reporter->ctx) };
+  report_t report = { .kind = update->kind, .queued_ms = bt_now_ms (reporter->ctx) };
   bool queued;
   bool full;
 
-  bt_write_crash_key (&order->crash, report.key);
+  bt_write_crash_key (&update->crash, report.key);
   pthread_mutex_lock (&reporter->lock);
   /* Crashes are rare, so the thread and the queue are only created for the first one. */
   if (reporter->queue == NULL)
--- a/source/gateway/crash_reporter.h
+++ b/source/gateway/crash_reporter.h
@@ -21,7 +21,7 @@
 /** Stops the thread. Reports that are not written by then are lost. NULL is accepted. */
 void bt_drop_crash_reporter (bt_context_t *ctx, bt_crash_reporter_t *reporter);
 
-/** Queues an order for the store. May be called from any thread. */
-void bt_report_crash (bt_crash_reporter_t *reporter, const bt_crash_update_t *order);
+/** Queues a crash update to be written to the store. May be called from any thread. */
+void bt_report_crash (bt_crash_reporter_t *reporter, const bt_crash_update_t *update);
 
 #endif
--- a/source/gateway/endpoint_table.c
+++ b/source/gateway/endpoint_table.c
@@ -6,12 +6,11 @@
 
 enum
 {
-  /* Endpoints whose entries lapsed with the store list themselves again within two seconds of its
-   * return. Half a second is added for the watch and the read that bring the entry here. */
+  /* Endpoints whose registrations lapsed with the store register again within two seconds of its
+   * return. Half a second is added for the watch and the read that bring the registration here. */
   RELIST_WAIT_MS = 2500,
   /* An endpoint that leaves just then is missing as well, and must get no requests two seconds
-     later. An entry instance that alone was cut off from the store must not send to it for longer.
-   */
+   * later. That also holds at an entry instance that alone was cut off from the store. */
   MAX_MISSING_MS = 1800,
   /* Three missed heartbeats of an endpoint, and the delay until that is known here. */
   ENDED_SUSPENSION_MS = 5000,
@@ -21,9 +20,9 @@
 typedef struct table_row
 {
   bt_listed_endpoint_t listed;
-  bool gone;                /* known to be gone; not in the router while the same entry is listed */
-  int64_t missing_ms;       /* time since which the store does not list it; 0: it is listed */
-  int64_t ignored_start_ms; /* start time of the older entry that was ignored last; 0: none */
+  bool gone; /* known to be gone; not in the router while the same registration is listed */
+  int64_t missing_since_ms; /* since when the store does not list it; 0: it is listed */
+  int64_t ignored_start_ms; /* start time of the older registration ignored last; 0: none */
 } table_row_t;
 
 struct bt_endpoint_table
@@ -45,7 +44,7 @@
 }
 
 bool
-bt_is_listed_start (const bt_listed_endpoint_t *listed, int64_t started_ms)
+bt_is_listed_incarnation (const bt_listed_endpoint_t *listed, int64_t started_ms)
 {
   return listed->started_ms == 0 || started_ms == 0 || listed->started_ms == started_ms;
 }
@@ -153,13 +152,13 @@
     table->end_handler->on_end (table->end_handler, &identity);
 }
 
-/* An entry of a start that has ended may arrive late: the last write of that process, or a value
- * that another writer still held. If it were applied, requests would be routed by the state of a
- * process that no longer exists. */
+/* The registration of an incarnation that has ended may arrive late: the last write of that
+ * process, or a value that another writer still held. If it were applied, requests would be routed
+ * by the state of a process that no longer exists. */
 static void
-ignore_old_start (bt_context_t *ctx, table_row_t *row, const bt_listed_endpoint_t *listed)
+ignore_old_incarnation (bt_context_t *ctx, table_row_t *row, const bt_listed_endpoint_t *listed)
 {
-  row->missing_ms = 0;
+  row->missing_since_ms = 0;
   if (row->ignored_start_ms == listed->started_ms && row->ignored_start_ms != 0)
     return;
   row->ignored_start_ms = listed->started_ms;
@@ -170,12 +169,12 @@
 
 /* A restarted endpoint keeps nothing from before: its requests are lost, its slots are free, and
  * what made it slow or gone may have ended with the process. The router would keep the record of
- * its failures, so the earlier start is removed first. */
+ * its failures, so the earlier incarnation is removed first. */
 static void
-drop_earlier_start (bt_context_t *ctx,
-                    bt_endpoint_table_t *table,
-                    table_row_t *row,
-                    const bt_listed_endpoint_t *listed)
+drop_earlier_incarnation (bt_context_t *ctx,
+                          bt_endpoint_table_t *table,
+                          table_row_t *row,
+                          const bt_listed_endpoint_t *listed)
 {
   bt_log_event (ctx, BT_LOG_INFO, "endpoint-restarted", "{s:s, s:I, s:I}", "endpoint", listed->id,
                 "started_ms", (json_int_t)listed->started_ms, "before_ms",
@@ -195,12 +194,12 @@
 
   if (!is_new && listed->started_ms < row->listed.started_ms)
     {
-      ignore_old_start (ctx, row, listed);
+      ignore_old_incarnation (ctx, row, listed);
       return;
     }
   if (!is_new && listed->started_ms > row->listed.started_ms)
     {
-      drop_earlier_start (ctx, table, row, listed);
+      drop_earlier_incarnation (ctx, table, row, listed);
       is_new = true;
     }
   else if (is_new)
@@ -217,7 +216,7 @@
   else if (listed->leaving && !row->listed.leaving)
     log_endpoint (ctx, "endpoint-leaving", listed);
   row->listed = *listed;
-  row->missing_ms = 0;
+  row->missing_since_ms = 0;
   if (!row->gone)
     update_router (ctx, table, listed, is_new, now_ms);
 }
@@ -227,11 +226,11 @@
 get_keep_end_ms (const bt_endpoint_table_t *table, const table_row_t *row)
 {
   int64_t relist_end_ms = table->regained_ms + RELIST_WAIT_MS;
-  int64_t missing_ms = row->missing_ms + MAX_MISSING_MS;
+  int64_t missing_end_ms = row->missing_since_ms + MAX_MISSING_MS;
 
   if (table->regained_ms == 0 || row->listed.leaving)
     return 0;
-  return missing_ms < relist_end_ms ? missing_ms : relist_end_ms;
+  return missing_end_ms < relist_end_ms ? missing_end_ms : relist_end_ms;
 }
 
 int64_t
@@ -251,8 +250,8 @@
 
       if (is_listed (view, row->listed.id))
         continue;
-      if (row->missing_ms == 0)
-        row->missing_ms = now_ms;
+      if (row->missing_since_ms == 0)
+        row->missing_since_ms = now_ms;
       keep_end_ms = get_keep_end_ms (table, row);
       if (now_ms < keep_end_ms)
         {
--- a/source/gateway/endpoint_table.h
+++ b/source/gateway/endpoint_table.h
@@ -10,7 +10,7 @@
 
 typedef struct bt_endpoint_table bt_endpoint_table_t;
 
-/** Handles the unannounced end of an endpoint's start, which is one process run under the
+/** Handles the unannounced end of an endpoint's incarnation, which is one process run under the
  * endpoint's id. An end is announced when the endpoint was listed as leaving before. */
 typedef struct bt_endpoint_end_handler
 {
@@ -26,10 +26,10 @@
 void bt_set_endpoint_end_handler (bt_endpoint_table_t *table, bt_endpoint_end_handler_t *handler);
 
 /** Applies a view of the store. An endpoint that was restarted under its id is treated as a new
- * one: all state of its earlier start is dropped, and entries of a start older than the known one
- * are ignored. An endpoint that the view does not list is removed. For some seconds after the store
- * has become reachable again it is kept instead, since its entry may only have lapsed with the
- * store. @return when to call again with the same view, ms, or 0. */
+ * one: all state of its earlier incarnation is dropped, and registrations of an incarnation older
+ * than the known one are ignored. An endpoint that the view does not list is removed. For some
+ * seconds after the store has become reachable again it is kept instead, since its registration may
+ * only have lapsed with the store. @return when to call again with the same view, ms, or 0. */
 int64_t bt_apply_listed_endpoints (bt_context_t *ctx,
                                    bt_endpoint_table_t *table,
                                    const bt_view_t *view,
@@ -47,18 +47,19 @@
 const bt_listed_endpoint_t *bt_find_endpoint_at (const bt_endpoint_table_t *table,
                                                  const char *address);
 
-/** Returns true when information about the start at @p started_ms may be about the listed start:
- * the two are equal, or one of them is unknown (0). */
-bool bt_is_listed_start (const bt_listed_endpoint_t *listed, int64_t started_ms);
+/** Returns true when information about the incarnation that started at @p started_ms may be about
+ * the listed one: the two start times are equal, or one of them is unknown (0). */
+bool bt_is_listed_incarnation (const bt_listed_endpoint_t *listed, int64_t started_ms);
 
-/** Removes a start of an endpoint that is known to be gone, until the store lists a new entry of
- * the endpoint. Does nothing when another start is listed by now. */
+/** Removes an incarnation of an endpoint that is known to be gone, until the store lists a new
+ * registration of the endpoint. Does nothing when another incarnation is listed by now. */
 void bt_remove_listed_endpoint (bt_context_t *ctx,
                                 bt_endpoint_table_t *table,
                                 const bt_identity_t *identity);
 
-/** Records that a start of an endpoint has ended, as a closed port or another instance shows. It
- * gets no requests for some seconds; by then its entry has gone, or the next start is listed. */
+/** Records that an incarnation of an endpoint has ended, as a closed port or another instance
+ * shows. It gets no requests for some seconds; by then its registration has gone, or the next
+ * incarnation is listed. */
 void bt_suspend_ended_endpoint (bt_endpoint_table_t *table,
                                 const bt_identity_t *identity,
                                 int64_t now_ms);
--- a/source/gateway/exchange.c
+++ b/source/gateway/exchange.c
@@ -44,7 +44,7 @@
   bt_exchange_t *next_queued;
 };
 
-/** A socket that libcurl has watched. */
+/** A socket that is watched for libcurl. */
 typedef struct socket_watch
 {
   bt_watch_t watch;
@@ -334,8 +334,7 @@
   return bytes;
 }
 
-/* The kernel retransmits to a host that is gone for many minutes, unless it is given a time
- * limit. */
+/* Without a time limit, the kernel retransmits for many minutes to a host that is gone. */
 static int
 set_tcp_user_timeout (void *user, curl_socket_t fd, curlsocktype purpose)
 {
--- a/source/gateway/feed_choice.h
+++ b/source/gateway/feed_choice.h
@@ -28,8 +28,8 @@
 typedef struct bt_feed_choice
 {
   bool reader; /**< This entry reads the store. */
-  /** Link addresses of the peers to follow, best first: readers in the own failure domain, readers
-   * in others, then standbys. */
+  /** Link addresses of the peers to follow, best first: readers in this entry's failure domain,
+   * readers in others, then standbys. */
   char candidates[BT_MAX_FEED_CANDIDATES][BT_ADDRESS_BYTES];
   int32_t count;
   /** Number of candidates, from the first, that may be followed while the store answers this entry.
--- a/source/gateway/forward.c
+++ b/source/gateway/forward.c
@@ -86,8 +86,8 @@
   bt_log_event (
       gateway->ctx, good ? BT_LOG_INFO : BT_LOG_WARNING, "request",
       "{s:s, s:s, s:s, s:s, s:i, s:s, s:s, s:s, s:i, s:i, s:I, s:I, s:I, s:I, s:I}", "request",
-      forward->facts.request_id, "rule", forward->rule == NULL ? "" : forward->rule->name,
-      "account", forward->account, "outcome", bt_name_outcome (outcome), "status", status, "reason",
+      forward->info.request_id, "rule", forward->rule == NULL ? "" : forward->rule->name, "account",
+      forward->account, "outcome", bt_name_outcome (outcome), "status", status, "reason",
       bt_name_reason (reason), "app", forward->app == NULL ? "" : forward->app, "endpoint",
       forward->route.identity.instance, "sends", forward->sends, "runs", forward->runs, "events",
       (json_int_t)forward->events.events, "queue_ms",
@@ -265,7 +265,7 @@
   const char *token = bt_find_frontend_header (forward->call, "Authorization");
   const char *host = bt_find_frontend_header (forward->call, "Host");
   bt_header_t header = { "Host", host == NULL ? "" : host };
-  bt_request_attributes_t facts = {
+  bt_request_attributes_t attributes = {
     .account = "",
     .app = "",
     .method = bt_get_frontend_request (forward->call)->method,
@@ -275,7 +275,7 @@
     .body_bytes = (int64_t)bt_get_frontend_request (forward->call)->body_bytes,
     .priority = BT_PRIORITY_NORMAL,
   };
-  int32_t rule = bt_match_rules (declarations, &facts);
+  int32_t rule = bt_match_rules (declarations, &attributes);
   int32_t account;
 
   if (rule < 0)
@@ -316,7 +316,7 @@
 
   for (int32_t i = 0; i < request->header_count; i++)
     platform->vtable->read_request_header (request->headers[i].name, request->headers[i].value,
-                                           &forward->facts);
+                                           &forward->info);
 }
 
 static void
@@ -327,9 +327,9 @@
   if (limit_ms <= 0)
     limit_ms = forward->declarations->apps[forward->rule->then.app].deadline_ms;
   forward->deadline_ms = forward->arrived_ms + limit_ms;
-  if (forward->facts.deadline_ms > 0
-      && forward->arrived_ms + forward->facts.deadline_ms - CALLER_DELAY_MS < forward->deadline_ms)
-    forward->deadline_ms = forward->arrived_ms + forward->facts.deadline_ms - CALLER_DELAY_MS;
+  if (forward->info.deadline_ms > 0
+      && forward->arrived_ms + forward->info.deadline_ms - CALLER_DELAY_MS < forward->deadline_ms)
+    forward->deadline_ms = forward->arrived_ms + forward->info.deadline_ms - CALLER_DELAY_MS;
   forward->timer.on_expiry = handle_deadline;
   bt_set_timer (forward->gateway->loop, &forward->timer, forward->deadline_ms);
 }
--- a/source/gateway/forward.h
+++ b/source/gateway/forward.h
@@ -22,17 +22,17 @@
 typedef enum bt_forward_state
 {
   BT_FORWARD_QUEUED = 0, /**< In the admission queue. */
-  BT_FORWARD_SENT,       /**< An attempt is under way; the caller has received nothing yet. */
+  BT_FORWARD_SENT,       /**< An attempt is in progress; the caller has received nothing yet. */
   BT_FORWARD_STREAMING,  /**< The caller has received the head of a stream. */
   BT_FORWARD_ENDED,
 } bt_forward_state_t;
 
-/** A request under way. */
+/** A request in progress. */
 typedef struct bt_forward
 {
   bt_exchange_handler_t handler; /**< Must be first: the callbacks cast it to bt_forward_t. */
   bt_gateway_t *gateway;
-  struct bt_forward *next; /**< In the list of all requests under way. */
+  struct bt_forward *next; /**< In the list of all requests in progress. */
   struct bt_forward *previous;
   uint64_t id; /**< Identifies the request in admission. */
   bt_forward_state_t state;
@@ -44,13 +44,13 @@
   const char *app;
   char account[BT_NAME_BYTES]; /**< "" for callers that need none. */
   bt_priority_t priority;
-  bt_request_info_t facts;
+  bt_request_info_t info;
   bt_fingerprint_t fingerprint;
   bool has_fingerprint; /**< The fingerprint has been computed. */
   int64_t arrived_ms;
   int64_t deadline_ms; /**< When the caller's or the rule's time limit ends, whichever is first. */
 
-  bt_exchange_t *exchange; /**< The attempt under way, or NULL. */
+  bt_exchange_t *exchange; /**< The attempt in progress, or NULL. */
   bt_route_t route;
   int64_t sent_ms;       /**< When the present attempt was sent. */
   int64_t first_sent_ms; /**< When the first attempt was sent; 0: none yet. */
--- a/source/gateway/forward_crashes.c
+++ b/source/gateway/forward_crashes.c
@@ -37,7 +37,7 @@
 
   bt_write_fingerprint (&attempt.request, text);
   bt_log_event (gateway->ctx, BT_LOG_INFO, "attempt-broken", "{s:s, s:s, s:s, s:I, s:i, s:s}",
-                "request", forward->facts.request_id, "fingerprint", text, "endpoint",
+                "request", forward->info.request_id, "fingerprint", text, "endpoint",
                 attempt.endpoint.instance, "started_ms", (json_int_t)attempt.endpoint.incarnation,
                 "status", bt_get_exchange_status (forward->exchange), "fault",
                 bt_get_exchange_error (forward->exchange));
@@ -78,7 +78,7 @@
     return false;
   bt_write_fingerprint (get_fingerprint (forward), text);
   bt_log_event (gateway->ctx, BT_LOG_INFO, "crash-refused", "{s:s, s:s, s:i}", "request",
-                forward->facts.request_id, "fingerprint", text, "ends",
+                forward->info.request_id, "fingerprint", text, "ends",
                 bt_count_crash_ends (gateway->crashes, get_fingerprint (forward)));
   return true;
 }
--- a/source/gateway/forward_send.c
+++ b/source/gateway/forward_send.c
@@ -73,7 +73,7 @@
   const bt_platform_vtable_t *platform = forward->gateway->platform->vtable;
   const bool resumes = forward->events.events > 0;
   bt_request_info_t unused;
-  bt_attempt_info_t facts = {
+  bt_attempt_info_t info = {
     .endpoint = forward->route.identity.instance,
     .account = forward->account,
     /* Reads the clock itself: the loop's time may date from before the request arrived or from
@@ -93,7 +93,7 @@
     }
   if (resumes)
     bt_add_exchange_header (forward->exchange, "Last-Event-Id", forward->events.last_id);
-  platform->write_attempt_headers (&facts, add_exchange_header, forward->exchange);
+  platform->write_attempt_headers (&info, add_exchange_header, forward->exchange);
 }
 
 static void
@@ -133,7 +133,7 @@
   result->marked = forward->answer.marked;
   result->not_run = forward->answer.not_run;
   result->encoded = forward->answer.encoded;
-  result->id_mismatch = answered[0] != '\0' && strcmp (answered, forward->facts.request_id) != 0;
+  result->id_mismatch = answered[0] != '\0' && strcmp (answered, forward->info.request_id) != 0;
 }
 
 static void
@@ -184,10 +184,10 @@
 }
 
 static void
-log_retry (const bt_forward_t *forward, const bt_attempt_decision_t *verdict, const char *fault)
+log_retry (const bt_forward_t *forward, const bt_attempt_decision_t *decision, const char *fault)
 {
   bt_log_event (forward->gateway->ctx, BT_LOG_INFO, "retry", "{s:s, s:s, s:s, s:s, s:i, s:i, s:I}",
-                "request", forward->facts.request_id, "reason", bt_name_retry (verdict->retry),
+                "request", forward->info.request_id, "reason", bt_name_retry (decision->retry),
                 "endpoint", forward->route.identity.instance, "fault", fault, "sends",
                 forward->sends, "runs", forward->runs, "left_ms",
                 (json_int_t)(forward->deadline_ms - bt_get_loop_ms (forward->gateway->loop)));
@@ -196,24 +196,24 @@
 /* Sends the request to another endpoint when the retry budget that all requests of the app share
  * allows it. */
 static void
-retry (bt_forward_t *forward, const bt_attempt_decision_t *verdict)
+retry (bt_forward_t *forward, const bt_attempt_decision_t *decision)
 {
   bt_gateway_t *gateway = forward->gateway;
 
-  if (!bt_take_app_retry (gateway, forward->app, verdict->retry))
+  if (!bt_take_app_retry (gateway, forward->app, decision->retry))
     {
-      bt_refuse_forward (forward, verdict->reason, bt_draw_retry_after_ms (gateway));
+      bt_refuse_forward (forward, decision->reason, bt_draw_retry_after_ms (gateway));
       return;
     }
   bt_send_forward (forward);
 }
 
 static void
-apply_attempt_verdict (bt_forward_t *forward, bt_attempt_stage_t stage)
+apply_attempt_decision (bt_forward_t *forward, bt_attempt_stage_t stage)
 {
   bt_gateway_t *gateway = forward->gateway;
   int32_t max_sends = forward->rule->then.retries + 1 + MAX_EXTRA_SENDS;
-  bt_attempt_limits_t rights = {
+  bt_attempt_limits_t limits = {
     .repeatable = bt_may_forward_run_again (forward),
     .runs_left = forward->rule->then.retries - forward->runs,
     .attempts_left =
@@ -221,33 +221,33 @@
     .answer_started = forward->state == BT_FORWARD_STREAMING,
   };
   bt_attempt_result_t result;
-  bt_attempt_decision_t verdict;
+  bt_attempt_decision_t decision;
 
   describe_result (forward, stage, &result);
-  bt_decide_after_attempt (&result, &rights, &verdict);
-  if (verdict.may_have_run)
+  bt_decide_after_attempt (&result, &limits, &decision);
+  if (decision.may_have_run)
     forward->runs++;
-  if (verdict.may_have_run && stage != BT_ATTEMPT_COMPLETE
+  if (decision.may_have_run && stage != BT_ATTEMPT_COMPLETE
       && bt_get_exchange_state (forward->exchange) != BT_EXCHANGE_OPEN)
     bt_record_broken_attempt (forward);
-  if (verdict.endpoint_gone)
+  if (decision.endpoint_gone)
     bt_remove_listed_endpoint (gateway->ctx, gateway->endpoints, &forward->route.identity);
-  if (verdict.next == BT_NEXT_FORWARD && !rights.answer_started)
+  if (decision.next == BT_NEXT_FORWARD && !limits.answer_started)
     {
       forward_answer (forward);
       return;
     }
-  if (verdict.next == BT_NEXT_RETRY)
-    log_retry (forward, &verdict, bt_get_exchange_error (forward->exchange));
-  bt_end_forward_attempt (forward, verdict.end);
-  if (verdict.next == BT_NEXT_RETRY)
-    retry (forward, &verdict);
+  if (decision.next == BT_NEXT_RETRY)
+    log_retry (forward, &decision, bt_get_exchange_error (forward->exchange));
+  bt_end_forward_attempt (forward, decision.end);
+  if (decision.next == BT_NEXT_RETRY)
+    retry (forward, &decision);
   else
-    bt_refuse_forward (forward, verdict.reason,
-                       verdict.may_have_run ? 0 : bt_draw_retry_after_ms (gateway));
+    bt_refuse_forward (forward, decision.reason,
+                       decision.may_have_run ? 0 : bt_draw_retry_after_ms (gateway));
 }
 
-/* Returns true when the answer under way is a stream that may be passed on before it is
+/* Returns true when the answer in progress is a stream that may be forwarded before it is
  * complete. */
 static bool
 is_forwardable_stream (const bt_forward_t *forward)
@@ -322,7 +322,7 @@
   if (forward->events.gap)
     {
       forward->events.gap = false;
-      apply_attempt_verdict (forward, BT_ATTEMPT_CUT_OFF);
+      apply_attempt_decision (forward, BT_ATTEMPT_CUT_OFF);
     }
   else if (bt_get_exchange_state (exchange) == BT_EXCHANGE_OPEN)
     return;
@@ -332,7 +332,7 @@
            && partial_bytes == 0 && forward->state == BT_FORWARD_STREAMING)
     finish_stream (forward);
   else
-    apply_attempt_verdict (forward, get_stage (exchange, partial_bytes));
+    apply_attempt_decision (forward, get_stage (exchange, partial_bytes));
   bt_dispatch_queued_forwards (gateway);
 }
 
@@ -391,8 +391,8 @@
   bt_reason_t reason = BT_REASON_DEADLINE_UNREACHABLE;
 
   /* A process that was restarted under its id looks like an endpoint that was not tried yet, but
-   * may have taken this request under its earlier start. A request that may have run and must run
-   * only once is therefore sent nowhere else, whatever is listed. */
+   * may have accepted this request in its earlier incarnation. A request that may have run and must
+   * run only once is therefore sent nowhere else, whatever is listed. */
   if (forward->runs > 0 && !bt_is_forward_repeatable (forward))
     reason = BT_REASON_ENGINE_FAILED;
   else if (bt_check_forward_crashing (forward, &retry_after_ms))
--- a/source/gateway/gateway.c
+++ b/source/gateway/gateway.c
@@ -23,7 +23,7 @@
   IDLE_MARGIN_MS = 1000,
   CONNECT_MS = 500,
   PEER_TIMEOUT_MS = 3000,
-  /* Estimate of a run's time before any was measured. Endpoints are probed by requests only; a run
+  /* Assumed time of a run until one is measured. Endpoints are probed by requests only; a run
    * takes about a second at first. */
   DEFAULT_SERVICE_MS = 300,
   /* Requests sent to an endpoint beyond its slots. Requests that wait in the gateway can still be
--- a/source/gateway/gateway_private.h
+++ b/source/gateway/gateway_private.h
@@ -72,11 +72,11 @@
   bt_app_budget_t *budgets;
   int32_t budget_count;
 
-  struct bt_forward *first_forward; /**< List of all requests under way. */
+  struct bt_forward *first_forward; /**< List of all requests in progress. */
   int32_t forwards;
   uint64_t last_forward_id;
   bt_timer_t queue_timer;
-  bt_timer_t relist_timer; /**< Expires when endpoints with lapsed entries are to be removed. */
+  bt_timer_t relist_timer; /**< Expires when endpoints that lapsed are to be removed. */
 
   bool leaving;
   bt_stop_plan_t stop; /**< Valid while leaving. */
@@ -103,7 +103,7 @@
 /** Starts to process a caller's request: matches a rule, then sends, queues or refuses it. */
 void bt_start_forward (bt_gateway_t *gateway, bt_frontend_call_t *call);
 
-/** Ends a request under way whose caller has disconnected. */
+/** Ends a request in progress whose caller has disconnected. */
 void bt_abandon_forward (bt_gateway_t *gateway, bt_frontend_call_t *call);
 
 /** Sends the queued requests for which there is capacity now, and refuses those that can't be
@@ -121,11 +121,11 @@
  * @p end_ms, could be cut off by the end of the process. */
 bool bt_may_gateway_accept (const bt_gateway_t *gateway, int64_t end_ms);
 
-/** Ends all requests under way and drops the frontends, which closes all callers' connections. */
+/** Ends all requests in progress and drops the frontends, which closes all callers' connections. */
 void bt_drop_gateway_frontends (bt_gateway_t *gateway);
 
-/** Ends all requests under way. Those that were not sent are refused as not run; streams that have
- * begun are cut off. */
+/** Ends all requests in progress. Those that were not sent are refused as not run, those that were
+ * sent are answered that they may have run, and streams that have begun are cut off. */
 void bt_abort_forwards (bt_gateway_t *gateway);
 
 /** Answers a request for the addresses that a caller may use. */
--- a/source/gateway/group_control.c
+++ b/source/gateway/group_control.c
@@ -54,7 +54,7 @@
   bool leaving;
   bool handed_over;        /* the lease that was granted last is being released */
   bool handover_failed;    /* the lease was released, but no other instance took it */
-  int64_t better_since_ms; /* since when an instance with more processor share is listed */
+  int64_t better_since_ms; /* since when an instance with more processor share is listed; 0: none */
   group_row_t *groups;
   bt_timer_t timer;
 };
@@ -123,7 +123,7 @@
     .prefix = lease_prefix,
     .name = lease_name,
     .instance = options->instance,
-    .life_s = options->lease_s,
+    .ttl_s = options->lease_s,
     .renew_ms = options->renew_ms,
   };
 
--- a/source/gateway/group_maps.c
+++ b/source/gateway/group_maps.c
@@ -14,7 +14,8 @@
   /* Half-life of the picks counted since demand last jumped; a longer mean has less noise. */
   DEFAULT_HALF_LIFE_MS = 1000,
   DEFAULT_HORIZON_MS = 3000,
-  /* Duration of a round without the copying: until all copies are reported, and to hold and arm. */
+  /* Duration of a round apart from the copying: until all copies are reported, and for holding and
+   * arming. */
   ROUND_MS = 100,
 };
 
@@ -36,7 +37,7 @@
   bt_map_shape_t shape;
   bt_adaptive_load_t *load;
   double picks;  /* number of picks recorded since the last plan */
-  double *paces; /* slowdown of each rank */
+  double *paces; /* slowdown factor of each rank, at least 1 */
   bt_copy_price_t *price;
   bt_expert_map_t *current; /* the map in use; NULL while unknown */
   int64_t epoch;
--- a/source/gateway/group_maps.h
+++ b/source/gateway/group_maps.h
@@ -57,7 +57,8 @@
 /** Returns true once after demand has jumped. */
 bool bt_poll_group_jump (bt_group_maps_t *maps, int64_t now_ms);
 
-/** Sets the factor by which a rank's work takes longer than normal; 1 for a healthy rank. */
+/** Sets a rank's slowdown factor: how many times as long as normal its work takes, 1 for a healthy
+ * rank. A lower value counts as 1. */
 void bt_set_rank_pace (bt_group_maps_t *maps, int32_t rank, double pace);
 
 /** Records how many requests a rank runs and how many it may run now. The cost of copying depends
--- a/source/gateway/http_frontend.h
+++ b/source/gateway/http_frontend.h
@@ -6,8 +6,8 @@
  * body or a stream.
  *
  * A call is one request with its answer. It lives until both the connection and the handler have
- * released it. Its caller may disconnect at any time: the handler is told once, and later answers
- * are dropped.
+ * released it. Its caller may disconnect at any time: the handler is notified once, and later
+ * answers are dropped.
  */
 
 #include "bilberrytray/base/error.h"
@@ -64,7 +64,8 @@
 typedef enum bt_stream_end
 {
   BT_STREAM_COMPLETE = 0, /**< The caller sees a complete answer. */
-  BT_STREAM_CUT_OFF,      /**< The connection is broken, visibly before the end. */
+  BT_STREAM_CUT_OFF,      /**< The connection is closed without the end mark of the body, so that
+                               the caller sees that the answer is incomplete. */
 } bt_stream_end_t;
 
 /** Starts to serve at "IP:PORT"; port 0 lets the system choose. @return NULL, with @p error set, on
@@ -135,7 +136,7 @@
 /** Ends the stream, complete or cut off. */
 void bt_end_frontend_stream (bt_frontend_call_t *call, bt_stream_end_t end);
 
-/** Closes the connection without an answer, for a request that can have none. A stream is cut
+/** Closes the connection without an answer, for a request that gets none. A stream is cut
  * off. */
 void bt_break_frontend_call (bt_frontend_call_t *call);
 
--- a/source/gateway/lease_keeper.c
+++ b/source/gateway/lease_keeper.c
@@ -131,7 +131,7 @@
   keeper->listener = listener;
   keeper->kv = options->platform->vtable->new_store (ctx, options->store, seed);
   keeper->lease = bt_new_fenced_lease (ctx, keeper->kv, options->prefix, options->name,
-                                       options->instance, options->life_s);
+                                       options->instance, options->ttl_s);
   pthread_mutex_init (&keeper->lock, NULL);
   bt_init_condition (&keeper->changed);
   if (pthread_create (&keeper->thread, NULL, run_keeper, keeper) != 0)
--- a/source/gateway/lease_keeper.h
+++ b/source/gateway/lease_keeper.h
@@ -26,8 +26,8 @@
   const char *prefix; /**< Prefix of the lease's keys. */
   const char *name;
   const char *instance;
-  int64_t life_s;
-  int64_t renew_ms;
+  int64_t ttl_s;    /**< How long the lease lives without renewal. */
+  int64_t renew_ms; /**< Interval between two renewals. */
 } bt_lease_keeper_options_t;
 
 bt_lease_keeper_t *bt_new_lease_keeper (bt_context_t *ctx,
--- a/source/gateway/listing.c
+++ b/source/gateway/listing.c
@@ -103,7 +103,7 @@
     {
       bool wanted = wait_for_renewal (listing, lease != 0);
       bt_error_t error = { 0 };
-      int64_t life_s;
+      int64_t ttl_s;
 
       if (is_stopping (listing))
         break;
@@ -112,7 +112,7 @@
         unlist_entry (listing, &lease);
       else if (lease == 0)
         list_entry (listing, &lease, &error);
-      else if (!bt_renew_kv_lease (listing->ctx, listing->options.kv, lease, &life_s, &error)
+      else if (!bt_renew_kv_lease (listing->ctx, listing->options.kv, lease, &ttl_s, &error)
                && error.code == BT_ERROR_NOT_FOUND)
         {
           bt_log_event (listing->ctx, BT_LOG_WARNING, "listing-lapsed", "{s:I}", "lease",
--- a/source/gateway/managed_group.c
+++ b/source/gateway/managed_group.c
@@ -152,7 +152,7 @@
   group->phase = phase;
 }
 
-/* After a round, makes its map the map in use, unless the round was given up. */
+/* After a round, makes its map the map in use, unless the round was abandoned. */
 static void
 finish_round (bt_managed_group_t *group)
 {
@@ -182,7 +182,8 @@
       bt_request_agent_places (group->links, group->endpoints[rank]);
 }
 
-/* Schedules a plan at once after demand has jumped: until then the busiest rank stays the same. */
+/* Schedules a plan at once after demand has jumped: until the next plan the busiest rank stays
+ * as busy. */
 static void
 schedule_plan_after_jump (bt_managed_group_t *group, int64_t now_ms)
 {
--- a/source/gateway/managed_group.h
+++ b/source/gateway/managed_group.h
@@ -48,7 +48,7 @@
 /** Returns true while a round is in progress, or the state of a rank is not known. */
 bool bt_is_managed_round_open (const bt_managed_group_t *group);
 
-/** Returns true while a round is in progress, or the orders of an abandoned one are undone. */
+/** Returns true while a round is in progress or the orders of an abandoned one are being undone. */
 bool bt_has_managed_group_orders (const bt_managed_group_t *group);
 
 /** Plans, and sends the orders that are due. Returns false if an engine reported a newer leader. */
--- a/source/gateway/peer_feed.c
+++ b/source/gateway/peer_feed.c
@@ -41,7 +41,7 @@
   bt_peer_feed_options_t options;
   bt_store_copy_t *copy;
   bt_link_loop_t *loop;
-  /* Used by the calling thread only. */
+  /* Used only by the thread that owns the copy of the store. */
   int32_t next_candidate;
   int64_t dialled_ms;
   /* Lock order: acquired before the copy's lock, and before any call into a link. */
--- a/source/gateway/peer_feed.h
+++ b/source/gateway/peer_feed.h
@@ -34,7 +34,7 @@
 void bt_drop_peer_feed (bt_context_t *ctx, bt_peer_feed_t *feed);
 
 /** Follows one of the first @p count candidates and tries them in turn. Must be called regularly: a
- * later call gives up a candidate that does not answer and tries the next. */
+ * later call abandons a candidate that does not answer and tries the next. */
 void bt_maintain_peer_feed (bt_peer_feed_t *feed, const bt_feed_choice_t *choice, int32_t count);
 
 /** Returns true if the followed peer reads the store itself, has sent all items, and is not behind
--- a/source/gateway/port_probes.h
+++ b/source/gateway/port_probes.h
@@ -4,7 +4,7 @@
 /** @file
  * Checks whether a process listens at an endpoint's address, by a connection on which nothing is
  * sent. A refused connection shows at once that the process has ended; the list of endpoints shows
- * it only when the entry lapses or the next start is listed.
+ * it only when the registration lapses or the next incarnation is listed.
  */
 
 #include "bilberrytray/core/identity.h"
@@ -24,8 +24,8 @@
 /** NULL is accepted. */
 void bt_drop_port_probes (bt_context_t *ctx, bt_port_probes_t *probes);
 
-/** Probes "IP:PORT" after a short delay. Does nothing when a probe of the same start is under way,
- * too many probes are under way, or the address is not valid. */
+/** Probes "IP:PORT" after a short delay. Does nothing when the same incarnation is being
+ * probed, too many probes are in progress, or the address is not valid. */
 void bt_probe_port (bt_port_probes_t *probes, const char *address, const bt_identity_t *endpoint);
 
 #endif
--- a/source/gateway/stop_plan.c
+++ b/source/gateway/stop_plan.c
@@ -43,7 +43,7 @@
   return plan->began_ms + MAX_ANSWER_LIFETIMES * plan->limits.address_life_ms;
 }
 
-/* Returns the latest time at which requests under way are ended. */
+/* Returns the latest time at which requests in progress are ended. */
 static int64_t
 get_abort_ms (const bt_stop_plan_t *plan)
 {
--- a/source/gateway/stop_plan.h
+++ b/source/gateway/stop_plan.h
@@ -26,10 +26,10 @@
  * LEAVING: not in the address answers and not ready. Callers that hold an old address answer are
  * served, unless their request could not end in time.
  *
- * CLOSING: no caller can still hold an old address answer. New requests are refused, those under
- * way continue.
+ * CLOSING: no caller can still hold an old address answer. New requests are refused, those in
+ * progress continue.
  *
- * LINGERING: no new connections are accepted, and what was under way has been ended. Requests on
+ * LINGERING: no new connections are accepted, and requests in progress have been ended. Requests on
  * existing connections are refused.
  *
  * DONE: the loop may end. */
@@ -47,7 +47,7 @@
   int64_t drain_ms;        /**< Maximum time from the order to stop to the end of the process. */
 } bt_stop_limits_t;
 
-/** A stop under way. */
+/** A stop in progress. */
 typedef struct bt_stop_plan
 {
   bt_stop_limits_t limits;
--- a/source/gateway/store_copy.c
+++ b/source/gateway/store_copy.c
@@ -74,8 +74,8 @@
   return false;
 }
 
-/* Adds a removal for each key of @p items that a whole update does not list: such an update lists
- * the present keys, not the removed ones. */
+/* Adds a removal for each key of @p items that an update with whole set does not list: such an
+ * update lists the present keys, not the removed ones. */
 static void
 add_absent_removals (bt_context_t *ctx, const bt_kv_range_t *items, bt_store_update_t *update)
 {
--- a/source/gateway/store_follower.c
+++ b/source/gateway/store_follower.c
@@ -186,8 +186,9 @@
   return true;
 }
 
-/* Makes one watch call and applies its changes. Reads all items if the watch fails, as changes may
- * have been missed, and if the last full read is older than FULL_READ_MS. */
+/* Makes one watch call and applies its changes. Reads all items instead before the first view and
+ * when the last full read is older than FULL_READ_MS. Reads them too if the watch fails, as changes
+ * may have been missed, except while a peer is followed. */
 static bool
 follow_store (bt_store_follower_t *follower, int64_t wait_ms, bt_error_t *error)
 {
--- a/source/gateway/view.c
+++ b/source/gateway/view.c
@@ -105,7 +105,7 @@
 }
 
 /* Returns true if the previous view skipped the same item at the same revision. Items come in the
- * same order each time, so the search starts at *@p at, behind the last match. */
+ * same order each time, so the search starts at the index @p at, after the last match. */
 static bool
 was_skipped (const bt_view_t *previous, const bt_kv_pair_t *pair, int32_t *at)
 {
@@ -260,25 +260,26 @@
     memcpy (view->leader, pair->value, pair->value_bytes);
 }
 
-/* Returns true if one start is earlier than another at the same address. Only one process can
+/* Returns true if one incarnation is earlier than another at the same address. Only one process can
  * listen at an address, so the earlier one has ended. An endpoint that restarts under the same id
  * overwrites its item, which keeps its creation revision. So the start times decide if both are
  * known, and the creation revisions otherwise. */
 static bool
-is_earlier_start (const bt_listed_endpoint_t *one, const bt_listed_endpoint_t *other)
+is_earlier_incarnation (const bt_listed_endpoint_t *one, const bt_listed_endpoint_t *other)
 {
   if (one->started_ms != 0 && other->started_ms != 0 && one->started_ms != other->started_ms)
     return one->started_ms < other->started_ms;
   return one->created_revision < other->created_revision;
 }
 
-/* Returns true if a later start is listed at the same address. After a power loss, the item of the
- * old process stays until its lease expires, seconds after the next start is listed. */
+/* Returns true if a later incarnation is listed at the same address. After a power loss, the item
+ * of the old process stays until its lease expires, seconds after the next incarnation is listed.
+ */
 static bool
 is_replaced (const bt_view_t *view, const bt_listed_endpoint_t *endpoint)
 {
   for (int32_t i = 0; i < view->endpoint_count; i++)
-    if (is_earlier_start (endpoint, &view->endpoints[i])
+    if (is_earlier_incarnation (endpoint, &view->endpoints[i])
         && strcmp (view->endpoints[i].address, endpoint->address) == 0)
       return true;
   return false;
--- a/source/gateway/view.h
+++ b/source/gateway/view.h
@@ -29,8 +29,9 @@
 
 typedef struct bt_view
 {
-  int64_t revision;               /**< The store's revision at the read. */
-  int64_t read_ms;                /**< Start of the read, on this process's clock. */
+  int64_t revision; /**< The store's revision at the read. */
+  int64_t read_ms;  /**< Start of the full read, or time of the last applied change, on this
+                         process's clock. */
   int64_t configuration_revision; /**< Revision of the last change of the configuration; 0: none. */
   bt_declarations_t *declarations; /**< NULL if there is no valid configuration. */
   char *configuration;             /**< The text of the configuration in the store. */
