--- a/source/agent/command_side.c
+++ b/source/agent/command_side.c
@@ -13,9 +13,11 @@
 
 static const bt_setting_t sidecar_settings[] = {
   { "listen", BT_SETTING_ADDRESS, FIELD (listen), NULL, 0, 0,
-    "Where links of entry instances are accepted." },
-  { "engine", BT_SETTING_ADDRESS, FIELD (engine), NULL, 0, 0, "The engine on this instance." },
-  { "page", BT_SETTING_ADDRESS, FIELD (page), "", 0, 0, "Where the operators' page is served." },
+    "Address on which links of entry instances are accepted." },
+  { "engine", BT_SETTING_ADDRESS, FIELD (engine), NULL, 0, 0,
+    "Address of the engine on this instance." },
+  { "page", BT_SETTING_ADDRESS, FIELD (page), "", 0, 0,
+    "Address on which the operators' page is served." },
   { "failure-domain", BT_SETTING_TEXT, FIELD (failure_domain), NULL, 0, 0,
     "Failure domain of this instance." },
   { "secret", BT_SETTING_TEXT, FIELD (secret), NULL, 0, 0,
@@ -23,15 +25,15 @@
   { "log-level", BT_SETTING_TEXT, FIELD (log_level), "info", 0, 0,
     "error, warning, info or debug." },
   { "report-ms", BT_SETTING_INTEGER, FIELD (report_ms), "100", 20, 60000,
-    "Interval of reports to the entry instance that leads the engine's group, ms." },
+    "Interval between reports to the entry instance that leads the engine's group, ms." },
   { "others-ms", BT_SETTING_INTEGER, FIELD (others_ms), "300", 20, 60000,
-    "Interval of reports to the other entry instances, ms." },
+    "Interval between reports to the other entry instances, ms." },
   { "call-ms", BT_SETTING_INTEGER, FIELD (call_ms), "60", 10, 60000,
     "Time limit of one call to the engine, ms." },
   { "beat-ms", BT_SETTING_INTEGER, FIELD (beat_ms), "500", 10, 60000,
-    "Interval of heartbeats, ms." },
+    "Interval between heartbeats, ms." },
   { "link-idle-ms", BT_SETTING_INTEGER, FIELD (link_idle_ms), "1600", 50, 600000,
-    "A link without any frame for this long is closed, ms." },
+    "A link is considered dead after this time without a frame, ms." },
   { "max-links", BT_SETTING_INTEGER, FIELD (max_links), "256", 1, 10000,
     "Maximum number of links." },
 };
@@ -103,8 +105,8 @@
   bt_agent_command_t command = {
     .usage =
         "Usage: bilberry-agent side [FLAGS]\n\n"
-        "Runs beside an engine that requests reach directly: reports the engine's state to the\n"
-        "entry instances and executes the orders of its group's leader.\n\n",
+        "Runs beside an engine that requests reach directly: tells the entry instances how it\n"
+        "stands and carries out the orders of its group's leader.\n\n",
     .settings = sidecar_settings,
     .setting_count = sizeof sidecar_settings / sizeof sidecar_settings[0],
     .log_level = &settings.log_level,
--- a/source/agent/map_agent.c
+++ b/source/agent/map_agent.c
@@ -54,8 +54,8 @@
                   1);
 }
 
-/* Reports go to every entry. The one that holds the lease recognizes its own orders by their
- * numbers. */
+/* Messages go to every entry. The one that holds the lease recognizes reports on its own orders by
+ * their numbers. */
 static void
 send_action (bt_map_agent_t *agent, const bt_map_action_t *action)
 {
--- a/source/agent/map_agent.h
+++ b/source/agent/map_agent.h
@@ -18,7 +18,7 @@
   int64_t rank;
   const char *rank_url; /**< URL of the engine, such as "http://10.0.0.5:9000/ranks/3". */
   const char *store_url;
-  const char *store_prefix; /**< Prefix of the keys about groups. */
+  const char *store_prefix; /**< Prefix of the rank groups' keys. */
   int64_t call_ms;          /**< Time limit of one call to the engine. */
   int64_t ask_ms;           /**< Interval of queries to rank 0 while a round is undecided. */
   int64_t give_up_ms;       /**< Rank 0 abandons a round that is asked about for this long. */
--- a/source/gateway/forward.h
+++ b/source/gateway/forward.h
@@ -36,7 +36,7 @@
   struct bt_forward *previous;
   uint64_t id; /**< Identifies the request in admission. */
   bt_forward_state_t state;
-  bt_frontend_call_t *call; /**< NULL once it was released. */
+  bt_frontend_call_t *call; /**< Released when the request is freed. */
   bt_timer_t timer;         /**< Expires at deadline_ms. */
 
   bt_declarations_t *declarations; /**< One revision, from the match to the last retry. */
