--- a/source/agent/sidecar.h
+++ b/source/agent/sidecar.h
@@ -20,8 +20,8 @@
   const char *secret;
   const char *log_level;
   const char *page;  /**< Where the operators' page is served; "" to serve none. */
-  int64_t report_ms; /**< Interval of reports to the leader of the engine's group. */
-  int64_t others_ms; /**< Interval of reports to other entries. */
+  int64_t report_ms; /**< Interval between reports to the leader of the engine's group. */
+  int64_t others_ms; /**< Interval between reports to other entries. */
   int64_t call_ms;   /**< Time limit of one call to the engine. */
   int64_t beat_ms;
   int64_t link_idle_ms;
--- a/source/agent/sidecar_private.h
+++ b/source/agent/sidecar_private.h
@@ -58,7 +58,7 @@
  * restarted. Returns false when it did not answer. */
 bool bt_read_sidecar_engine_state (bt_sidecar_t *sidecar, bt_engine_report_t *report);
 
-/** Sends the result of an order to the entry that sent it. */
+/** Sends the result of an order on @p link, to the entry that sent the order. */
 void bt_send_sidecar_result (bt_sidecar_t *sidecar,
                              bt_link_t *link,
                              uint64_t order_id,
--- a/source/gateway/port_probes.c
+++ b/source/gateway/port_probes.c
@@ -34,9 +34,9 @@
   bt_context_t *ctx;
   bt_event_loop_t *loop;
   bt_port_probes_handler_t *handler;
-  probe_t entries[MAX_PROBES];
-  /* Entries are used in rotation: an event of the entry's earlier probe may still be pending. */
-  int32_t next;
+  probe_t slots[MAX_PROBES];
+  /* Slots are used in rotation: an event of the slot's earlier probe may still be pending. */
+  int32_t next_slot;
 };
 
 bt_port_probes_t *
@@ -48,7 +48,7 @@
   probes->loop = loop;
   probes->handler = handler;
   for (int32_t i = 0; i < MAX_PROBES; i++)
-    probes->entries[i].probes = probes;
+    probes->slots[i].probes = probes;
   return probes;
 }
 
@@ -73,8 +73,8 @@
   if (probes == NULL)
     return;
   for (int32_t i = 0; i < MAX_PROBES; i++)
-    if (probes->entries[i].in_use)
-      end_probe (&probes->entries[i]);
+    if (probes->slots[i].in_use)
+      end_probe (&probes->slots[i]);
   bt_free (ctx, probes);
 }
 
@@ -137,7 +137,7 @@
 is_probing (const bt_port_probes_t *probes, const bt_identity_t *endpoint)
 {
   for (int32_t i = 0; i < MAX_PROBES; i++)
-    if (probes->entries[i].in_use && bt_same_identity (&probes->entries[i].endpoint, endpoint))
+    if (probes->slots[i].in_use && bt_same_identity (&probes->slots[i].endpoint, endpoint))
       return true;
   return false;
 }
@@ -145,12 +145,12 @@
 void
 bt_probe_port (bt_port_probes_t *probes, const char *address, const bt_identity_t *endpoint)
 {
-  probe_t *probe = &probes->entries[probes->next];
+  probe_t *probe = &probes->slots[probes->next_slot];
 
   if (probe->in_use || is_probing (probes, endpoint)
       || !bt_parse_address (address, &probe->address))
     return;
-  probes->next = (probes->next + 1) % MAX_PROBES;
+  probes->next_slot = (probes->next_slot + 1) % MAX_PROBES;
   probe->in_use = true;
   probe->watch.fd = -1;
   probe->endpoint = *endpoint;
--- a/source/gateway/store_copy.c
+++ b/source/gateway/store_copy.c
@@ -43,18 +43,18 @@
 bool
 bt_replace_copy (bt_context_t *ctx, bt_store_copy_t *copy, bt_kv_range_t *range)
 {
-  bool newer;
+  bool replaced;
 
   pthread_mutex_lock (&copy->lock);
-  newer = range->revision >= copy->items.revision;
-  if (newer)
+  replaced = range->revision >= copy->items.revision;
+  if (replaced)
     {
       bt_drop_kv_range (ctx, &copy->items);
       copy->items = *range;
       memset (range, 0, sizeof *range);
     }
   pthread_mutex_unlock (&copy->lock);
-  return newer;
+  return replaced;
 }
 
 void
