--- a/model/config.pml
+++ b/model/config.pml
@@ -1,18 +1,20 @@
 /*
- * Configuration: one document in the key-value service, publishers that race, three or four entries.
+ * Distribution of the configuration: one document in the key-value store, publishers that may race, and
+ * three or four entries.
  *
- * Time is a count of ticks. Within a tick every exchange may happen or not, so an entry may be cut off
- * from the service, from peers or from both for any time, in one direction or in both; an entry that is
- * paused does nothing. A write once sent stays under way: the service may apply it late or see it twice.
+ * Time is counted in ticks. Within a tick every exchange may or may not happen, so an entry may be cut off
+ * from the store, from its peers or from both for any time, in one or both directions. A paused entry does
+ * nothing. A write that was sent stays in flight: the store may apply it late or receive it twice.
  *
- * An entry is in contact when it has read the service, or has heard a ready peer, and then has what was
- * current there. One number, UNCONFIRMED (u), ties three rules together: a change is accepted when all
- * listed entries but u have confirmed it; an entry without the service admits only while it hears u
- * others; an entry that starts without the service must have heard u + 1 others. Here u is 0 or 1; with
- * u = 0 the second rule is empty.
+ * An entry is in contact when it has read the store or heard from a ready peer; it then has the revision
+ * that was current there. One number, UNCONFIRMED (u), is used by three rules:
+ * - a change is accepted when all listed entries but u have confirmed it;
+ * - an entry that cannot read the store admits requests only while it hears from u other entries;
+ * - an entry that starts without the store must have heard from u + 1 other entries.
+ * Here u is 0 or 1. With u = 0 the second rule always holds.
  *
- * Options: N_PUBLISHERS (1 or 2), N_ENTRIES (3 or 4), UNCONFIRMED (0 or 1), REPLACEMENTS (entries that may
- * be replaced, in all), PAUSE (entries may be paused).
+ * Options: N_PUBLISHERS (1 or 2), N_ENTRIES (3 or 4), UNCONFIRMED (0 or 1), REPLACEMENTS (total number of
+ * entry replacements), PAUSE (entries may be paused).
  */
 
 #ifndef N_PUBLISHERS
@@ -27,21 +29,22 @@
 #ifndef UNCONFIRMED
 #define UNCONFIRMED 1
 #endif
-#define LIMIT 1                 /* ticks without contact in which an entry still admits */
-#define BOUND (LIMIT + 1)       /* ticks after accepted in which an older revision may be in use */
+#define ISOLATION_LIMIT 1       /* ticks without contact for which an entry still admits */
+/* Ticks after acceptance for which an older revision may be in use. */
+#define IN_FORCE_BOUND (ISOLATION_LIMIT + 1)
 #define CONFIRM(p, e) ((p) * N_ENTRIES + (e))
 
 /* Publisher states. */
 #define P_IDLE 0
-#define P_SENT 1                /* the write is under way, or its answer was lost */
-#define P_WRITTEN 2             /* the change is known to be in the service */
+#define P_SENT 1                /* the write is in flight, or its answer was lost */
+#define P_WRITTEN 2             /* the change is known to be in the store */
 #define P_ACCEPTED 3
 #define P_FAILED 4
 #define P_UNKNOWN 5
 
-/* Service. */
-bool service_up = true;
-byte service_revision;
+/* Store. */
+bool store_up = true;
+byte store_revision;
 byte history;                   /* bit p: the document contains the change of publisher p */
 byte last_change = 255;         /* publisher of the last change */
 
@@ -51,19 +54,19 @@
 byte p_base_history[2];
 byte p_revision[2];             /* a revision that contains the change */
 bool cas_sent[2];
-bool cas_refused[2];            /* the service has answered a write with a conflict */
+bool cas_refused[2];            /* the store has answered a write with a conflict */
 bool cas_applied[2];
-bool confirmed[8];              /* entry e has said that the change is in force */
+bool confirmed[8];              /* entry e has confirmed that the change is in force */
 
 /* Entries. */
 bool ready[N_ENTRIES] = true;
 byte revision[N_ENTRIES];
 byte silent[N_ENTRIES];         /* ticks since the last contact */
-byte heard[N_ENTRIES];          /* start only: bit q, entry q has been heard */
+byte heard[N_ENTRIES];          /* used while starting; bit q: entry q has been heard from */
 bool paused[N_ENTRIES];
 byte replacements;
 
-/* Ghost state. */
+/* Ghost state: used only by assertions. */
 byte age[2];                    /* ticks since the change was reported accepted */
 
 #define CONTAINS(p) ((history >> (p)) & 1)
@@ -77,11 +80,11 @@
 #if defined(NO_ISOLATION) || UNCONFIRMED == 0
 #define ADMITS(e) (ready[e] && !paused[e])
 #else
-#define ADMITS(e) (ready[e] && !paused[e] && silent[e] <= LIMIT)
+#define ADMITS(e) (ready[e] && !paused[e] && silent[e] <= ISOLATION_LIMIT)
 #endif
 
-/* Accepted: the revision is in force wherever requests are admitted, after the bound. */
-#define IN_FORCE(p, e) (p_state[p] != P_ACCEPTED || age[p] < BOUND || !ADMITS (e) || revision[e] >= p_revision[p])
+/* After the bound, an accepted revision is in force on every entry that admits requests. */
+#define IN_FORCE(p, e) (p_state[p] != P_ACCEPTED || age[p] < IN_FORCE_BOUND || !ADMITS (e) || revision[e] >= p_revision[p])
 #define ALL_IN_FORCE_3(p) (IN_FORCE (p, 0) && IN_FORCE (p, 1) && IN_FORCE (p, 2))
 #if N_ENTRIES == 4
 #define ALL_IN_FORCE(p) (ALL_IN_FORCE_3 (p) && IN_FORCE (p, 3))
@@ -90,7 +93,7 @@
 #endif
 
 /* An entry is offered revision r. */
-inline offer (e, r)
+inline offer_revision (e, r)
 {
 #ifdef OLDER_ACCEPTED
   assert (r >= revision[e]);
@@ -103,32 +106,32 @@
 #endif
 }
 
-proctype service ()
+proctype store ()
 {
   byte p;
 end:
   do
-  :: atomic { service_up = !service_up }
-     /* A write arrives, perhaps late or again. */
+  :: atomic { store_up = !store_up }
+     /* A write arrives, possibly late or as a duplicate. */
   :: atomic {
-       service_up && (cas_sent[0] || cas_sent[1]) ->
+       store_up && (cas_sent[0] || cas_sent[1]) ->
        select (p : 0 .. N_PUBLISHERS - 1);
        if
 #ifdef NO_CAS
        :: cas_sent[p] && !cas_applied[p] ->
           history = p_base_history[p] | (1 << p);
 #else
-       :: cas_sent[p] && service_revision == p_base[p] ->
+       :: cas_sent[p] && store_revision == p_base[p] ->
           history = history | (1 << p);
 #endif
           assert (p_state[p] != P_FAILED);
           assert (p_state[0] != P_ACCEPTED || CONTAINS (0));
           assert (p_state[1] != P_ACCEPTED || CONTAINS (1));
-          service_revision++;
+          store_revision++;
           last_change = p;
           cas_applied[p] = true
 #ifndef NO_CAS
-       :: cas_sent[p] && service_revision != p_base[p] -> cas_refused[p] = true
+       :: cas_sent[p] && store_revision != p_base[p] -> cas_refused[p] = true
 #endif
        :: else
        fi;
@@ -154,10 +157,10 @@
   byte e;
 end:
   do
-     /* Read the base, perhaps a stale one, and send the write. */
+     /* Reads the base revision, which may be outdated when the write arrives, and sends the write. */
   :: atomic {
-       p_state[p] == P_IDLE && service_up ->
-       p_base[p] = service_revision;
+       p_state[p] == P_IDLE && store_up ->
+       p_base[p] = store_revision;
        p_base_history[p] = history;
        p_state[p] = P_SENT
      }
@@ -174,23 +177,23 @@
 #ifdef NO_READBACK
   :: atomic { p_state[p] == P_SENT && cas_sent[p] -> report_failed (p) }
 #endif
-     /* The answer is lost or says conflict: read back and look for the change id. */
+     /* The answer is lost or reports a conflict: reads back and searches for the change id. */
   :: atomic {
-       p_state[p] == P_SENT && cas_sent[p] && service_up ->
+       p_state[p] == P_SENT && cas_sent[p] && store_up ->
        if
-       :: FOUND (p) -> p_revision[p] = service_revision; p_state[p] = P_WRITTEN
+       :: FOUND (p) -> p_revision[p] = store_revision; p_state[p] = P_WRITTEN
 #ifndef NO_CAS
-          /* The base has moved, so the write can no longer take effect. */
-       :: !FOUND (p) && service_revision != p_base[p] -> report_failed (p)
+          /* The store has a newer revision than the base, so the write can no longer take effect. */
+       :: !FOUND (p) && store_revision != p_base[p] -> report_failed (p)
 #endif
 #ifdef READBACK_UNFENCED
-       :: !FOUND (p) && service_revision == p_base[p] -> report_failed (p)
+       :: !FOUND (p) && store_revision == p_base[p] -> report_failed (p)
 #endif
        :: else
        fi
      }
   :: atomic { p_state[p] == P_SENT && cas_sent[p] -> p_state[p] = P_UNKNOWN }
-     /* Hand the change to an entry; the entry confirms. */
+     /* Pushes the change to an entry, which confirms it. */
   :: atomic {
        p_state[p] == P_WRITTEN ->
        select (e : 0 .. N_ENTRIES - 1);
@@ -227,14 +230,14 @@
 #endif
 
 #ifdef COUNT_STARTING
-#define COUNTS(q) true
+#define COUNTS_AS_CONTACT(q) true
 #else
-#define COUNTS(q) ready[q]
+#define COUNTS_AS_CONTACT(q) ready[q]
 #endif
 
-inline hear (e, q)
+inline exchange_with_peer (e, q)
 {
-  offer (e, revision[q]);
+  offer_revision (e, revision[q]);
   if
   :: ready[e] -> silent[e] = 0
   :: !ready[e] ->
@@ -246,8 +249,8 @@
   fi
 }
 
-/* A confirmation of an instance that was replaced before the change was accepted does not count. */
-inline forget_confirm (p, e)
+/* A confirmation from an instance that was replaced before the change was accepted does not count. */
+inline discard_confirmation (p, e)
 {
   if
   :: p_state[p] != P_ACCEPTED -> confirmed[CONFIRM (p, e)] = false
@@ -260,20 +263,20 @@
   byte q;
 end:
   do
-     /* A plain, linearizable read of the service. */
+     /* A linearizable read of the store. */
   :: atomic {
-       service_up && !paused[e] ->
-       offer (e, service_revision);
+       store_up && !paused[e] ->
+       offer_revision (e, store_revision);
        ready[e] = true;
        heard[e] = 0;
        silent[e] = 0
      }
-     /* A stale read, a late watch event, or a late message of a peer: no contact. */
+     /* A stale read, a late watch event or a late message from a peer does not count as contact. */
   :: atomic {
-       !paused[e] && ready[e] && service_revision > 0 ->
+       !paused[e] && ready[e] && store_revision > 0 ->
        select (q : 0 .. 2);
        if
-       :: q <= service_revision -> offer (e, q)
+       :: q <= store_revision -> offer_revision (e, q)
        :: else
        fi;
        q = 0
@@ -281,12 +284,12 @@
 #ifdef WATCH_IS_CONTACT
   :: atomic { !paused[e] && ready[e] -> silent[e] = 0 }
 #endif
-     /* A digest exchange with a peer, and the document if it is newer there. */
+     /* Exchanges digests with a peer, and takes its document if it is newer. */
   :: atomic {
        !paused[e] ->
        select (q : 0 .. N_ENTRIES - 1);
        if
-       :: q != e && !paused[q] && COUNTS (q) -> hear (e, q)
+       :: q != e && !paused[q] && COUNTS_AS_CONTACT (q) -> exchange_with_peer (e, q)
        :: else
        fi;
        q = 0
@@ -294,7 +297,7 @@
 #ifdef PAUSE
   :: atomic { paused[e] = !paused[e] }
 #endif
-     /* The instance is replaced; its successor knows nothing. */
+     /* The instance is replaced; its successor starts without any state. */
   :: atomic {
        replacements < REPLACEMENTS ->
        replacements++;
@@ -304,8 +307,8 @@
        heard[e] = 0;
        paused[e] = false;
 #ifndef NO_CONFIRM_INCARNATION
-       forget_confirm (0, e);
-       forget_confirm (1, e)
+       discard_confirmation (0, e);
+       discard_confirmation (1, e)
 #endif
      }
   od
@@ -317,7 +320,7 @@
 #ifdef PAUSE_HIDES_TIME
   :: paused[e]
 #endif
-  :: silent[e] <= LIMIT -> silent[e]++
+  :: silent[e] <= ISOLATION_LIMIT -> silent[e]++
   :: else
   fi
 }
@@ -325,7 +328,7 @@
 inline count_age (p)
 {
   if
-  :: p_state[p] == P_ACCEPTED && age[p] < BOUND -> age[p]++
+  :: p_state[p] == P_ACCEPTED && age[p] < IN_FORCE_BOUND -> age[p]++
   :: else
   fi
 }
@@ -355,10 +358,10 @@
 #define WITNESS (p_state[0] == P_ACCEPTED && p_state[1] == P_FAILED)
 #endif
 #ifdef REACH_START
-#define WITNESS (p_state[0] == P_ACCEPTED && !service_up && replacements == 1 && ready[0] && silent[0] == 0 && revision[0] == 1 && revision[2] == 0)
+#define WITNESS (p_state[0] == P_ACCEPTED && !store_up && replacements == 1 && ready[0] && silent[0] == 0 && revision[0] == 1 && revision[2] == 0)
 #endif
 #ifdef REACH_ISOLATED
-#define WITNESS (age[0] == BOUND && !ADMITS (2) && ADMITS (0) && ADMITS (1) && revision[2] == 0)
+#define WITNESS (age[0] == IN_FORCE_BOUND && !ADMITS (2) && ADMITS (0) && ADMITS (1) && revision[2] == 0)
 #endif
 
 bool witness_reached;
@@ -366,7 +369,7 @@
 init
 {
   atomic {
-    run service ();
+    run store ();
     run publisher (0);
 #if N_PUBLISHERS == 2
     run publisher (1);
--- a/model/map.pml
+++ b/model/map.pml
@@ -1,21 +1,23 @@
 /*
- * Expert-map rounds: three ranks in lock-step, their agents, two controllers with one round each.
+ * Expert-map rounds: three ranks in lock-step, their agents, and two controllers with one round each.
  *
- * Round 1 belongs to the older lease. Its controller may be paused past the lease, so that its orders
- * arrive after those of round 2. Messages are facts that stay true once sent: they may be handled never
- * (loss), late or in any order (delay), or again (duplication). Every step either changes the state for
- * good or is one of a bounded number of restarts, so all runs end; liveness asks that they end well.
+ * Round 1 belongs to the older lease. Its controller may be paused past the end of its lease, so that its
+ * orders arrive after those of round 2. A message is a flag that stays set once it is sent: it may never
+ * be handled (loss), be handled late or in any order (delay), or be handled several times (duplication).
+ * Every transition either changes the state irreversibly or is one of a bounded number of restarts, so
+ * every run ends. The liveness claim requires that all ranks have reached the last step by then.
  *
- * Options: RESTART=r (the agent of rank r restarts once beside its engine), REPLACE=r (rank r is replaced
- * once, engine and agent), ROUND1_STEP and ROUND2_STEP (the step a round is armed for), CRASH (the
- * controllers may die), LATE_ARM (the order to arm may reach the engine late, and the engine does not
- * look at fences), UNCHECKED_COMMIT (the engine of rank 0 takes a commit order at any time before its step,
- * also of a round that is not armed), ONE_ROUND (round 1 only), LIVENESS (the claim go_on).
+ * Options: RESTART=r (the agent of rank r restarts once while its engine continues), REPLACE=r (engine and
+ * agent of rank r are replaced once), ROUND1_STEP and ROUND2_STEP (the step for which a round is armed),
+ * CRASH (the controllers may crash), LATE_ARM (the order to arm may reach the engine late, and the engine
+ * does not check fencing numbers), UNCHECKED_COMMIT (the engine of rank 0 executes a commit order at any
+ * time before the step of the round, even if the round is not armed), ONE_ROUND (only round 1), LIVENESS
+ * (enables the claim go_on).
  */
 
 #define N_RANKS 3
 #define LAST_STEP 3
-#define DECIDER 0               /* rank 0 decides */
+#define DECIDER 0               /* rank 0 decides whether a round is committed or aborted */
 #define NO_ROUND 0
 
 #ifndef ROUND1_STEP
@@ -27,44 +29,44 @@
 #define STEP_OF(n) ((n) == 1 -> ROUND1_STEP : ROUND2_STEP)
 
 #define ORDER(n, r) ((n) * N_RANKS + (r))
-#define TOLD(d, n) ((d) * 3 + (n))
+#define DECISION(d, n) ((d) * 3 + (n))
 
-/* Engines. The map of a round carries the number of the round; 0 is the first map. */
+/* Engines. The map of a round has the number of the round; 0 is the initial map. */
 bool alive[N_RANKS] = true;
-byte step[N_RANKS];             /* steps begun */
+byte step[N_RANKS];             /* steps started */
 byte map[N_RANKS];              /* map in use */
-byte armed[N_RANKS];            /* round armed */
+byte armed[N_RANKS];            /* armed round */
 bool decided[N_RANKS];          /* the armed round is committed */
-bool commit_sent[3];            /* commit order under way to the engine of rank 0, by round */
+bool commit_sent[3];            /* a commit order to the engine of rank 0 is in flight, by round */
 
 /* Agents. */
 byte inc[N_RANKS];
-byte floor[N_RANKS];            /* rounds below are refused */
+byte floor[N_RANKS];            /* rounds with lower numbers are refused */
 bool floor_known[N_RANKS] = true;
-bool decider_seen[N_RANKS];     /* decisions of an older decider are refused */
-byte member = 255;              /* rank 0: incarnation of the replaced rank that it let join */
-bool forgot_decision;
+bool decider_seen[N_RANKS];     /* newest decider seen; decisions of an older one are refused */
+byte member = 255;              /* rank 0: incarnation of the replaced rank that it admitted */
+bool decision_lost;
 bool sent_by_self[3];           /* UNCHECKED_COMMIT, rank 0: this incarnation sent the commit order */
 bool accepted[9];               /* LATE_ARM: this incarnation accepted the order to arm */
-bool arm_sent[9];               /* LATE_ARM: an order to arm is under way to the engine */
+bool arm_sent[9];               /* LATE_ARM: an order to arm is in flight to the engine */
 
-/* Controllers and the service. */
+/* Controllers and the lease service. */
 bool started[3];
 bool crashed[3];
-byte round_inc[9];              /* incarnations that the orders of a round name */
-byte service_round;             /* highest round number handed out */
+byte round_inc[9];              /* incarnation that the orders of a round name, by rank */
+byte service_round;             /* highest round number issued */
 
 /* Messages. */
 bool ack[9];                    /* rank r has armed round n */
-bool told_commit[6];            /* decision on round n, by decider d */
-bool told_abort[6];
-bool decider;                   /* 0 the first, 1 the one that replaced it */
+bool commit_announced[6];       /* commit of round n was announced by decider d */
+bool abort_announced[6];
+bool decider;                   /* 0: the first, 1: its replacement */
 bool join_ready;
 byte join_map;
 byte join_armed;
 
-/* Ghost state. */
-byte last_effect[N_RANKS];      /* highest round of which an order took effect at the rank */
+/* Ghost state: used only by assertions. */
+byte last_effect[N_RANKS];      /* highest round with an order that took effect at the rank */
 
 #ifdef NO_FENCE
 #define FENCE_OK(n, r) true
@@ -107,11 +109,11 @@
 #define SAME_MAP(q, r) (!alive[q] || step[q] != step[r] || map[q] == map[r])
 #define HELD(r) (armed[r] != NO_ROUND && !decided[r] && STEP_OF (armed[r]) == step[r] + 1)
 
-/* The floor that a round leaves behind: the round itself, once armed or aborted, is refused too. */
+/* Floor after round n was armed or aborted: round n itself is refused too. */
 #ifdef INCLUSIVE_FLOOR
-#define ABOVE(n) (n)
+#define NEW_FLOOR(n) (n)
 #else
-#define ABOVE(n) ((n) + 1)
+#define NEW_FLOOR(n) ((n) + 1)
 #endif
 
 inline raise_floor (r, n)
@@ -143,23 +145,23 @@
   assert (SAME_MAP (0, r) && SAME_MAP (1, r) && SAME_MAP (2, r))
 }
 
-/* The engine takes the order to arm. */
-inline take_arm (r, n)
+/* The engine executes the order to arm. */
+inline engine_arm (r, n)
 {
   armed[r] = n;
   decided[r] = false
 }
 
-inline arm (r, n)
+inline accept_arm (r, n)
 {
   assert (n >= last_effect[r]);
   last_effect[r] = n;
-  raise_floor (r, ABOVE (n));
+  raise_floor (r, NEW_FLOOR (n));
 #ifdef LATE_ARM
   accepted[ORDER (n, r)] = true;
   arm_sent[ORDER (n, r)] = true
 #else
-  take_arm (r, n);
+  engine_arm (r, n);
   ack[ORDER (n, r)] = true
 #endif
 }
@@ -172,8 +174,8 @@
 
 #define ARM_ARRIVES(n, r) (started[n] && !crashed[n] && NAMES_AGENT (n, r) && NAMES_MEMBER (n, r) && FENCE_OK (n, r))
 #define ARM_FITS(n, r) (armed[r] == NO_ROUND && map[r] < n && step[r] < STEP_OF (n))
-/* Commits of a decider are heeded from the newest decider that the rank has seen. */
-#define HEARS(d, r) (d >= decider_seen[r])
+/* A rank accepts decisions only from the newest decider that it has seen. */
+#define ACCEPTS_DECIDER(d, r) (d >= decider_seen[r])
 
 proctype engine (byte r)
 {
@@ -187,33 +189,33 @@
 {
 end:
   do
-  :: atomic { alive[r] && ARM_ARRIVES (n, r) && ARM_FITS (n, r) -> arm (r, n) }
+  :: atomic { alive[r] && ARM_ARRIVES (n, r) && ARM_FITS (n, r) -> accept_arm (r, n) }
 #ifdef LATE_ARM
-     /* The engine takes an order late, perhaps from an agent that has restarted since. */
-  :: atomic { alive[r] && arm_sent[ORDER (n, r)] && ARM_FITS (n, r) -> take_arm (r, n); arm_sent[ORDER (n, r)] = false }
-     /* The engine has armed what this agent accepted, and that alone is acknowledged. */
+     /* The engine executes an order late, possibly from an agent that has restarted since. */
+  :: atomic { alive[r] && arm_sent[ORDER (n, r)] && ARM_FITS (n, r) -> engine_arm (r, n); arm_sent[ORDER (n, r)] = false }
+     /* Acknowledges a round only if the engine has armed it and this incarnation accepted it. */
   :: atomic { alive[r] && armed[r] == n && ACCEPTED (n, r) && !ack[ORDER (n, r)] -> ack[ORDER (n, r)] = true }
-     /* Rank 0 finds a round armed that it has aborted: the order came late. */
+     /* Rank 0 finds a round armed that it has already aborted: the order to arm arrived late. */
   :: atomic {
-       alive[r] && r == DECIDER && armed[r] == n && !decided[r] && told_abort[TOLD (decider, n)] -> forget_armed (r)
+       alive[r] && r == DECIDER && armed[r] == n && !decided[r] && abort_announced[DECISION (decider, n)] -> forget_armed (r)
      }
 #endif
-     /* An order is seen, but an earlier round is still armed: the fence moves, nothing is armed. */
+     /* An order arrives while an earlier round is still armed: raises the floor and arms nothing. */
   :: atomic {
        alive[r] && ARM_ARRIVES (n, r) && armed[r] != NO_ROUND && floor[r] < n -> raise_floor (r, n)
      }
-     /* Cancel before armed: a promise not to arm. */
+     /* Cancels a round that is not armed: the rank will not arm it later. */
   :: atomic {
        alive[r] && started[n] && floor_known[r] && armed[r] != n && floor[r] <= n -> raise_floor (r, n + 1)
      }
   :: atomic {
        alive[r] && r != DECIDER && armed[r] == n && !decided[r] && DECISION_FENCE_OK (n, r) &&
-         ((told_commit[TOLD (0, n)] && HEARS (0, r)) || told_commit[TOLD (1, n)]) ->
+         ((commit_announced[DECISION (0, n)] && ACCEPTS_DECIDER (0, r)) || commit_announced[DECISION (1, n)]) ->
        decided[r] = true
      }
   :: atomic {
        alive[r] && r != DECIDER && armed[r] == n && !decided[r] && DECISION_FENCE_OK (n, r) &&
-         ((told_abort[TOLD (0, n)] && HEARS (0, r)) || told_abort[TOLD (1, n)]) ->
+         ((abort_announced[DECISION (0, n)] && ACCEPTS_DECIDER (0, r)) || abort_announced[DECISION (1, n)]) ->
        forget_armed (r)
      }
 #ifdef DECIDE_BY_TIMEOUT
@@ -228,17 +230,17 @@
   :: armed[DECIDER] == n -> forget_armed (DECIDER)
   :: else
   fi;
-  raise_floor (DECIDER, ABOVE (n));
+  raise_floor (DECIDER, NEW_FLOOR (n));
   accepted[ORDER (n, DECIDER)] = false;
-  told_abort[TOLD (decider, n)] = true
+  abort_announced[DECISION (decider, n)] = true
 }
 
 #define COMMITTED(n) ((armed[DECIDER] == n && decided[DECIDER]) || map[DECIDER] == n)
 
 /*
- * A commit order once sent may be taken late. Where the engine does not check that the round is still
- * armed, the agent must not abort after it; a restarted agent, which cannot know, must commit a round that
- * all ranks have armed.
+ * A commit order may be executed late. If the engine does not check that the round is still armed, the
+ * agent must not abort the round after it sent the order. A restarted agent cannot know whether the order
+ * was sent, so it must commit a round that all ranks have armed.
  */
 #ifdef ABORT_AFTER_RESTART
 #define RESTARTED_MAY_ABORT(n) true
@@ -263,10 +265,10 @@
        sent_by_self[n] = true;
 #endif
 #ifdef TELL_BEFORE_ACK
-       told_commit[TOLD (decider, n)] = true
+       commit_announced[DECISION (decider, n)] = true
 #endif
      }
-     /* The engine takes the order, perhaps late. */
+     /* The engine executes the commit order, possibly late. */
 #ifdef UNCHECKED_COMMIT
   :: atomic {
        alive[DECIDER] && commit_sent[n] && step[DECIDER] < STEP_OF (n) && !COMMITTED (n) ->
@@ -279,29 +281,29 @@
 #else
   :: atomic { alive[DECIDER] && commit_sent[n] && armed[DECIDER] == n && !decided[DECIDER] -> decided[DECIDER] = true }
 #endif
-     /* What the engine has acknowledged is told. */
+     /* Announces the commit that the engine has acknowledged. */
   :: atomic {
-       alive[DECIDER] && COMMITTED (n) && !forgot_decision && !told_commit[TOLD (decider, n)] ->
-       told_commit[TOLD (decider, n)] = true
+       alive[DECIDER] && COMMITTED (n) && !decision_lost && !commit_announced[DECISION (decider, n)] ->
+       commit_announced[DECISION (decider, n)] = true
      }
 #ifndef NO_ABORT
-     /* A rank asks, or the decision is overdue. */
+     /* Aborts the round: a rank asks for the decision, or the decision is overdue. */
   :: atomic {
-       alive[DECIDER] && ANY_ARMED (n) && !told_abort[TOLD (decider, n)] && map[DECIDER] < n && !COMMITTED (n) &&
+       alive[DECIDER] && ANY_ARMED (n) && !abort_announced[DECISION (decider, n)] && map[DECIDER] < n && !COMMITTED (n) &&
          MAY_ABORT (n) ->
        abort_round (n)
      }
 #endif
 #ifdef NO_DECISION_IN_ENGINE
   :: atomic {
-       alive[DECIDER] && forgot_decision && ANY_ARMED (n) && !told_abort[TOLD (decider, n)] ->
-       told_abort[TOLD (decider, n)] = true
+       alive[DECIDER] && decision_lost && ANY_ARMED (n) && !abort_announced[DECISION (decider, n)] ->
+       abort_announced[DECISION (decider, n)] = true
      }
 #endif
   od
 }
 
-inline believe (n, r)
+inline choose_round_inc (n, r)
 {
   if
   :: round_inc[ORDER (n, r)] = inc[r]
@@ -316,9 +318,9 @@
   :: atomic {
        !started[n] && !crashed[n] ->
        started[n] = true;
-       believe (n, 0);
-       believe (n, 1);
-       believe (n, 2);
+       choose_round_inc (n, 0);
+       choose_round_inc (n, 1);
+       choose_round_inc (n, 2);
        if
        :: service_round < n -> service_round = n
        :: else
@@ -331,7 +333,7 @@
 }
 
 #ifdef RESTART
-/* The agent of rank RESTART restarts; its engine goes on. */
+/* The agent of rank RESTART restarts while its engine continues. */
 proctype restart ()
 {
 end:
@@ -352,7 +354,7 @@
           sent_by_self[1] = false;
           sent_by_self[2] = false;
 #ifdef NO_DECISION_IN_ENGINE
-          forgot_decision = decided[DECIDER]
+          decision_lost = decided[DECIDER]
 #endif
        :: else
        fi
@@ -361,7 +363,7 @@
 }
 #endif
 
-/* One read of the service and of the engine, before a fresh agent takes orders. */
+/* A new agent reads the floor from the lease service and the engine once before it accepts orders. */
 proctype learn_floor (byte r)
 {
 end:
@@ -384,7 +386,7 @@
 #define OTHER_A ((REPLACE) == 0 -> 1 : 0)
 #define OTHER_B ((REPLACE) == 2 -> 1 : 2)
 
-/* The rank dies. A step that no other rank has left is begun again by its successor. */
+/* The rank dies. Its successor repeats a step that no other rank has finished. */
 inline die ()
 {
   alive[REPLACE] = false;
@@ -406,17 +408,17 @@
 
 #if REPLACE == 0
 
-/* What a rank reported to the new decider; the rank may have gone on since. */
+/* What a rank reported to the new decider. The rank may have advanced since. */
 byte seen_step[N_RANKS];
 byte seen_map[N_RANKS];
 byte seen_armed[N_RANKS];
 bool seen_decided[N_RANKS];
 bool reported[N_RANKS];
 
-/* The round that the other ranks are known to have committed. */
+/* Whether the reports of the other ranks prove that round n was committed. */
 #define KNOWS_COMMIT(q, n) (seen_armed[q] == n && seen_decided[q])
-#define LEARNS_COMMIT(q, x, n) (seen_map[q] == n && seen_armed[x] == n)
-#define KNOWN_COMMIT(n) (KNOWS_COMMIT (1, n) || KNOWS_COMMIT (2, n) || LEARNS_COMMIT (1, 2, n) || LEARNS_COMMIT (2, 1, n))
+#define INFERS_COMMIT(q, x, n) (seen_map[q] == n && seen_armed[x] == n)
+#define KNOWN_COMMIT(n) (KNOWS_COMMIT (1, n) || KNOWS_COMMIT (2, n) || INFERS_COMMIT (1, 2, n) || INFERS_COMMIT (2, 1, n))
 #define AHEAD(q) (seen_step[q] > step[DECIDER])
 
 inline report (q)
@@ -440,8 +442,8 @@
 }
 
 /*
- * The decider itself is replaced. Its successor first has every other rank report what it knows and
- * promise to heed no decision of the old one, then takes over what they know, then joins.
+ * The decider itself is replaced. Its successor first collects a report from every other rank, which also
+ * makes that rank refuse decisions of the old decider. It then adopts the reported state and joins.
  */
 proctype replace ()
 {
@@ -484,7 +486,7 @@
 #define MAY_JOIN true
 #endif
 
-/* A rank is replaced; rank 0 lets the successor join. */
+/* A rank is replaced; rank 0 admits its successor. */
 proctype replace ()
 {
 end:
@@ -493,13 +495,13 @@
   :: atomic {
        !alive[REPLACE] && !join_ready && MAY_JOIN ->
 #ifndef NO_JOIN_DECIDE
-       /* An ack of the dead rank counts for nothing: a round without a decision is aborted. */
+       /* The ack of the dead rank is no longer valid, so an undecided round is aborted. */
        if
        :: armed[DECIDER] != NO_ROUND && !decided[DECIDER] -> abort_round (armed[DECIDER])
        :: else
        fi;
 #ifndef JOIN_KEEPS_ACCEPTED
-       /* Nor may a round go on whose order is still under way to the engine of rank 0. */
+       /* A round whose order is still in flight to the engine of rank 0 must not continue either. */
        accepted[ORDER (1, DECIDER)] = false;
        accepted[ORDER (2, DECIDER)] = false;
 #endif
@@ -526,7 +528,7 @@
 #define WITNESS (map[0] == 1 && map[1] == 1 && map[2] == 1 && step[0] == LAST_STEP)
 #endif
 #ifdef REACH_BOTH
-#define WITNESS (map[0] == 2 && map[1] == 2 && map[2] == 2 && ack[ORDER (1, 0)] && told_commit[TOLD (0, 1)])
+#define WITNESS (map[0] == 2 && map[1] == 2 && map[2] == 2 && ack[ORDER (1, 0)] && commit_announced[DECISION (0, 1)])
 #endif
 #ifdef REACH_REPLACED
 #define WITNESS (inc[REPLACE] == 1 && alive[REPLACE] && map[REPLACE] == 1 && step[REPLACE] == LAST_STEP)
--- a/model/request.pml
+++ b/model/request.pml
@@ -1,16 +1,17 @@
 /*
- * The request protocol: one ticketed key, its home agent, one agent that can be granted the key.
+ * The request protocol: one ticketed key, its home agent, and one agent that can be granted the key.
  *
- * The network is a set of messages that only grows. A message in the set may be received never (loss),
- * late or out of order (delay), or again (duplication); a paused sender is one whose message is late.
- * Each process handles one message a step and may be arbitrarily slow.
+ * The network is a set of messages that only grows. A message in the set may never be received (loss),
+ * be received late or out of order (delay), or be received several times (duplication). A paused sender
+ * is modeled by a late message. Each process handles one message per step and may be arbitrarily slow.
  *
- * Configurations: ARBITER (at most one run, truthful not-run), MATCH (an answer reaches its own
- * request), STREAM (pieces of one answer between engine, agent and entry), LEAVE (a home agent leaves
- * while entries still mint tickets for it), KEYLESS (a request without a key, retried by its entry).
+ * Configurations: ARBITER (a key runs at most once, and not-run is reported only if it is true), MATCH
+ * (an answer reaches only the request that it belongs to), STREAM (transfer of the pieces of one answer
+ * between engine, agent and entry), LEAVE (a home agent shuts down while entries still mint tickets for
+ * it), KEYLESS (a request without a key, retried by its entry).
  */
 
-bool witness_reached;           /* set by the REACH_ switches only */
+bool witness_reached;           /* set only in the REACH_ configurations */
 
 #ifdef ARBITER
 
@@ -21,9 +22,9 @@
 /* Entry states. */
 #define E_IDLE 0
 #define E_ACTIVE 1
-#define E_TOLD 2
+#define E_ANSWERED 2            /* the caller has received its final answer */
 
-/* Records of an agent about the key. */
+/* What an agent has recorded about the key. */
 #define R_NONE 0
 #define R_GRANTED 1
 #define R_RELEASED 2            /* the granted agent has tombstoned the key */
@@ -31,39 +32,39 @@
 #define R_DONE 4
 #define R_TOMBSTONE 5
 
-/* Ghost state, seen by assertions only. */
-byte runs;                      /* runs of the key, over all agents and incarnations */
-bool told_not_run;
+/* Ghost state: used only by assertions. */
+byte runs;                      /* executions of the key, over all agents and incarnations */
+bool not_run_reported;
 
 /* Entries. */
 byte e_state[N_ENTRIES];
-bool e_dispatched[N_ENTRIES];   /* an ask to the home agent may be on its way */
+bool e_dispatched[N_ENTRIES];   /* a dispatch to the home agent may be in flight */
 
 /* Home agent. */
-bool h_inc;
+bool h_inc;                     /* incarnation */
 byte h_record;
 bool h_holder;                  /* incarnation of the granted agent that holds the key */
 byte h_grant;                   /* number of the current grant */
-bool h_floor;                   /* every key without a record and up to this expiry is refused */
+bool h_floor;                   /* refuses keys without a record that expire no later than this one */
 bool h_leaving;
-bool h_expired;                 /* the ticket has expired in the home agent's clock */
+bool h_expired;                 /* the ticket has expired by the home agent's clock */
 bool entry_clock_expired;       /* the same, by the clock of an entry */
 
 /* Granted agent. */
-bool g_inc;
+bool g_inc;                     /* incarnation */
 byte g_record;
-byte g_seen;                    /* grants below this number have been replied to */
-bool g_expired[N_GRANTS];       /* the grant has expired in the granted agent's clock */
-bool g_unrecorded;              /* a run has begun whose record is not yet written */
+byte g_replied_below;           /* grants with lower numbers have received a reply */
+bool g_expired[N_GRANTS];       /* the grant has expired by the granted agent's clock */
+bool g_unrecorded;              /* a run has started but its record is not yet written */
 
 /* Messages. */
-bool m_grant[4];                /* home to entry: grant n to incarnation i */
+bool m_grant[4];                /* home agent to entry: grant n to incarnation i */
 bool m_run[4];                  /* entry to granted agent: run under grant n */
-bool m_tombstone[4];            /* granted agent to entry and home: never run under n, never will */
-bool m_not_run;                 /* home to entry: the key is tombstoned */
+bool m_tombstone[4];            /* granted agent to entry and home agent: not run under grant n, never will be */
+bool m_not_run;                 /* home agent to entry: the key is tombstoned */
 bool m_answer[N_ENTRIES];
 
-#define ASKED (e_dispatched[0] || e_dispatched[1])
+#define ANY_DISPATCHED (e_dispatched[0] || e_dispatched[1])
 #define ANY_GRANT (m_grant[0] || m_grant[1] || m_grant[2] || m_grant[3])
 #define ANY_TOMBSTONE (m_tombstone[0] || m_tombstone[1] || m_tombstone[2] || m_tombstone[3])
 
@@ -71,14 +72,14 @@
 {
   runs++;
   assert (runs <= 1);
-  assert (!told_not_run);
+  assert (!not_run_reported);
 }
 
-inline tell_not_run (e)
+inline report_not_run (e)
 {
   assert (runs == 0);
-  told_not_run = true;
-  e_state[e] = E_TOLD;
+  not_run_reported = true;
+  e_state[e] = E_ANSWERED;
 }
 
 proctype entry (byte e)
@@ -87,10 +88,10 @@
 end:
   do
   :: atomic { e_state[e] == E_IDLE -> e_state[e] = E_ACTIVE }
-     /* The caller, or a copy of its request in the network, comes again through the same entry. */
-  :: atomic { e_state[e] == E_TOLD -> e_state[e] = E_ACTIVE }
+     /* The caller resends, or a duplicate of its request arrives, through the same entry. */
+  :: atomic { e_state[e] == E_ANSWERED -> e_state[e] = E_ACTIVE }
   :: atomic { e_state[e] == E_ACTIVE && !e_dispatched[e] -> e_dispatched[e] = true }
-     /* Dispatch under a grant that the home agent has named. */
+     /* Dispatch to the granted agent under a grant that the home agent has issued. */
   :: atomic {
        e_state[e] == E_ACTIVE && e_dispatched[e] ->
        select (i : 0 .. 3);
@@ -110,19 +111,19 @@
   :: atomic {
        e_state[e] == E_ACTIVE && m_answer[e] ->
        assert (runs == 1);
-       e_state[e] = E_TOLD
+       e_state[e] = E_ANSWERED
      }
-  :: atomic { e_state[e] == E_ACTIVE && e_dispatched[e] && m_not_run -> tell_not_run (e) }
-     /* Time-out, wrong incarnation, expired ticket, lost link: the key may have run. */
-  :: atomic { e_state[e] == E_ACTIVE -> e_state[e] = E_TOLD }
+  :: atomic { e_state[e] == E_ACTIVE && e_dispatched[e] && m_not_run -> report_not_run (e) }
+     /* After a timeout, a wrong incarnation, an expired ticket or a lost link, the key may have run. */
+  :: atomic { e_state[e] == E_ACTIVE -> e_state[e] = E_ANSWERED }
 #ifdef NOT_RUN_EARLY
-  :: atomic { e_state[e] == E_ACTIVE && e_dispatched[e] -> tell_not_run (e) }
+  :: atomic { e_state[e] == E_ACTIVE && e_dispatched[e] -> report_not_run (e) }
 #endif
 #ifdef NOT_RUN_LOCAL
-  :: atomic { e_state[e] == E_ACTIVE && !e_dispatched[e] -> tell_not_run (e) }
+  :: atomic { e_state[e] == E_ACTIVE && !e_dispatched[e] -> report_not_run (e) }
 #endif
 #ifdef NOT_RUN_BY_AGENT
-  :: atomic { e_state[e] == E_ACTIVE && e_dispatched[e] && ANY_TOMBSTONE -> tell_not_run (e) }
+  :: atomic { e_state[e] == E_ACTIVE && e_dispatched[e] && ANY_TOMBSTONE -> report_not_run (e) }
 #endif
   od
 }
@@ -141,8 +142,8 @@
 #define H_VALID (!h_expired)
 #endif
 
-#define H_ACCEPTS (ASKED && H_INCARNATION_OK && H_VALID)
-/* The key may be run or granted: it has no record and is above the floor, or its grant came back. */
+#define H_ACCEPTS (ANY_DISPATCHED && H_INCARNATION_OK && H_VALID)
+/* The key may be run or granted: it has no record and is above the floor, or its grant was released. */
 #define H_FREE ((h_record == R_NONE && !h_floor) || h_record == R_RELEASED)
 
 #ifdef NO_GRANT_MATCH
@@ -151,12 +152,12 @@
 #define RELEASED m_tombstone[GRANT_ID (h_grant, h_holder)]
 #endif
 
-proctype home ()
+proctype home_agent ()
 {
-  bool believed;                /* incarnation that the proposing entry believes in */
+  bool assumed_inc;                /* incarnation that the proposing entry assumes */
 end:
   do
-     /* Run at home. */
+     /* Run the key on the home agent. */
   :: atomic {
        H_ACCEPTS && H_FREE && !h_leaving ->
        begin_run ();
@@ -167,21 +168,21 @@
   :: atomic { h_record == R_RUNNING -> h_record = R_DONE }
   :: atomic { h_record == R_DONE && H_ACCEPTS && e_dispatched[0] && !m_answer[0] -> m_answer[0] = true }
   :: atomic { h_record == R_DONE && H_ACCEPTS && e_dispatched[1] && !m_answer[1] -> m_answer[1] = true }
-     /* Grant to the other agent, under the incarnation that an entry believes in. */
+     /* Grant the key to the other agent, for the incarnation that an entry assumes. */
   :: atomic {
        H_ACCEPTS && H_FREE && h_grant < N_GRANTS ->
        if
-       :: believed = 0
-       :: g_inc == 1 -> believed = 1
+       :: assumed_inc = 0
+       :: g_inc == 1 -> assumed_inc = 1
        fi;
-       m_grant[GRANT_ID (h_grant, believed)] = true;
+       m_grant[GRANT_ID (h_grant, assumed_inc)] = true;
 #ifndef NO_GRANT_RECORD
        h_record = R_GRANTED;
-       h_holder = believed;
+       h_holder = assumed_inc;
 #endif
-       believed = 0
+       assumed_inc = 0
      }
-     /* A grant moves only on the tombstone of the very grant. */
+     /* A grant is released only by a tombstone that names this grant. */
   :: atomic {
        H_ACCEPTS && h_record == R_GRANTED && RELEASED ->
        h_record = R_RELEASED;
@@ -196,7 +197,7 @@
        h_grant++
      }
 #endif
-     /* Refuse (full, leaving, withdrawn by an entry): tombstone first. */
+     /* Refuse the key (full, leaving, or request withdrawn by an entry): write a tombstone first. */
   :: atomic {
        H_ACCEPTS && H_FREE ->
 #ifndef NO_TOMBSTONE
@@ -204,7 +205,7 @@
 #endif
        m_not_run = true
      }
-     /* The record table is full: no record can be written, so the floor stands for it. */
+     /* The record table is full: no tombstone can be written, so the floor is raised instead. */
   :: atomic {
        H_ACCEPTS && h_record == R_NONE && !h_floor ->
 #ifndef FULL_NO_FLOOR
@@ -213,7 +214,7 @@
        m_not_run = true
      }
   :: atomic { !h_leaving -> h_leaving = true }
-     /* The ticket expires; the record may then be forgotten, except of a run in progress. */
+     /* The ticket expires. Its record may then be dropped, unless the run is in progress. */
   :: atomic { !h_expired -> h_expired = true }
   :: atomic {
        h_expired && h_record != R_NONE && h_record != R_RUNNING ->
@@ -238,32 +239,32 @@
 
 #define G_ACCEPTS(n, i) (G_INCARNATION_OK (i) && !g_expired[n])
 
-/* Records that grant n has been replied to; what was replied is kept until n expires. */
-inline note_grant (n)
+/* Records that grant n has received a reply; the reply is kept until the grant expires. */
+inline record_reply (n)
 {
 #ifdef FORGET_FIRST
   if
-  :: g_seen == 0 -> g_seen = n + 1
+  :: g_replied_below == 0 -> g_replied_below = n + 1
   :: else
   fi
 #else
   if
-  :: g_seen <= n -> g_seen = n + 1
+  :: g_replied_below <= n -> g_replied_below = n + 1
   :: else
   fi
 #endif
 }
 
-#define G_FORGETS ((g_seen < 1 || g_expired[0]) && (g_seen < 2 || g_expired[1]))
+#define G_MAY_FORGET ((g_replied_below < 1 || g_expired[0]) && (g_replied_below < 2 || g_expired[1]))
 
-proctype granted ()
+proctype granted_agent ()
 {
   byte n;
   bool i;
 end:
   do
   :: atomic {
-       /* Choose a grant; a dispatch or a cancel that names it has arrived. */
+       /* Chooses a grant for which a dispatch or a cancel has arrived. */
        ANY_GRANT ->
        select (n : 0 .. 1);
        if
@@ -273,7 +274,7 @@
        if
        :: m_run[GRANT_ID (n, i)] && G_ACCEPTS (n, i) && g_record == R_NONE ->
           begin_run ();
-          note_grant (n);
+          record_reply (n);
 #ifdef RECORD_LATE
           g_unrecorded = true
 #else
@@ -285,10 +286,10 @@
 #if !defined(NO_TOMBSTONE) && !defined(NO_TOMBSTONE_GRANTED)
           g_record = R_TOMBSTONE;
 #endif
-          note_grant (n);
+          record_reply (n);
           m_tombstone[GRANT_ID (n, i)] = true
        :: m_grant[GRANT_ID (n, i)] && G_ACCEPTS (n, i) && g_record == R_TOMBSTONE ->
-          note_grant (n);
+          record_reply (n);
           m_tombstone[GRANT_ID (n, i)] = true
        :: m_run[GRANT_ID (n, i)] && G_ACCEPTS (n, i) && g_record == R_DONE ->
           m_answer[0] = m_answer[0] || e_dispatched[0]
@@ -304,31 +305,31 @@
   :: atomic { !g_expired[0] -> g_expired[0] = true }
   :: atomic { !g_expired[1] -> g_expired[1] = true }
   :: atomic {
-       (g_record == R_DONE || g_record == R_TOMBSTONE) && G_FORGETS ->
+       (g_record == R_DONE || g_record == R_TOMBSTONE) && G_MAY_FORGET ->
        g_record = R_NONE;
-       g_seen = 0
+       g_replied_below = 0
      }
 #ifdef GRANTED_RESTART
   :: atomic {
        g_inc == 0 ->
        g_inc = 1;
        g_record = R_NONE;
-       g_seen = 0;
+       g_replied_below = 0;
        g_unrecorded = false
      }
 #endif
   od
 }
 
-/* Witnesses: states that the guarded protocol must be able to reach. */
+/* Witnesses: states that must be reachable in the guarded protocol. */
 #ifdef REACH_REGRANT
-#define WITNESS (runs == 1 && m_tombstone[0] && m_answer[1] && e_state[0] == E_TOLD && !m_answer[0])
+#define WITNESS (runs == 1 && m_tombstone[0] && m_answer[1] && e_state[0] == E_ANSWERED && !m_answer[0])
 #endif
 #ifdef REACH_REGRANT_TWICE
 #define WITNESS (m_tombstone[0] && m_grant[3] && g_record == R_DONE)
 #endif
 #ifdef REACH_NOT_RUN
-#define WITNESS (told_not_run && e_state[0] == E_TOLD && m_tombstone[0])
+#define WITNESS (not_run_reported && e_state[0] == E_ANSWERED && m_tombstone[0])
 #endif
 
 init
@@ -336,8 +337,8 @@
   atomic {
     run entry (0);
     run entry (1);
-    run home ();
-    run granted ()
+    run home_agent ();
+    run granted_agent ()
   }
 #ifdef WITNESS
 end:
@@ -352,9 +353,9 @@
 #ifdef MATCH
 
 /*
- * One entry with one slot for a request in flight, one agent that it reaches over a link. Requests,
- * attempts and links follow one another in the slot; each dispatch is a generation of its own, whose
- * pieces may arrive at any later time. The attempt counter starts again with each request and link.
+ * One entry with one slot for a request in flight, and one agent that it reaches over a link. The slot
+ * is reused by successive requests, attempts and links. Each dispatch is a separate generation, whose
+ * pieces may arrive at any later time. The attempt counter restarts with each request and each link.
  */
 
 #define N_REQUESTS 2
@@ -364,13 +365,13 @@
 #define NO_GENERATION 255
 #define GENERATION(r, l, a) (((r) * N_LINKS + (l)) * N_ATTEMPTS + (a))
 
-bool dispatched[8];             /* by generation; its pieces may arrive from then on */
-bool waiting;                   /* the slot holds a request */
-byte begun;                     /* requests that have had the slot */
+bool dispatched[8];             /* by generation; once set, its pieces may arrive */
+bool in_progress;               /* the slot holds a request without a final answer */
+byte requests_started;          /* requests that have been given the slot */
 byte request;
 byte link;
 byte attempt;
-byte pieces;                    /* pieces accepted for the caller that waits */
+byte pieces;                    /* pieces accepted for the request in the slot */
 byte answer_generation = NO_GENERATION;
 bool answered[N_REQUESTS];
 
@@ -409,7 +410,7 @@
   answer_generation = GENERATION (r, l, a);
   pieces++;
   if
-  :: pieces == N_PIECES -> answered[request] = true; waiting = false
+  :: pieces == N_PIECES -> answered[request] = true; in_progress = false
   :: else
   fi
 }
@@ -421,24 +422,24 @@
   byte a;
 end:
   do
-     /* The next request takes the slot. */
+     /* The next request occupies the slot. */
   :: atomic {
-       !waiting && begun < N_REQUESTS ->
-       request = begun;
-       begun++;
+       !in_progress && requests_started < N_REQUESTS ->
+       request = requests_started;
+       requests_started++;
        attempt = 0;
-       waiting = true;
+       in_progress = true;
        dispatch ()
      }
-     /* An idempotent request is tried again on the same link. */
-  :: atomic { waiting && attempt + 1 < N_ATTEMPTS -> attempt++; dispatch () }
-     /* The link is declared dead and dialled again; attempts are counted from zero on the new one. */
-  :: atomic { waiting && link + 1 < N_LINKS -> link++; attempt = 0; dispatch () }
-     /* The caller gets its final answer (unknown) and the slot is free. */
-  :: atomic { waiting -> waiting = false; pieces = 0 }
+     /* An idempotent request is retried on the same link. */
+  :: atomic { in_progress && attempt + 1 < N_ATTEMPTS -> attempt++; dispatch () }
+     /* The link is declared dead and reconnected; attempts are counted from zero on the new link. */
+  :: atomic { in_progress && link + 1 < N_LINKS -> link++; attempt = 0; dispatch () }
+     /* The caller receives the final answer "unknown" and the slot becomes free. */
+  :: atomic { in_progress -> in_progress = false; pieces = 0 }
      /* A piece of any generation arrives. */
   :: atomic {
-       waiting ->
+       in_progress ->
        select (r : 0 .. 1);
        select (l : 0 .. 1);
        select (a : 0 .. 1);
@@ -473,10 +474,10 @@
 #ifdef STREAM
 
 /*
- * One run and its answer: an engine that streams pieces to an agent over a connection that can go
- * silent, the agent that keeps them, and two entries (one after the other) that fetch them.
- * The engine numbers its pieces; a piece once produced may arrive at any time on any connection that
- * asked for it. The engine may restart, and a new run is a new generation.
+ * One run and its answer: an engine streams pieces to an agent over a connection that can go silent,
+ * the agent stores them, and two entries fetch them one after the other.
+ * The engine numbers its pieces. A produced piece may arrive at any time on any connection on which the
+ * stream was requested. The engine may restart; a new run is a new generation.
  */
 
 #define N_PIECES 2              /* piece numbers 0 and 1; the end mark follows as number 2 */
@@ -485,30 +486,30 @@
 #define N_ENTRIES 2
 
 /* Engine. */
-byte engine_runs;               /* ghost: runs begun */
-byte generation;                /* the run the engine knows; 0 is none */
+byte engine_runs;               /* ghost: runs started */
+byte generation;                /* the run that the engine knows; 0: none */
 byte produced[3];               /* pieces and end mark produced, by generation */
 bool engine_restarted;
 
 /* Agent to engine. */
-bool post_sent[2];              /* an order to begin the run is under way, by connection */
-bool post_taken[2];
+bool post_sent[2];              /* a POST that starts the run is in flight, by connection */
+bool post_received[2];
 bool connection;                /* the connection in use */
-bool asked[6];                  /* generation, connection: a stream was asked for on the connection */
-#define ASK_ID(g, c) ((g) * 2 + (c))
+bool stream_requested[6];       /* by generation and connection: the stream was requested on it */
+#define STREAM_ID(g, c) ((g) * 2 + (c))
 
 /* Agent. */
-byte kept;                      /* pieces kept, the end mark counting as one */
+byte kept;                      /* pieces kept, including the end mark */
 byte kept_generation;           /* generation of the pieces kept */
-bool kept_mixed;                /* ghost: pieces of two generations, or out of order */
+bool kept_mixed;                /* ghost: pieces of two generations or out of order were kept */
 bool agent_restarted;
-bool run_lost;                  /* the engine said that it does not know the run */
+bool run_lost;                  /* the engine reported that it does not know the run */
 
 /* Entries. */
-byte passed[N_ENTRIES];         /* pieces passed to the caller */
-byte passed_generation[N_ENTRIES];
-bool whole[N_ENTRIES];          /* the answer was ended as whole */
-bool cut[N_ENTRIES];            /* the answer was ended visibly cut */
+byte forwarded[N_ENTRIES];      /* pieces forwarded to the caller */
+byte forwarded_generation[N_ENTRIES];
+bool complete[N_ENTRIES];       /* the answer was ended as complete */
+bool cut_off[N_ENTRIES];        /* the answer was ended so that the caller sees it is cut off */
 
 inline begin_engine_run (c)
 {
@@ -517,22 +518,22 @@
   assert (engine_runs <= 1);
 #endif
   generation = engine_runs;
-  asked[ASK_ID (generation, c)] = true
+  stream_requested[STREAM_ID (generation, c)] = true
 }
 
 proctype engine ()
 {
 end:
   do
-     /* An order to begin a run arrives, perhaps long after it was sent. */
+     /* A POST that starts a run arrives, possibly long after it was sent. */
   :: atomic {
-       post_sent[0] && !post_taken[0] && generation + 1 <= N_GENERATIONS ->
-       post_taken[0] = true;
+       post_sent[0] && !post_received[0] && generation + 1 <= N_GENERATIONS ->
+       post_received[0] = true;
        begin_engine_run (0)
      }
   :: atomic {
-       post_sent[1] && !post_taken[1] && generation + 1 <= N_GENERATIONS ->
-       post_taken[1] = true;
+       post_sent[1] && !post_received[1] && generation + 1 <= N_GENERATIONS ->
+       post_received[1] = true;
        begin_engine_run (1)
      }
   :: atomic { generation != 0 && produced[generation] <= END -> produced[generation]++ }
@@ -540,16 +541,16 @@
   od
 }
 
-/* A piece or the end mark of generation g with number p reaches the agent. */
+/* Piece p of generation g, or its end mark, reaches the agent. */
 inline keep_piece (g, p)
 {
   if
 #ifndef NO_GENERATION
-     /* A piece of another run. */
+     /* The piece belongs to another run. */
   :: kept_generation != 0 && kept_generation != g -> skip
 #endif
 #ifndef NO_SEQUENCE
-     /* A piece kept before, or one that follows a piece still missing. */
+     /* The piece is a duplicate, or an earlier piece is still missing. */
   :: p != kept -> skip
 #endif
   :: else ->
@@ -573,9 +574,9 @@
 end:
   do
   :: atomic { !post_sent[0] -> post_sent[0] = true }
-     /* A piece arrives, on the connection in use or late on the one given up. */
+     /* A piece arrives on the connection in use, or late on the abandoned one. */
   :: atomic {
-       (asked[2] || asked[3] || asked[4] || asked[5]) && kept <= END ->
+       (stream_requested[2] || stream_requested[3] || stream_requested[4] || stream_requested[5]) && kept <= END ->
        select (g : 1 .. 2);
        select (p : 0 .. 2);
        if
@@ -583,23 +584,23 @@
        :: c = 1
        fi;
        if
-       :: asked[ASK_ID (g, c)] && p < produced[g] -> keep_piece (g, p)
+       :: stream_requested[STREAM_ID (g, c)] && p < produced[g] -> keep_piece (g, p)
        :: else
        fi;
        g = 0;
        p = 0;
        c = 0
      }
-     /* The stream is silent: a fresh connection, and resume the run from the first piece missing. */
+     /* The stream is silent: opens a new connection and resumes the run at the first missing piece. */
   :: atomic {
        post_sent[0] && !connection ->
        connection = true;
        if
-       :: generation != 0 -> asked[ASK_ID (generation, 1)] = true
+       :: generation != 0 -> stream_requested[STREAM_ID (generation, 1)] = true
        :: generation == 0 -> run_lost = true
        fi
      }
-     /* The agent restarts beside the engine, lists its runs and adopts the one it finds. */
+     /* The agent restarts beside a running engine, lists its runs and adopts the one it finds. */
   :: atomic {
        post_sent[0] && !agent_restarted ->
        agent_restarted = true;
@@ -607,14 +608,14 @@
        kept_generation = 0;
        connection = true;
        if
-       :: generation != 0 -> asked[ASK_ID (generation, 1)] = true
+       :: generation != 0 -> stream_requested[STREAM_ID (generation, 1)] = true
        :: generation == 0 -> run_lost = true
        fi
      }
      /* The engine restarted and closed the connection. */
   :: atomic { engine_restarted && !run_lost && kept <= END -> run_lost = true }
 #if defined(REPOST) || defined(IDEMPOTENT)
-     /* The run is not known to the engine: begin it again. */
+     /* The engine does not know the run: starts it again. */
   :: atomic {
        run_lost && !post_sent[1] ->
        post_sent[1] = true;
@@ -628,55 +629,55 @@
 }
 
 #ifdef NO_GENERATION
-#define PASSABLE(e) true
+#define MAY_FORWARD(e) true
 #else
-#define PASSABLE(e) (passed[e] == 0 || passed_generation[e] == kept_generation)
+#define MAY_FORWARD(e) (forwarded[e] == 0 || forwarded_generation[e] == kept_generation)
 #endif
 
-/* An entry passes the kept pieces on in order, ends the answer as whole at the end mark only. */
+/* An entry forwards the kept pieces in order and ends the answer as complete only at the end mark. */
 proctype entry (byte e)
 {
 end:
   do
   :: atomic {
-       !whole[e] && !cut[e] && passed[e] < kept && passed[e] < END && PASSABLE (e) ->
-       assert (passed[e] == 0 || passed_generation[e] == kept_generation);
-       passed_generation[e] = kept_generation;
-       passed[e]++
+       !complete[e] && !cut_off[e] && forwarded[e] < kept && forwarded[e] < END && MAY_FORWARD (e) ->
+       assert (forwarded[e] == 0 || forwarded_generation[e] == kept_generation);
+       forwarded_generation[e] = kept_generation;
+       forwarded[e]++
      }
-     /* The pieces passed so far are of a generation that the agent has dropped. */
+     /* The pieces forwarded so far belong to a generation that the agent has dropped. */
   :: atomic {
-       !whole[e] && !cut[e] && passed[e] > 0 && passed_generation[e] != kept_generation ->
-       cut[e] = true
+       !complete[e] && !cut_off[e] && forwarded[e] > 0 && forwarded_generation[e] != kept_generation ->
+       cut_off[e] = true
      }
   :: atomic {
-       !whole[e] && !cut[e] && passed[e] == END && kept == END + 1 &&
-         passed_generation[e] == kept_generation ->
+       !complete[e] && !cut_off[e] && forwarded[e] == END && kept == END + 1 &&
+         forwarded_generation[e] == kept_generation ->
        assert (!kept_mixed);
        assert (produced[kept_generation] == END + 1);
-       whole[e] = true
+       complete[e] = true
      }
      /* The link to the agent closes, or the deadline passes. */
   :: atomic {
-       !whole[e] && !cut[e] ->
+       !complete[e] && !cut_off[e] ->
 #ifdef NO_END_MARK
-       assert (passed[e] == END);
-       whole[e] = true
+       assert (forwarded[e] == END);
+       complete[e] = true
 #else
-       cut[e] = true
+       cut_off[e] = true
 #endif
      }
   od
 }
 
 #ifdef REACH_RESUME
-#define WITNESS (whole[1] && asked[3] && !agent_restarted && cut[0] && passed[0] == 1)
+#define WITNESS (complete[1] && stream_requested[3] && !agent_restarted && cut_off[0] && forwarded[0] == 1)
 #endif
 #ifdef REACH_ADOPT
-#define WITNESS (whole[0] && whole[1] && agent_restarted && asked[3])
+#define WITNESS (complete[0] && complete[1] && agent_restarted && stream_requested[3])
 #endif
 #ifdef REACH_RERUN
-#define WITNESS (whole[1] && cut[0] && kept_generation == 2)
+#define WITNESS (complete[1] && cut_off[0] && kept_generation == 2)
 #endif
 
 init
@@ -700,20 +701,21 @@
 #ifdef LEAVE
 
 /*
- * A home agent leaves. An entry mints tickets from the reading of the home agent's clock in the last
- * heartbeat; heartbeats arrive late, and each tells whether its sender was leaving. While a ticket is
- * valid a resend must find the arbiter. One tick is one unit of the home agent's clock.
+ * A home agent shuts down. An entry mints tickets from the reading of the home agent's clock in the last
+ * heartbeat. Heartbeats may arrive late, and each one says whether its sender was leaving. While a ticket
+ * is valid, a resend must be able to reach the home agent, which decides whether the key may run. One
+ * tick is one unit of the home agent's clock.
  */
 
-#define LIFE 2                  /* ticks for which a ticket is valid after the reading */
+#define TICKET_TTL 2            /* validity of a ticket after the reading, in ticks */
 #define LAST_TICK 8
 
 byte now;
-byte reading;                   /* the home agent's clock in the last heartbeat */
-bool knows_leaving;             /* that heartbeat said leaving */
+byte reading;                   /* reading of the home agent's clock in the last heartbeat */
+bool knows_leaving;             /* the last heartbeat said that the agent is leaving */
 bool leaving;
 byte leaving_at;
-byte last_expiry;               /* highest expiry of a ticket minted */
+byte last_expiry;               /* latest expiry of all minted tickets */
 bool minted;
 bool running;
 bool ran;
@@ -734,7 +736,7 @@
   byte sent;
 end:
   do
-     /* A heartbeat sent at an earlier or the present time arrives. */
+     /* A heartbeat sent at an earlier time or now arrives. */
   :: atomic {
        !exited ->
        select (sent : 0 .. LAST_TICK);
@@ -756,15 +758,15 @@
 #endif
        minted = true;
        if
-       :: reading + LIFE > last_expiry -> last_expiry = reading + LIFE
+       :: reading + TICKET_TTL > last_expiry -> last_expiry = reading + TICKET_TTL
        :: else
        fi;
-       assert (!exited || EXPIRED (reading + LIFE))
+       assert (!exited || EXPIRED (reading + TICKET_TTL))
      }
   od
 }
 
-proctype home ()
+proctype home_agent ()
 {
 end:
   do
@@ -774,7 +776,7 @@
   :: atomic {
        leaving && !exited &&
 #ifndef EXIT_EARLY
-         EXPIRED (leaving_at + LIFE) &&
+         EXPIRED (leaving_at + TICKET_TTL) &&
 #endif
 #ifndef EXIT_RUNNING
          !running &&
@@ -796,7 +798,7 @@
   atomic {
     run clock ();
     run entry ();
-    run home ()
+    run home_agent ()
   }
 #ifdef WITNESS
 end:
@@ -811,9 +813,9 @@
 #ifdef KEYLESS
 
 /*
- * A request without a key, not idempotent: its entry is the only one that knows it, and may try agent 1
- * after agent 0. A dispatch may be held up in a link that went silent; the entry dials again and asks
- * for the attempt by its number. Either agent may restart once.
+ * A request without a key that is not idempotent. Only its entry knows it, and may retry it on agent 1
+ * after agent 0. A dispatch may be delayed in a link that went silent; the entry then reconnects and
+ * queries the attempt by its number. Either agent may restart once.
  */
 
 #define N_AGENTS 2
@@ -822,18 +824,18 @@
 #define A_TOMBSTONE 2
 
 byte runs;
-bool told_not_run;
-bool told;
-bool dispatched[N_AGENTS];      /* a dispatch names the incarnation 0 of its agent */
-bool asked[N_AGENTS];           /* the entry asks for the attempt on a new link */
-bool refused[N_AGENTS];         /* the agent has said: never run, and never will */
+bool not_run_reported;
+bool answered;
+bool dispatched[N_AGENTS];      /* a dispatch names incarnation 0 of its agent */
+bool queried[N_AGENTS];         /* the entry queries the attempt on a new link */
+bool refused[N_AGENTS];         /* the agent has reported that it has not run and will not run */
 bool incarnation[N_AGENTS];
 byte record[N_AGENTS];
 
 #ifdef NO_INCARNATION
-#define NAMED(a) true
+#define INCARNATION_OK(a) true
 #else
-#define NAMED(a) (incarnation[a] == 0)
+#define INCARNATION_OK(a) (incarnation[a] == 0)
 #endif
 
 inline refuse (a)
@@ -849,18 +851,18 @@
 end:
   do
   :: atomic {
-       dispatched[a] && NAMED (a) && record[a] == A_NONE ->
+       dispatched[a] && INCARNATION_OK (a) && record[a] == A_NONE ->
        record[a] = A_RAN;
        runs++;
        assert (runs <= 1);
-       assert (!told_not_run)
+       assert (!not_run_reported)
      }
-     /* Full or leaving. */
-  :: atomic { dispatched[a] && NAMED (a) && record[a] == A_NONE -> refuse (a) }
-     /* Asked for an attempt that has not arrived. */
-  :: atomic { asked[a] && NAMED (a) && record[a] == A_NONE -> refuse (a) }
+     /* The agent is full or leaving. */
+  :: atomic { dispatched[a] && INCARNATION_OK (a) && record[a] == A_NONE -> refuse (a) }
+     /* The agent is queried about an attempt whose dispatch has not arrived. */
+  :: atomic { queried[a] && INCARNATION_OK (a) && record[a] == A_NONE -> refuse (a) }
 #ifdef GONE_IS_REFUSED
-  :: atomic { asked[a] && incarnation[a] == 1 -> refused[a] = true }
+  :: atomic { queried[a] && incarnation[a] == 1 -> refused[a] = true }
 #endif
   :: atomic { incarnation[a] == 0 -> incarnation[a] = 1; record[a] = A_NONE }
   od
@@ -870,25 +872,25 @@
 {
 end:
   do
-  :: atomic { !told && !dispatched[0] -> dispatched[0] = true }
-  :: atomic { !told && dispatched[0] && !asked[0] -> asked[0] = true }
-  :: atomic { !told && refused[0] && !dispatched[1] -> dispatched[1] = true }
+  :: atomic { !answered && !dispatched[0] -> dispatched[0] = true }
+  :: atomic { !answered && dispatched[0] && !queried[0] -> queried[0] = true }
+  :: atomic { !answered && refused[0] && !dispatched[1] -> dispatched[1] = true }
 #ifdef RETRY_ON_TIMEOUT
-  :: atomic { !told && dispatched[0] && !dispatched[1] -> dispatched[1] = true }
+  :: atomic { !answered && dispatched[0] && !dispatched[1] -> dispatched[1] = true }
 #endif
-  :: atomic { !told && dispatched[1] && !asked[1] -> asked[1] = true }
+  :: atomic { !answered && dispatched[1] && !queried[1] -> queried[1] = true }
   :: atomic {
-       !told && (!dispatched[0] || refused[0]) && (!dispatched[1] || refused[1]) ->
+       !answered && (!dispatched[0] || refused[0]) && (!dispatched[1] || refused[1]) ->
        assert (runs == 0);
-       told = true;
-       told_not_run = true
+       answered = true;
+       not_run_reported = true
      }
-  :: atomic { !told -> told = true }
+  :: atomic { !answered -> answered = true }
   od
 }
 
 #ifdef REACH_RETRY
-#define WITNESS (runs == 1 && record[1] == A_RAN && asked[0])
+#define WITNESS (runs == 1 && record[1] == A_RAN && queried[0])
 #endif
 
 init
--- a/model/rounds.pml
+++ b/model/rounds.pml
@@ -1,17 +1,19 @@
 /*
- * Map rounds of a group whose engines hold the whole group before a step (source/maps/group_rounds.c):
- * two or three ranks, one or two leaders. Leader 0 has the lower fencing number, and goes on as if it
- * still led when leader 1 begins; leader 1 begins at any time.
+ * Map rounds of a group in which one engine can hold the whole group before a step
+ * (source/maps/group_rounds.c): two or three ranks, one or two leaders. Leader 0 has the lower fencing
+ * number and continues as if it still led after leader 1 starts. Leader 1 may start at any time.
  *
- * A leader acts on what it last heard of each rank. An order is carried out at once and answered, or its
- * answer is lost and it is carried out at any later time, or never. Time-outs come at any time, a bounded
- * number of them, and wherever nothing else can happen. Every run ends, and by then no rank may hold
- * the group (process the_end).
+ * A leader acts on the last report of each rank. An order is executed and answered at once, or its answer
+ * is lost and it is executed at any later time or never. A timeout may occur at any time for a bounded
+ * number of times, and whenever nothing else can happen. Every run ends, and then no rank may hold the
+ * group (process check_final_state).
  *
- * Options: N_RANKS, ONE_LEADER, LOST (orders that may be lost), HASTE (time-outs that come early), ROUNDS
- * (each leader's), LAST_STEP, REFORM (the group is formed anew once), CRASH (leader 0 may die), FREEZE (the agent that gave a hold
- * stands still for good before it is heard of again), LEASE (the only leader's lease ends), COPY (a map is prepared some time
- * after the order was accepted; a leader without faults must not be refused).
+ * Options: N_RANKS, ONE_LEADER, LOST (number of orders whose answer may be lost), EARLY_TIMEOUTS (number of
+ * timeouts that occur while something else can happen), ROUNDS_0 and ROUNDS_1 (rounds of each leader),
+ * LAST_STEP, REFORM (the group is formed anew once), CRASH (leader 0 may crash), FREEZE (the agent that
+ * sent a hold freezes permanently before it reports again), LEASE (the lease of the only leader ends), COPY
+ * (a map is prepared some time after the order was accepted; without other faults no order to prepare may
+ * be refused).
  */
 
 #ifndef N_RANKS
@@ -23,8 +25,8 @@
 #ifndef LOST
 #define LOST 1
 #endif
-#ifndef HASTE
-#define HASTE 1
+#ifndef EARLY_TIMEOUTS
+#define EARLY_TIMEOUTS 1
 #endif
 #ifndef ROUNDS_0
 #define ROUNDS_0 1
@@ -32,8 +34,8 @@
 #ifndef ROUNDS_1
 #define ROUNDS_1 1
 #endif
-#define VERSIONS 8              /* of one leader */
-#define NO_ONE 255
+#define VERSIONS 8              /* map versions reserved for each leader */
+#define NO_RANK 255
 
 #ifdef ONE_LEADER
 #define N_LEADERS 1
@@ -48,41 +50,41 @@
 mtype = { PREPARE, HOLD, ARM, DISARM, GO };
 mtype = { LOOKING, CALM, PREPARING, HOLDING, ARMING, LETTING_GO, SETTLING, SECURING, CLEARING };
 
-/* Engines. Step 0 has begun; a step of 0 means none. */
+/* Engines. Step 0 has already begun, so step 0 in an order or a report means no step. */
 byte now_step;
 byte now_epoch;
 byte version[N_RANKS];
 byte prepared[N_RANKS];
-byte highest[N_RANKS];
+byte highest[N_RANKS];          /* highest version of which an order to prepare was executed */
 byte armed[N_RANKS];
 byte armed_step[N_RANKS];
-byte held[N_RANKS];
-byte sequence[N_RANKS];
-byte fence[N_RANKS];
+byte held[N_RANKS];             /* the step before which the rank holds the group */
+byte sequence[N_RANKS];         /* order count */
+byte fence[N_RANKS];            /* highest fencing number of an executed order */
 
 /* Agents. */
-byte frozen = NO_ONE;
+byte frozen = NO_RANK;          /* the rank whose agent has frozen */
 
 /* Leaders. */
 bool started[2];
 bool leading[2];
 mtype phase[2] = LOOKING;
-byte target[2];
-byte clearing[2];
+byte target[2];                 /* map version of the round; 0: none */
+byte clearing[2];               /* version prepared to raise the order count of each rank */
 byte last_version[2];
 byte step[2];
 byte last_step[2];
 byte seen_step[2];
 byte holder[2];
 bool own_hold[2];
-bool refused[2];                /* the holder refused in this phase */
+bool refused[2];                /* the holder has refused an order in this phase */
 byte rounds[2];
 byte epoch[2];
-byte haste = HASTE;
+byte early_timeouts = EARLY_TIMEOUTS;
 
-/* What a leader heard last of each rank. */
+/* The last report that a leader received from each rank. */
 bool known[2 * N_RANKS];
-bool heard[2 * N_RANKS];        /* since its hold was seen */
+bool heard[2 * N_RANKS];        /* the rank has reported since the leader saw its own hold in force */
 byte r_epoch[2 * N_RANKS];
 byte r_version[2 * N_RANKS];
 byte r_prepared[2 * N_RANKS];
@@ -91,9 +93,9 @@
 byte r_held[2 * N_RANKS];
 byte r_sequence[2 * N_RANKS];
 
-/* Orders that got no answer. */
+/* Orders whose answer was lost. */
 #if LOST > 0
-mtype late_kind[LOST];          /* 0: free */
+mtype late_kind[LOST];          /* 0: the slot is free */
 byte late_rank[LOST];
 byte late_fence[LOST];
 byte late_epoch[LOST];
@@ -104,20 +106,20 @@
 byte lost;
 
 #ifdef COPY
-byte copied[N_RANKS];           /* the version that is being copied */
-bool waiting[N_RANKS];          /* an order was accepted, its effect is to come */
+byte copied[N_RANKS];           /* the version being copied */
+bool effect_pending[N_RANKS];   /* an order was accepted but has not yet taken effect */
 #endif
 
 #ifdef LEASE
-byte lease;                     /* 0 good, 1 so near its end that no hold may begin, 2 ended */
-bool early[N_RANKS];            /* the hold was ordered before */
+byte lease_state;               /* 0: valid, 1: too close to its end for a new hold, 2: ended */
+bool held_before_limit[N_RANKS]; /* the hold was ordered while lease_state was 0 */
 #endif
 
-byte did;
-byte moved;
-mtype o_kind;
-byte o_version;
-byte o_step;
+byte executed;                  /* the last order changed the state of its rank */
+byte progressed;                /* advance changed the state and must check again */
+mtype order_kind;
+byte order_version;
+byte order_step;
 byte i;
 
 #ifdef NO_FENCE
@@ -131,17 +133,18 @@
 #define EPOCH_FITS(e) ((e) == now_epoch)
 #endif
 #ifdef NO_SEQUENCE
-#define COUNT_FITS(r, s) true
+#define SEQUENCE_FITS(r, s) true
 #else
-#define COUNT_FITS(r, s) ((s) == sequence[r])
+#define SEQUENCE_FITS(r, s) ((s) == sequence[r])
 #endif
 
-/* An engine carries an order out, if it fits. Only an order that does something raises the fence. */
-inline carry_out (r, kind, f, e, s, v, st)
+/* An engine executes an order if its fencing number, epoch and order count are valid. Only an order that
+ * changes the state raises the fence. */
+inline execute_order (r, kind, f, e, s, v, st)
 {
-  did = false;
+  executed = false;
   if
-  :: FENCE_FITS (r, f) && EPOCH_FITS (e) && COUNT_FITS (r, s) ->
+  :: FENCE_FITS (r, f) && EPOCH_FITS (e) && SEQUENCE_FITS (r, s) ->
      if
      :: kind == PREPARE && v > highest[r] && armed[r] == 0 ->
         highest[r] = v;
@@ -150,30 +153,30 @@
 #else
         prepared[r] = v;
 #endif
-        did = true
+        executed = true
      :: kind == HOLD && held[r] == 0 && st > now_step ->
         held[r] = st;
 #ifdef LEASE
-        early[r] = (lease == 0);
+        held_before_limit[r] = (lease_state == 0);
 #endif
-        did = true
+        executed = true
      :: kind == ARM && prepared[r] == v && st > now_step && !(armed[r] == v && armed_step[r] == st) ->
         armed[r] = v;
         armed_step[r] = st;
-        did = true
+        executed = true
      :: kind == DISARM && armed[r] == v && v != 0 ->
         armed[r] = 0;
         armed_step[r] = 0;
-        did = true
+        executed = true
      :: kind == GO && held[r] == st && st != 0 ->
         held[r] = 0;
-        did = true
+        executed = true
      :: else
      fi
   :: else
   fi;
   if
-  :: did ->
+  :: executed ->
      sequence[r]++;
      if
      :: fence[r] < f -> fence[r] = f
@@ -183,23 +186,23 @@
   fi
 }
 
-/* Views. The last rank is named twice in a group of two. */
+/* Conditions on the reports. In a group of two, rank 1 and LAST are the same rank. */
 #define LAST (N_RANKS - 1)
 #define ANY_ARMED(l) (r_armed[V (l, 0)] != 0 || r_armed[V (l, 1)] != 0 || r_armed[V (l, LAST)] != 0)
 #define ANY_HELD(l) (r_held[V (l, 0)] != 0 || r_held[V (l, 1)] != 0 || r_held[V (l, LAST)] != 0)
 #define SAME(l) (r_version[V (l, 0)] == r_version[V (l, 1)] && r_version[V (l, 0)] == r_version[V (l, LAST)])
-#define WHOLE(l) \
+#define ALL_KNOWN(l) \
   (known[V (l, 0)] && known[V (l, 1)] && known[V (l, LAST)] && r_epoch[V (l, 0)] == r_epoch[V (l, 1)] && \
    r_epoch[V (l, 0)] == r_epoch[V (l, LAST)])
 #define HAS_PREPARED(l, r) (r_prepared[V (l, r)] == target[l])
 #define ALL_PREPARED(l) (HAS_PREPARED (l, 0) && HAS_PREPARED (l, 1) && HAS_PREPARED (l, LAST))
 #define IS_ARMED(l, r) (r_armed[V (l, r)] == target[l] && r_armed_step[V (l, r)] == step[l])
 #ifdef NO_BUMP
-#define IS_BUMPED(l, r) true
+#define HAS_CLEARING_VERSION(l, r) true
 #else
-#define IS_BUMPED(l, r) (r_prepared[V (l, r)] == clearing[l])
+#define HAS_CLEARING_VERSION(l, r) (r_prepared[V (l, r)] == clearing[l])
 #endif
-#define IS_CLEAR(l, r) (r_armed[V (l, r)] == 0 && IS_BUMPED (l, r))
+#define IS_CLEAR(l, r) (r_armed[V (l, r)] == 0 && HAS_CLEARING_VERSION (l, r))
 #define IS_CLEARED(l) (IS_CLEAR (l, 0) && IS_CLEAR (l, 1) && IS_CLEAR (l, LAST))
 
 #ifdef NO_HEAR_ALL
@@ -213,11 +216,11 @@
 #define ALL_ARMED(l) (IS_ARMED (l, 0) && IS_ARMED (l, 1) && IS_ARMED (l, LAST))
 #endif
 #ifdef LEASE
-#define MAY_HOLD_NEW(l) (lease == 0)
+#define MAY_HOLD_NEW(l) (lease_state == 0)
 #ifdef LIMIT_ONCE
 #define MAY_HOLD(l) true
 #else
-#define MAY_HOLD(l) (lease == 0)
+#define MAY_HOLD(l) (lease_state == 0)
 #endif
 #ifdef NO_LEASE_LIMIT
 #undef MAY_HOLD_NEW
@@ -234,7 +237,7 @@
 {
   phase[l] = p;
   refused[l] = false;
-  moved = true
+  progressed = true
 }
 
 inline start_clearing (l)
@@ -246,7 +249,7 @@
   set_phase (l, CLEARING)
 }
 
-/* A rank that holds nothing, any of them; when all hold, the one that holds the earliest step. */
+/* Chooses a rank that holds no step or, if all ranks hold one, a rank that holds the earliest step. */
 #define NO_EARLIER(l, r) \
   (r_held[V (l, r)] <= r_held[V (l, 0)] && r_held[V (l, r)] <= r_held[V (l, 1)] && \
    r_held[V (l, r)] <= r_held[V (l, N_RANKS - 1)])
@@ -263,7 +266,7 @@
   fi
 }
 
-/* Without a step left the round is given up; the bound is the model's own. */
+/* Abandons the round if no step is left. Only the model bounds the number of steps. */
 inline choose_step (l)
 {
   step[l] = seen_step[l];
@@ -317,8 +320,8 @@
    r_armed[V (l, 0)] == r_armed[V (l, N_RANKS - 1)])
 #endif
 
-/* A hold that another leader gave is this one's own once the rank has accepted its version: the rank refuses
- * the others from then on. */
+/* A leader takes over the hold of another leader when the rank has prepared its clearing version.
+ * From then on the rank refuses orders of the other leader. */
 #define SECURES_HELD(l) (clearing[l] != 0)
 #define IS_HELD_SECURED(l) \
   (r_held[V (l, holder[l])] != 0 && r_armed[V (l, holder[l])] == 0 && r_prepared[V (l, holder[l])] == clearing[l])
@@ -331,7 +334,7 @@
 #define IS_HOLD_CHANGED(l) ((r_held[V (l, holder[l])] != 0) != SECURES_HELD (l))
 #endif
 
-inline look (l)
+inline choose_next_phase (l)
 {
   target[l] = 0;
   own_hold[l] = false;
@@ -370,13 +373,13 @@
   fi
 }
 
-/* Moves on as far as the reports allow. */
+/* Moves from phase to phase as far as the reports allow. */
 inline advance (l)
 {
   do
-  :: moved = false;
+  :: progressed = false;
      if
-     :: phase[l] == LOOKING && WHOLE (l) -> look (l)
+     :: phase[l] == LOOKING && ALL_KNOWN (l) -> choose_next_phase (l)
      :: phase[l] == CALM && (ANY_ARMED (l) || ANY_HELD (l) || !SAME (l)) -> set_phase (l, LOOKING)
      :: phase[l] == PREPARING && ALL_PREPARED (l) && MAY_HOLD_NEW (l) -> choose_step (l)
      :: phase[l] == HOLDING && !own_hold[l] && r_held[V (l, holder[l])] == step[l] ->
@@ -386,7 +389,7 @@
 #if N_RANKS > 2
         heard[V (l, 2)] = false;
 #endif
-        moved = true
+        progressed = true
      :: phase[l] == HOLDING && own_hold[l] && ALL_HEARD (l) -> set_phase (l, ARMING)
      :: phase[l] == HOLDING && !own_hold[l] && r_held[V (l, holder[l])] != step[l] && !MAY_HOLD (l) ->
         set_phase (l, LOOKING)
@@ -394,7 +397,7 @@
           (refused[l] || seen_step[l] >= step[l]) ->
         choose_step (l)
      :: phase[l] == ARMING && ALL_ARMED (l) -> set_phase (l, LETTING_GO)
-     :: phase[l] == LETTING_GO && own_hold[l] -> own_hold[l] = false; moved = true
+     :: phase[l] == LETTING_GO && own_hold[l] -> own_hold[l] = false; progressed = true
      :: phase[l] == LETTING_GO && !own_hold[l] && !ANY_HELD (l) -> set_phase (l, SETTLING)
      :: phase[l] == SETTLING && !ANY_ARMED (l) && !ANY_HELD (l) && SAME (l) -> set_phase (l, CALM)
      :: phase[l] == SETTLING && ANY_HELD (l) -> set_phase (l, LOOKING)
@@ -413,12 +416,12 @@
      :: else
      fi;
      if
-     :: moved
+     :: progressed
      :: else -> break
      fi
   od;
-  printf ("leader %d is %e, step %d\n", l, phase[l], step[l]);
-  /* What a phase does not use is forgotten, which saves states. */
+  printf ("leader %d is in phase %e, step %d\n", l, phase[l], step[l]);
+  /* Clears variables that the phase does not use, to reduce the number of states. */
   if
   :: phase[l] == LOOKING || phase[l] == CALM || phase[l] == SETTLING ->
      step[l] = 0;
@@ -444,7 +447,7 @@
   fi
 }
 
-inline note_step (l, s)
+inline record_step (l, s)
 {
   if
   :: last_step[l] < s && (rounds[l] > 0 || phase[l] == HOLDING || phase[l] == PREPARING) -> last_step[l] = s
@@ -452,8 +455,8 @@
   fi
 }
 
-/* A rank's report is taken in. */
-inline take_report (l, r)
+/* Handles the report of a rank. */
+inline handle_report (l, r)
 {
   known[V (l, r)] = true;
   heard[V (l, r)] = own_hold[l] && phase[l] == HOLDING;
@@ -466,10 +469,10 @@
   r_sequence[V (l, r)] = sequence[r];
   seen_step[l] = now_step;
 #ifdef COPY
-  waiting[r] = waiting[r] && prepared[r] != highest[r];
+  effect_pending[r] = effect_pending[r] && prepared[r] != highest[r];
 #endif
-  note_step (l, held[r]);
-  note_step (l, armed_step[r]);
+  record_step (l, held[r]);
+  record_step (l, armed_step[r]);
   if
   :: phase[l] != LOOKING && epoch[l] != now_epoch ->
      target[l] = 0;
@@ -478,7 +481,7 @@
   fi
 }
 
-#define IS_NEWS(l, r) \
+#define HAS_UPDATE(l, r) \
   (!known[V (l, r)] || r_epoch[V (l, r)] != now_epoch || r_version[V (l, r)] != version[r] || \
    r_prepared[V (l, r)] != prepared[r] || r_armed[V (l, r)] != armed[r] || \
    r_armed_step[V (l, r)] != armed_step[r] || r_held[V (l, r)] != held[r] || \
@@ -487,32 +490,32 @@
    (seen_step[l] < now_step && (phase[l] == HOLDING || phase[l] == SECURING || phase[l] == CALM)))
 
 #define IS_HOLD_DUE(l) (phase[l] == HOLDING || (phase[l] == SECURING && !SECURES_HELD (l)))
-#define IS_TAKING_BACK(l, r) (phase[l] == CLEARING || (phase[l] == SECURING && SECURES_HELD (l) && r == holder[l]))
+#define IS_CLEARING_RANK(l, r) (phase[l] == CLEARING || (phase[l] == SECURING && SECURES_HELD (l) && r == holder[l]))
 
-/* The order that is due at a rank; o_kind is 0 for none. */
-inline get_order (l, r)
+/* Chooses the order that is due for a rank; order_kind is 0 if there is none. */
+inline choose_order (l, r)
 {
-  o_kind = 0;
-  o_version = target[l];
-  o_step = step[l];
+  order_kind = 0;
+  order_version = target[l];
+  order_step = step[l];
   if
-  :: phase[l] == PREPARING && known[V (l, r)] && r_prepared[V (l, r)] != target[l] -> o_kind = PREPARE
-  :: IS_HOLD_DUE (l) && r == holder[l] && !own_hold[l] -> o_kind = HOLD
-  :: phase[l] == ARMING && !IS_ARMED (l, r) -> o_kind = ARM
-  :: phase[l] == LETTING_GO && r_held[V (l, r)] != 0 -> o_kind = GO; o_step = r_held[V (l, r)]
-  :: IS_TAKING_BACK (l, r) && r_armed[V (l, r)] != 0 -> o_kind = DISARM; o_version = r_armed[V (l, r)]
-  :: IS_TAKING_BACK (l, r) && r_armed[V (l, r)] == 0 && !IS_BUMPED (l, r) ->
-     o_kind = PREPARE;
-     o_version = clearing[l]
-  :: phase[l] == CLEARING && IS_CLEARED (l) && r_held[V (l, r)] != 0 -> o_kind = GO; o_step = r_held[V (l, r)]
+  :: phase[l] == PREPARING && known[V (l, r)] && r_prepared[V (l, r)] != target[l] -> order_kind = PREPARE
+  :: IS_HOLD_DUE (l) && r == holder[l] && !own_hold[l] -> order_kind = HOLD
+  :: phase[l] == ARMING && !IS_ARMED (l, r) -> order_kind = ARM
+  :: phase[l] == LETTING_GO && r_held[V (l, r)] != 0 -> order_kind = GO; order_step = r_held[V (l, r)]
+  :: IS_CLEARING_RANK (l, r) && r_armed[V (l, r)] != 0 -> order_kind = DISARM; order_version = r_armed[V (l, r)]
+  :: IS_CLEARING_RANK (l, r) && r_armed[V (l, r)] == 0 && !HAS_CLEARING_VERSION (l, r) ->
+     order_kind = PREPARE;
+     order_version = clearing[l]
+  :: phase[l] == CLEARING && IS_CLEARED (l) && r_held[V (l, r)] != 0 -> order_kind = GO; order_step = r_held[V (l, r)]
   :: else
   fi
 }
 
 #ifdef GIVER_IS_HOLDER
-#define GIVER(r) (r)
+#define HOLD_SENDER(r) (r)
 #else
-#define GIVER(r) OTHER (r)
+#define HOLD_SENDER(r) OTHER (r)
 #endif
 
 #define HAS_ORDER(l, r) \
@@ -521,16 +524,16 @@
     (IS_HOLD_DUE (l) && r == holder[l] && !own_hold[l]) || \
     (phase[l] == ARMING && !IS_ARMED (l, r)) || \
     (phase[l] == LETTING_GO && r_held[V (l, r)] != 0) || \
-    (IS_TAKING_BACK (l, r) && (r_armed[V (l, r)] != 0 || !IS_BUMPED (l, r))) || \
+    (IS_CLEARING_RANK (l, r) && (r_armed[V (l, r)] != 0 || !HAS_CLEARING_VERSION (l, r))) || \
     (phase[l] == CLEARING && IS_CLEARED (l) && r_held[V (l, r)] != 0)))
-#define REACHES(l, r) (frozen != r && (!IS_HOLD_DUE (l) || frozen != GIVER (r)))
-/* An order that changes nothing and ends nothing need not be played. */
+#define IS_REACHABLE(l, r) (frozen != r && (!IS_HOLD_DUE (l) || frozen != HOLD_SENDER (r)))
+/* An order that neither changes a rank nor ends the leader's term need not be explored. */
 #ifdef NO_FENCE
 #define IS_FENCED_OFF(l, r) false
 #else
 #define IS_FENCED_OFF(l, r) (FENCE (l) < fence[r])
 #endif
-#define IS_CURRENT(l, r) (EPOCH_FITS (epoch[l]) && COUNT_FITS (r, r_sequence[V (l, r)]))
+#define IS_CURRENT(l, r) (EPOCH_FITS (epoch[l]) && SEQUENCE_FITS (r, r_sequence[V (l, r)]))
 
 proctype engines ()
 {
@@ -594,10 +597,10 @@
        if
 #ifndef NEVER_LATE
        :: d_step {
-            printf ("late %e at %d\n", late_kind[n], late_rank[n]);
-            carry_out (late_rank[n], late_kind[n], late_fence[n], late_epoch[n], late_sequence[n], late_version[n],
+            printf ("late order %e reaches rank %d\n", late_kind[n], late_rank[n]);
+            execute_order (late_rank[n], late_kind[n], late_fence[n], late_epoch[n], late_sequence[n], late_version[n],
                        late_step[n]);
-            did = false
+            executed = false
           }
 #endif
        :: skip
@@ -614,7 +617,7 @@
 }
 #endif
 
-inline forget_all (l)
+inline reset_leader (l)
 {
   set_phase (l, LOOKING);
   target[l] = 0;
@@ -640,51 +643,51 @@
   i = 0
 }
 
-inline answer (l, r)
+inline handle_answer (l, r)
 {
   if
-  :: did && phase[l] == SECURING && o_kind == HOLD -> own_hold[l] = true
+  :: executed && phase[l] == SECURING && order_kind == HOLD -> own_hold[l] = true
 #ifdef NO_HELD_SECURED
-     /* An engine that holds the step already says that it is done. */
-  :: !did && phase[l] == SECURING && held[r] == step[l] && IS_CURRENT (l, r) -> own_hold[l] = true
+     /* An engine that already holds the step reports success. */
+  :: !executed && phase[l] == SECURING && held[r] == step[l] && IS_CURRENT (l, r) -> own_hold[l] = true
 #define MAY_REFUSE(l, r) !(phase[l] == SECURING && held[r] == step[l] && IS_CURRENT (l, r))
 #else
 #define MAY_REFUSE(l, r) true
 #endif
-  :: !did && IS_HOLD_DUE (l) && MAY_REFUSE (l, r) -> refused[l] = true
+  :: !executed && IS_HOLD_DUE (l) && MAY_REFUSE (l, r) -> refused[l] = true
   :: else
   fi
 }
 
-inline send (l, r)
+inline send_order (l, r)
 {
-  get_order (l, r);
+  choose_order (l, r);
   if
   :: IS_FENCED_OFF (l, r) ->
-     printf ("leader %d is fenced off by %d\n", l, r);
+     printf ("leader %d is fenced off by rank %d\n", l, r);
      leading[l] = false;
-     forget_all (l)
+     reset_leader (l)
   :: else ->
-     printf ("leader %d orders %e of %d, version %d, step %d\n", l, o_kind, r, o_version, o_step);
-     carry_out (r, o_kind, FENCE (l), epoch[l], r_sequence[V (l, r)], o_version, o_step);
-     answer (l, r);
+     printf ("leader %d sends %e to rank %d, version %d, step %d\n", l, order_kind, r, order_version, order_step);
+     execute_order (r, order_kind, FENCE (l), epoch[l], r_sequence[V (l, r)], order_version, order_step);
+     handle_answer (l, r);
 #ifdef COPY
-     waiting[r] = did && o_kind == PREPARE;
-     assert (did || o_kind != PREPARE);
+     effect_pending[r] = executed && order_kind == PREPARE;
+     assert (executed || order_kind != PREPARE);
 #endif
-     take_report (l, r)
+     handle_report (l, r)
   fi;
-  did = false;
-  o_kind = 0;
-  o_version = 0;
-  o_step = 0
+  executed = false;
+  order_kind = 0;
+  order_version = 0;
+  order_step = 0
 }
 
 #ifdef COPY
 #ifdef NO_WAIT_EFFECT
 #define AWAITS_EFFECT(r) false
 #else
-#define AWAITS_EFFECT(r) waiting[r]
+#define AWAITS_EFFECT(r) effect_pending[r]
 #endif
 #else
 #define AWAITS_EFFECT(r) false
@@ -697,31 +700,31 @@
 #endif
 
 #if LOST > 0
-inline lose (l, r)
+inline lose_answer (l, r)
 {
-  get_order (l, r);
-  printf ("leader %d loses sight of %e to %d, version %d, step %d\n", l, o_kind, r, o_version, o_step);
-  late_kind[lost] = o_kind;
+  choose_order (l, r);
+  printf ("leader %d loses the answer to %e for rank %d, version %d, step %d\n", l, order_kind, r, order_version, order_step);
+  late_kind[lost] = order_kind;
   late_rank[lost] = r;
   late_fence[lost] = FENCE (l);
   late_epoch[lost] = epoch[l];
   late_sequence[lost] = r_sequence[V (l, r)];
-  late_version[lost] = o_version;
-  late_step[lost] = o_step;
+  late_version[lost] = order_version;
+  late_step[lost] = order_step;
   lost++;
-  o_kind = 0;
-  o_version = 0;
-  o_step = 0
+  order_kind = 0;
+  order_version = 0;
+  order_step = 0
 }
 #endif
 
-/* What ends a phase by time. */
+/* Phases that end by a timeout. */
 #define IS_WAITING(l) \
   (leading[l] && (phase[l] == PREPARING || phase[l] == HOLDING || phase[l] == ARMING))
 
 inline time_out (l)
 {
-  printf ("leader %d times out %e\n", l, phase[l]);
+  printf ("leader %d: timeout in phase %e\n", l, phase[l]);
   if
   :: phase[l] == PREPARING -> set_phase (l, LOOKING)
   :: phase[l] == HOLDING && own_hold[l] -> target[l] = 0; set_phase (l, LETTING_GO)
@@ -731,41 +734,41 @@
   fi
 }
 
-/* A leader's dealings with one rank, and with the first what concerns all. */
+/* The part of a leader that handles one rank. The part for rank 0 also handles the whole group. */
 proctype leader (byte l; byte r)
 {
 end:
   do
   :: atomic {
        if
-       :: leading[l] && frozen != r && IS_NEWS (l, r) ->
-          printf ("leader %d hears of rank %d\n", l, r);
-          take_report (l, r)
-       :: HAS_ORDER (l, r) && REACHES (l, r) && !AWAITS_EFFECT (r) &&
+       :: leading[l] && frozen != r && HAS_UPDATE (l, r) ->
+          printf ("leader %d receives a report of rank %d\n", l, r);
+          handle_report (l, r)
+       :: HAS_ORDER (l, r) && IS_REACHABLE (l, r) && !AWAITS_EFFECT (r) &&
             (IS_FENCED_OFF (l, r) || IS_CURRENT (l, r) || REFUSAL_COUNTS (l)) ->
 #ifdef FREEZE
           if
-          :: phase[l] == HOLDING && frozen == NO_ONE -> frozen = GIVER (r)
+          :: phase[l] == HOLDING && frozen == NO_RANK -> frozen = HOLD_SENDER (r)
           :: true
           fi;
 #endif
-          send (l, r)
+          send_order (l, r)
 #if LOST > 0
-       :: HAS_ORDER (l, r) && lost < LOST && !AWAITS_EFFECT (r) -> lose (l, r)
+       :: HAS_ORDER (l, r) && lost < LOST && !AWAITS_EFFECT (r) -> lose_answer (l, r)
 #endif
        :: r == 0 && !started[l] -> started[l] = true; leading[l] = true
-       :: r == 0 && leading[l] && phase[l] == CALM && WHOLE (l) && rounds[l] > 0 ->
+       :: r == 0 && leading[l] && phase[l] == CALM && ALL_KNOWN (l) && rounds[l] > 0 ->
           rounds[l]--;
           last_version[l]++;
           target[l] = l * VERSIONS + last_version[l];
           set_phase (l, PREPARING)
-       :: r == 0 && IS_WAITING (l) && haste > 0 -> haste--; time_out (l)
+       :: r == 0 && IS_WAITING (l) && early_timeouts > 0 -> early_timeouts--; time_out (l)
        :: r == 0 && timeout && IS_WAITING (l) -> time_out (l)
 #ifdef CRASH
-       :: l == 0 && r == 0 && leading[0] -> printf ("leader 0 dies\n"); leading[0] = false; forget_all (0)
+       :: l == 0 && r == 0 && leading[0] -> printf ("leader 0 crashes\n"); leading[0] = false; reset_leader (0)
 #endif
 #ifdef LEASE
-       :: r == 0 && lease == 0 && leading[0] -> lease = 1
+       :: r == 0 && lease_state == 0 && leading[0] -> lease_state = 1
 #endif
        fi;
        advance (l)
@@ -774,24 +777,24 @@
 }
 
 #ifdef LEASE
-/* What was ordered to hold before the limit has time to end, and nothing else has. */
-proctype lapse ()
+/* The lease ends only after all holds that were ordered before the limit have been released. */
+proctype end_lease ()
 {
 end:
   do
   :: atomic {
-       lease == 1 && !(held[0] != 0 && early[0]) && !(held[1] != 0 && early[1]) ->
-       lease = 2;
+       lease_state == 1 && !(held[0] != 0 && held_before_limit[0]) && !(held[1] != 0 && held_before_limit[1]) ->
+       lease_state = 2;
        leading[0] = false;
-       forget_all (0);
+       reset_leader (0);
        advance (0)
      }
   od
 }
 #endif
 
-/* When nothing else can happen. */
-proctype the_end ()
+/* Checks the state in which nothing else can happen. */
+proctype check_final_state ()
 {
 end:
   atomic {
@@ -835,9 +838,9 @@
     run late_order (2);
 #endif
 #ifdef LEASE
-    run lapse ();
+    run end_lease ();
 #endif
-    run the_end ()
+    run check_final_state ()
   }
 #ifdef WITNESS
 end:
--- a/model/run.sh
+++ b/model/run.sh
@@ -5,11 +5,11 @@
 #   run.sh NAME...         run only the named cases
 #   run.sh --trace NAME    print the counterexample of a case that has been run
 #   run.sh --self-test     check that a wrong expectation or an incomplete search is reported
-#   run.sh --cases FILE    take the cases from FILE
+#   run.sh --cases FILE    read the cases from FILE
 #
-# A case that must pass needs a complete search with no error. A case that must fail needs one error,
-# a trail file, and the violated assertion or claim that its line names.
-# Environment: PAN_DEPTH (search depth), PAN_JOBS (parallel cases).
+# A case that is expected to pass needs a complete search without errors. A case that is expected to
+# fail needs an error, a trail file, and a violation of the assertion or claim that its line names.
+# Environment: PAN_DEPTH (search depth), PAN_JOBS (parallel cases), MODEL_OUT (output directory).
 
 set -u
 
@@ -31,7 +31,7 @@
   printf '%s' "$text"
 }
 
-# Text of the violated assertion, or the name of the violated claim.
+# Prints the text of the violated assertion, or the name of the violated claim.
 violation ()
 {
   local log=$1 text
@@ -45,20 +45,20 @@
   printf '%s' "$text"
 }
 
-# Limits that make a search worthless as a proof.
+# Succeeds if the search hit a limit or was approximate, so that its result proves nothing.
 incomplete ()
 {
   grep -q -e 'max search depth too small' -e 'out of memory' -e 'reached -DMEMLIM' \
     -e 'VECTORSZ' -e 'BITSTATE' -e 'hash compact' "$1"
 }
 
-# A search that stopped before its end; expected only where an error stopped it.
+# Succeeds if the search stopped before its end, which is expected only after an error.
 stopped_early ()
 {
   grep -qi 'search not completed' "$1"
 }
 
-# The violation, cut to the part that the case names where it is long.
+# Prints the violation, shortened to the part that the case names if it is long.
 short_violation ()
 {
   local claim=$1 text=$2
@@ -68,7 +68,8 @@
   printf '%s' "${text:0:$VIOLATION_WIDTH}"
 }
 
-judge ()
+# Prints pass, fail, other (a violation that the case does not name) or error.
+classify_result ()
 {
   local expect=$1 claim=$2 log=$3 trail=$4 errors
   errors=$(sed -n 's/^State-vector.*errors: \([0-9]*\).*/\1/p' "$log")
@@ -99,10 +100,10 @@
   case $expect-$kind in
     pass-safety) compile_flags='-DSAFETY'; run_flags="-m$DEPTH" ;;
     fail-safety) compile_flags='-DSAFETY -DBFS'; run_flags="-m$DEPTH" ;;
-    # All runs of the models end (kind ends), so a claim needs no fairness: a run that ends badly is
-    # reported as a cycle that repeats its last state.
+    # All runs of the models end (checked by the cases of kind "ends"), so a claim needs no fairness:
+    # a run that violates it is reported as a cycle that repeats the last state.
     pass-liveness | fail-liveness) compile_flags='-DNOFAIR'; run_flags="-a -m$DEPTH" ;;
-    # No progress label is set, so any cycle is reported.
+    # The models have no progress labels, so every cycle is reported.
     pass-ends) compile_flags='-DNP -DNOFAIR'; run_flags="-l -m$DEPTH" ;;
     *) echo "bad expectation or kind: $expect $kind" > "$dir/log"; compile_flags= ;;
   esac
@@ -114,7 +115,7 @@
       timeout $TIME_LIMIT_S ./pan $run_flags
     ) > "$dir/log" 2>&1
   fi
-  result=$(judge "$expect" "$claim" "$dir/log" "$dir/$file.trail")
+  result=$(classify_result "$expect" "$claim" "$dir/log" "$dir/$file.trail")
   states=$(sed -n 's/^ *\([0-9.e+]*\) states, stored.*/\1/p' "$dir/log" | head -n 1)
   seconds=$(awk -v a="$start" -v b="$(date +%s.%N)" 'BEGIN { printf "%.1f", b - a }')
   # shellcheck disable=SC2059
@@ -153,7 +154,7 @@
   [ "$failed" -eq 0 ] && [ "$passed" -gt 0 ]
 }
 
-# Prints the steps of a counterexample and the variables each step changes.
+# Prints the steps of a counterexample and the variables that each step changes.
 print_trace ()
 {
   local wanted=$1 name file defines
@@ -172,7 +173,7 @@
   return 1
 }
 
-# Runs one line and compares its result and the exit status of the whole run.
+# Runs a list with one line and compares the result and the exit status of run.sh.
 check_line ()
 {
   local title=$1 want_result=$2 want_status=$3 line=$4 depth=${5:-$DEPTH} dir status result
@@ -186,13 +187,13 @@
     echo "self-test: $title: result '$result', status $status"
     return 1
   fi
-  echo "self-test: $title: as it should be"
+  echo "self-test: $title: as expected"
 }
 
 self_test ()
 {
   local failed=0
-  check_line 'a right expectation' pass 0 \
+  check_line 'a correct expectation' pass 0 \
     'right|request.pml|-DMATCH|pass|safety||' || failed=1
   check_line 'a guarded model expected to fail' pass 1 \
     'wrong-fail|request.pml|-DMATCH|fail|safety|request|' || failed=1
