--- a/Makefile
+++ b/Makefile
@@ -1,5 +1,5 @@
-# make demo   installs what is missing, builds, shows the main job
-# make check  the same set-up, then formatter, linter, models and all tests: what CI runs
+# make demo   installs missing packages, builds, and demonstrates the main functions
+# make check  installs missing packages, then runs formatter, linter, models and all tests, as CI does
 BUILD ?= build
 JOBS ?= $(shell nproc)
 
@@ -20,7 +20,7 @@
 	cmake -S . -B $(BUILD)/tsan -DCMAKE_BUILD_TYPE=Debug -DBT_SANITIZE=thread >/dev/null
 	cmake --build $(BUILD)/tsan -j $(JOBS)
 
-# The generated code is committed, so that a build needs no generator.
+# The generated code is committed, so that a build does not need protoc-c.
 proto:
 	protoc-c --proto_path=source/wire --c_out=source/wire/generated source/wire/bilberry.proto
 
@@ -57,18 +57,18 @@
 bench-maps: build
 	$(BUILD)/release/bench_maps
 
-# What the leader of a rank group spends on it, by the size of the group.
+# Measures the cost of leading a rank group, by group size.
 bench-leader: build
 	$(BUILD)/release/bench_leader
 
-# What requests that crash endpoints cost an instance.
+# Measures what requests that crash endpoints cost an instance.
 bench-crashes: build
 	$(BUILD)/release/bench_crashes
 
 bench-policy: build
 	$(BUILD)/release/bench_policy
 
-# Loads on an emulated rank group, several ways of running it side by side.
+# Applies loads to an emulated rank group and compares several ways of operating it.
 FILE ?= examples/experiments/jump.json
 experiment: build
 	$(BUILD)/release/bench_experiment $(FILE)
@@ -76,7 +76,7 @@
 capacity: build
 	$(BUILD)/release/bench_capacity
 
-# One randomized run with faults; the seed decides what is drawn.
+# One randomized run with fault injection; SEED determines all random choices.
 SEED ?= 1
 SECONDS_OF_SOAK ?= 20
 POISON ?= 0
--- a/test/tools/test_operations_page.sh
+++ b/test/tools/test_operations_page.sh
@@ -1,12 +1,12 @@
 #!/bin/bash
-# A new event or metric comes with a change of the code, and on call nobody knows what it says. So
-# each one that the code can write has to stand on the operators' page.
+# Guards against events and metrics that operators cannot look up: a code change adds one, but not its
+# description. Each event and metric that the code can write must be listed on the operations page.
 set -u
 cd "$(dirname "$0")/../.."
 page=docs/OPERATIONS.md
 errors=0
 
-# All C files as one line, so that calls over several lines are found.
+# Joins all C files into one line, so that calls that span several lines are found.
 code=$(find source platform -name '*.c' ! -path '*/generated/*' -exec cat {} + | tr '\n' ' ' | tr -s ' ')
 events=$(grep -oP 'bt_log_event \( ?[^,]+,[^,]+,\K[^,]+|tell_left_out \([^"]*\K|begin_object \([^,]+,[^,]+,\K[^)]+|tell_endpoint \([^,]+,\K[^,]+' <<<"$code" \
   | grep -oP '"\K[a-z-]+(?=")' | sort -u)
--- a/tools/check.sh
+++ b/tools/check.sh
@@ -1,5 +1,5 @@
 #!/bin/bash
-# What CI runs: formatter, linter, models and all tests. Stops at the first part that fails.
+# Runs formatter, linter, models and all tests, as CI does. Stops at the first step that fails.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 run() { echo "== $*"; "$@"; }
--- a/tools/demo.sh
+++ b/tools/demo.sh
@@ -1,6 +1,7 @@
 #!/bin/bash
-# Shows the main job on the stand-ins: three entries, three model engines and a plain service with their
-# agents. Sends real requests, kills one entry on the way, prints what each caller got, and stops.
+# Demonstrates the main functions with the stand-ins: three entries, three model engines and a plain
+# service with their agents. Sends real requests, kills one entry meanwhile and prints what each caller
+# received.
 # Usage: tools/demo.sh BUILD_DIR
 set -euo pipefail
 cd "$(dirname "$0")/.."
@@ -25,7 +26,7 @@
 }
 
 export BILBERRY_SECRET=demo-secret
-echo "== Starting the platform's stand-ins, four endpoints with their agents, and three entries"
+echo "== Starting the stand-ins of the platform, four endpoints with their agents, and three entries"
 start kv "$build/standin-kv" --port $((base + 1)) --life-s 120
 start list "$build/standin-instances" --port $((base + 2)) --life-s 120
 for i in 1 2 3; do
@@ -65,12 +66,12 @@
   done
 fi
 
-ask() { # PORT TOKEN ACCOUNT-TEXT CURL-ARGS...
+ask() { # PORT TOKEN CURL-ARGS...; the variable path holds the path of the URL
   local port=$1 token=$2; shift 2
   curl -s -N --max-time 20 -H "Authorization: Bearer demo-$token" "$@" "http://127.0.0.1:$port$path"
 }
 
-echo "== Waiting until each entry serves"
+echo "== Waiting until each entry serves requests"
 for i in 1 2 3; do
   for _ in $(seq 100); do
     path=/v1/completions
@@ -84,10 +85,10 @@
 echo "== A caller asks which addresses to use"
 path=/v1/addresses ask $((base + 41)) buyers-north; echo
 
-echo "== A draft, streamed whole"
+echo "== A draft, streamed completely"
 path=/v1/completions ask $((base + 41)) buyers-north -d '{"prompt":"ten kilos of shrimp","max_tokens":5}'
 
-echo "== A ticket, and one draft sent twice with it through two entries: it runs once"
+echo "== One draft sent twice with the same ticket through two entries: it runs once"
 ticket=$(path=/v1/addresses ask $((base + 41)) buyers-north -H 'Bilberry-App: order-drafting' \
   -H 'Bilberry-Tickets: 1' | sed -n 's/.*"tickets":\["\([^"]*\)".*/\1/p')
 for port in $((base + 41)) $((base + 42)); do
@@ -97,24 +98,24 @@
 for i in 1 2 3; do curl -s "http://127.0.0.1:$((base + 10 + i))/v1/runs"; done \
   | grep -o '"prompt":"two pallets"' | wc -l | sed 's/^/runs: /'
 
-echo "== A driver's lookup, and what the driver may not do"
+echo "== A lookup by a driver, and a request that the driver is not allowed to send"
 path=/lookup/stock ask $((base + 42)) drivers -d 'shrimp'; echo
 path=/v1/completions ask $((base + 42)) drivers -d '{"prompt":"x"}'
 
-echo "== A bad token"
+echo "== An invalid token"
 path=/v1/completions ask $((base + 42)) nobody -d '{}'
 
-echo "== Twelve drafts, and entry-2 is killed on the way"
+echo "== Twelve drafts; entry-2 is killed meanwhile"
 for n in $(seq 12); do
   port=$((base + 41 + n % 3))
   ( path=/v1/completions
     code=0
     ask $port buyers-south -d "{\"prompt\":\"order $n\",\"max_tokens\":60}" >"$work/draft-$n" || code=$?
-    if [ $code -eq 0 ] && grep -q DONE "$work/draft-$n"; then echo "caller $n by entry-$((n % 3 + 1)): whole, $(grep -c index "$work/draft-$n") tokens"
+    if [ $code -eq 0 ] && grep -q DONE "$work/draft-$n"; then echo "caller $n by entry-$((n % 3 + 1)): complete, $(grep -c index "$work/draft-$n") tokens"
     else
-      echo "caller $n by entry-$((n % 3 + 1)): cut off (curl says $code), asks another entry as a new request"
+      echo "caller $n by entry-$((n % 3 + 1)): cut off (curl exit status $code), sends a new request to another entry"
       ask $((base + 41)) buyers-south -d "{\"prompt\":\"order $n\",\"max_tokens\":60}" >"$work/again-$n" \
-        && grep -q DONE "$work/again-$n" && echo "caller $n by entry-1: whole, $(grep -c index "$work/again-$n") tokens"
+        && grep -q DONE "$work/again-$n" && echo "caller $n by entry-1: complete, $(grep -c index "$work/again-$n") tokens"
     fi ) &
   callers+=($!)
 done
@@ -125,7 +126,7 @@
 echo "== Counters of entry-1"
 curl -s "http://127.0.0.1:$((base + 51))/metrics" | grep -E '^bilberry_(outcomes|refusals)' | grep -v ' 0$'
 
-echo "== The same on a platform whose endpoints speak HTTP: a gateway, the store's stand-in, two runners"
+echo "== The same on a platform with HTTP endpoints: a gateway, the stand-in of the store, two runners"
 start store "$build/standin-haiyun_store" --port $((base + 60)) --life-s 120
 for i in 1 2; do
   RUNNER_ID="i-$i" start "runner-$i" "$build/standin-haiyun_runner" --port $((base + 60 + i)) --life-s 120
@@ -151,7 +152,7 @@
 curl -s "http://127.0.0.1:$((base + 71))/v1/resolve?name=shop.example"; echo
 ask_gateway whole demo-key
 curl -sf -d '{"kind":"cut","count":1,"match":"/stream/"}' "http://127.0.0.1:$((base + 61))/fault" >/dev/null
-echo "   (a runner now cuts one stream in the middle of an event; the other goes on with it)"
+echo "   (one runner now cuts off a stream in the middle of an event; the other resumes it)"
 for i in 1 2 3; do ask_gateway "resumed-$i" demo-key; done
 ask_gateway unknown-key nobody
 grep -h '"event":"request"\|"event":"retry"' "$work/gateway.out" | cut -c1-200 | tail -6
--- a/tools/lint.sh
+++ b/tools/lint.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# Runs clang-tidy over every C file but the generated ones. Usage: tools/lint.sh BUILD_DIR
+# Runs clang-tidy on every C file except generated ones. Usage: tools/lint.sh BUILD_DIR
 set -eu
 cd "$(dirname "$0")/.."
 git ls-files -co --exclude-standard '*.c' | grep -v '\.pb-c\.c$' | xargs -r ls -d 2>/dev/null \
--- a/tools/run-tests.sh
+++ b/tools/run-tests.sh
@@ -1,10 +1,10 @@
 #!/bin/bash
-# Runs the tests of a build folder. Usage: tools/run-tests.sh BUILD_DIR [LABEL_REGEX]
-# A test named in KNOWN-RED.txt may fail; it is printed, and any other failure is an error. A listed
-# test that passes is an error too, so that the list cannot grow stale.
+# Runs the tests of a build directory. Usage: tools/run-tests.sh BUILD_DIR [LABEL_REGEX]
+# A failure of a test listed in KNOWN-RED.txt is only printed; any other failure is an error. A listed
+# test that passes is also an error, so that the list does not become stale.
 #
-# With BT_CTEST_LOG set to a file, judges that output of ctest by the list BT_KNOWN_RED instead of
-# running anything.
+# If BT_CTEST_LOG names a file with the output of ctest, checks that output against the list
+# BT_KNOWN_RED and runs no tests.
 set -u
 cd "$(dirname "$0")/.."
 build=${1:-}
@@ -37,7 +37,7 @@
 done
 for test in $known; do
   if grep -qx "$test" <<<"$passed"; then
-    echo "NO LONGER RED: $test passed; take it out of KNOWN-RED.txt"
+    echo "NO LONGER RED: $test passed; remove it from KNOWN-RED.txt"
     status=1
   fi
 done
--- a/tools/setup.sh
+++ b/tools/setup.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# Installs the Debian packages that a build, a check and the demo need; does nothing when all are there.
+# Installs the Debian packages that build, check and demo need. Does nothing if all are installed.
 set -eu
 packages="gcc make cmake pkg-config clang-format clang-tidy spin protobuf-c-compiler
   libck-dev libprotobuf-c-dev libmicrohttpd-dev libcurl4-openssl-dev libjansson-dev libsodium-dev
