--- a/model/rounds.pml
+++ b/model/rounds.pml
@@ -43,9 +43,10 @@
 #define N_LEADERS 2
 #endif
 
-#define V(l, r) ((l) * N_RANKS + (r))
+/* Index of the report of rank r that leader l received last. */
+#define VIEW(l, r) ((l) * N_RANKS + (r))
 #define FENCE(l) ((l) + 1)
-#define OTHER(r) (((r) + 1) % N_RANKS)
+#define NEXT_RANK(r) (((r) + 1) % N_RANKS)
 
 mtype = { PREPARE, HOLD, ARM, DISARM, GO };
 mtype = { LOOKING, CALM, PREPARING, HOLDING, ARMING, LETTING_GO, SETTLING, SECURING, CLEARING };
@@ -188,27 +189,27 @@
 
 /* Conditions on the reports. In a group of two, rank 1 and LAST are the same rank. */
 #define LAST (N_RANKS - 1)
-#define ANY_ARMED(l) (r_armed[V (l, 0)] != 0 || r_armed[V (l, 1)] != 0 || r_armed[V (l, LAST)] != 0)
-#define ANY_HELD(l) (r_held[V (l, 0)] != 0 || r_held[V (l, 1)] != 0 || r_held[V (l, LAST)] != 0)
-#define SAME(l) (r_version[V (l, 0)] == r_version[V (l, 1)] && r_version[V (l, 0)] == r_version[V (l, LAST)])
+#define ANY_ARMED(l) (r_armed[VIEW (l, 0)] != 0 || r_armed[VIEW (l, 1)] != 0 || r_armed[VIEW (l, LAST)] != 0)
+#define ANY_HELD(l) (r_held[VIEW (l, 0)] != 0 || r_held[VIEW (l, 1)] != 0 || r_held[VIEW (l, LAST)] != 0)
+#define SAME_VERSION(l) (r_version[VIEW (l, 0)] == r_version[VIEW (l, 1)] && r_version[VIEW (l, 0)] == r_version[VIEW (l, LAST)])
 #define ALL_KNOWN(l) \
-  (known[V (l, 0)] && known[V (l, 1)] && known[V (l, LAST)] && r_epoch[V (l, 0)] == r_epoch[V (l, 1)] && \
-   r_epoch[V (l, 0)] == r_epoch[V (l, LAST)])
-#define HAS_PREPARED(l, r) (r_prepared[V (l, r)] == target[l])
+  (known[VIEW (l, 0)] && known[VIEW (l, 1)] && known[VIEW (l, LAST)] && r_epoch[VIEW (l, 0)] == r_epoch[VIEW (l, 1)] && \
+   r_epoch[VIEW (l, 0)] == r_epoch[VIEW (l, LAST)])
+#define HAS_PREPARED(l, r) (r_prepared[VIEW (l, r)] == target[l])
 #define ALL_PREPARED(l) (HAS_PREPARED (l, 0) && HAS_PREPARED (l, 1) && HAS_PREPARED (l, LAST))
-#define IS_ARMED(l, r) (r_armed[V (l, r)] == target[l] && r_armed_step[V (l, r)] == step[l])
+#define IS_ARMED(l, r) (r_armed[VIEW (l, r)] == target[l] && r_armed_step[VIEW (l, r)] == step[l])
 #ifdef NO_BUMP
 #define HAS_CLEARING_VERSION(l, r) true
 #else
-#define HAS_CLEARING_VERSION(l, r) (r_prepared[V (l, r)] == clearing[l])
+#define HAS_CLEARING_VERSION(l, r) (r_prepared[VIEW (l, r)] == clearing[l])
 #endif
-#define IS_CLEAR(l, r) (r_armed[V (l, r)] == 0 && HAS_CLEARING_VERSION (l, r))
+#define IS_CLEAR(l, r) (r_armed[VIEW (l, r)] == 0 && HAS_CLEARING_VERSION (l, r))
 #define IS_CLEARED(l) (IS_CLEAR (l, 0) && IS_CLEAR (l, 1) && IS_CLEAR (l, LAST))
 
 #ifdef NO_HEAR_ALL
 #define ALL_HEARD(l) true
 #else
-#define ALL_HEARD(l) (heard[V (l, 0)] && heard[V (l, 1)] && heard[V (l, LAST)])
+#define ALL_HEARD(l) (heard[VIEW (l, 0)] && heard[VIEW (l, 1)] && heard[VIEW (l, LAST)])
 #endif
 #ifdef NO_ARM_ALL
 #define ALL_ARMED(l) ANY_ARMED (l)
@@ -251,9 +252,9 @@
 
 /* Chooses a rank that holds no step or, if all ranks hold one, a rank that holds the earliest step. */
 #define NO_EARLIER(l, r) \
-  (r_held[V (l, r)] <= r_held[V (l, 0)] && r_held[V (l, r)] <= r_held[V (l, 1)] && \
-   r_held[V (l, r)] <= r_held[V (l, N_RANKS - 1)])
-#define MAY_BE_HOLDER(l, r) (r_held[V (l, r)] == 0 || NO_EARLIER (l, r))
+  (r_held[VIEW (l, r)] <= r_held[VIEW (l, 0)] && r_held[VIEW (l, r)] <= r_held[VIEW (l, 1)] && \
+   r_held[VIEW (l, r)] <= r_held[VIEW (l, N_RANKS - 1)])
+#define MAY_BE_HOLDER(l, r) (r_held[VIEW (l, r)] == 0 || NO_EARLIER (l, r))
 
 inline choose_holder (l)
 {
@@ -304,8 +305,8 @@
   do
   :: i < N_RANKS ->
      if
-     :: r_armed[V (l, i)] != 0 && (step[l] == 0 || r_armed_step[V (l, i)] < step[l]) ->
-        step[l] = r_armed_step[V (l, i)]
+     :: r_armed[VIEW (l, i)] != 0 && (step[l] == 0 || r_armed_step[VIEW (l, i)] < step[l]) ->
+        step[l] = r_armed_step[VIEW (l, i)]
      :: else
      fi;
      i++
@@ -316,22 +317,22 @@
 
 #ifdef COMPLETE_FOUND
 #define SAME_ARMS(l) \
-  (r_armed[V (l, 0)] != 0 && r_armed[V (l, 0)] == r_armed[V (l, 1)] && \
-   r_armed[V (l, 0)] == r_armed[V (l, N_RANKS - 1)])
+  (r_armed[VIEW (l, 0)] != 0 && r_armed[VIEW (l, 0)] == r_armed[VIEW (l, 1)] && \
+   r_armed[VIEW (l, 0)] == r_armed[VIEW (l, N_RANKS - 1)])
 #endif
 
 /* A leader takes over the hold of another leader when the rank has prepared its clearing version.
  * From then on the rank refuses orders of the other leader. */
 #define SECURES_HELD(l) (clearing[l] != 0)
 #define IS_HELD_SECURED(l) \
-  (r_held[V (l, holder[l])] != 0 && r_armed[V (l, holder[l])] == 0 && r_prepared[V (l, holder[l])] == clearing[l])
+  (r_held[VIEW (l, holder[l])] != 0 && r_armed[VIEW (l, holder[l])] == 0 && r_prepared[VIEW (l, holder[l])] == clearing[l])
 
 #ifdef NO_HELD_SECURED
-#define ALL_HOLD(l) (r_held[V (l, 0)] != 0 && r_held[V (l, 1)] != 0 && r_held[V (l, LAST)] != 0)
+#define ALL_HOLD(l) (r_held[VIEW (l, 0)] != 0 && r_held[VIEW (l, 1)] != 0 && r_held[VIEW (l, LAST)] != 0)
 #define IS_HOLD_CHANGED(l) \
-  (r_held[V (l, holder[l])] != 0 && (!ALL_HOLD (l) || r_held[V (l, holder[l])] != step[l]))
+  (r_held[VIEW (l, holder[l])] != 0 && (!ALL_HOLD (l) || r_held[VIEW (l, holder[l])] != step[l]))
 #else
-#define IS_HOLD_CHANGED(l) ((r_held[V (l, holder[l])] != 0) != SECURES_HELD (l))
+#define IS_HOLD_CHANGED(l) ((r_held[VIEW (l, holder[l])] != 0) != SECURES_HELD (l))
 #endif
 
 inline choose_next_phase (l)
@@ -339,11 +340,11 @@
   target[l] = 0;
   own_hold[l] = false;
   clearing[l] = 0;
-  epoch[l] = r_epoch[V (l, 0)];
+  epoch[l] = r_epoch[VIEW (l, 0)];
   if
   :: !ANY_ARMED (l) && !ANY_HELD (l) ->
      if
-     :: SAME (l) -> step[l] = 0; set_phase (l, CALM)
+     :: SAME_VERSION (l) -> step[l] = 0; set_phase (l, CALM)
      :: else
      fi
 #ifdef COMPLETE_FOUND
@@ -358,10 +359,10 @@
      choose_holder (l);
      if
 #ifdef NO_HELD_SECURED
-     :: seen_step[l] < step[l] && MAY_HOLD (l) && (r_held[V (l, holder[l])] == 0 || r_held[V (l, holder[l])] == step[l]) -> set_phase (l, SECURING)
+     :: seen_step[l] < step[l] && MAY_HOLD (l) && (r_held[VIEW (l, holder[l])] == 0 || r_held[VIEW (l, holder[l])] == step[l]) -> set_phase (l, SECURING)
 #else
-     :: seen_step[l] < step[l] && r_held[V (l, holder[l])] == 0 && MAY_HOLD (l) -> set_phase (l, SECURING)
-     :: seen_step[l] < step[l] && r_held[V (l, holder[l])] != 0 && r_held[V (l, holder[l])] <= step[l] ->
+     :: seen_step[l] < step[l] && r_held[VIEW (l, holder[l])] == 0 && MAY_HOLD (l) -> set_phase (l, SECURING)
+     :: seen_step[l] < step[l] && r_held[VIEW (l, holder[l])] != 0 && r_held[VIEW (l, holder[l])] <= step[l] ->
         last_version[l]++;
         assert (last_version[l] < VERSIONS);
         clearing[l] = l * VERSIONS + last_version[l];
@@ -380,26 +381,26 @@
   :: progressed = false;
      if
      :: phase[l] == LOOKING && ALL_KNOWN (l) -> choose_next_phase (l)
-     :: phase[l] == CALM && (ANY_ARMED (l) || ANY_HELD (l) || !SAME (l)) -> set_phase (l, LOOKING)
+     :: phase[l] == CALM && (ANY_ARMED (l) || ANY_HELD (l) || !SAME_VERSION (l)) -> set_phase (l, LOOKING)
      :: phase[l] == PREPARING && ALL_PREPARED (l) && MAY_HOLD_NEW (l) -> choose_step (l)
-     :: phase[l] == HOLDING && !own_hold[l] && r_held[V (l, holder[l])] == step[l] ->
+     :: phase[l] == HOLDING && !own_hold[l] && r_held[VIEW (l, holder[l])] == step[l] ->
         own_hold[l] = true;
-        heard[V (l, 0)] = false;
-        heard[V (l, 1)] = false;
+        heard[VIEW (l, 0)] = false;
+        heard[VIEW (l, 1)] = false;
 #if N_RANKS > 2
-        heard[V (l, 2)] = false;
+        heard[VIEW (l, 2)] = false;
 #endif
         progressed = true
      :: phase[l] == HOLDING && own_hold[l] && ALL_HEARD (l) -> set_phase (l, ARMING)
-     :: phase[l] == HOLDING && !own_hold[l] && r_held[V (l, holder[l])] != step[l] && !MAY_HOLD (l) ->
+     :: phase[l] == HOLDING && !own_hold[l] && r_held[VIEW (l, holder[l])] != step[l] && !MAY_HOLD (l) ->
         set_phase (l, LOOKING)
-     :: phase[l] == HOLDING && !own_hold[l] && r_held[V (l, holder[l])] != step[l] && MAY_HOLD (l) &&
+     :: phase[l] == HOLDING && !own_hold[l] && r_held[VIEW (l, holder[l])] != step[l] && MAY_HOLD (l) &&
           (refused[l] || seen_step[l] >= step[l]) ->
         choose_step (l)
      :: phase[l] == ARMING && ALL_ARMED (l) -> set_phase (l, LETTING_GO)
      :: phase[l] == LETTING_GO && own_hold[l] -> own_hold[l] = false; progressed = true
      :: phase[l] == LETTING_GO && !own_hold[l] && !ANY_HELD (l) -> set_phase (l, SETTLING)
-     :: phase[l] == SETTLING && !ANY_ARMED (l) && !ANY_HELD (l) && SAME (l) -> set_phase (l, CALM)
+     :: phase[l] == SETTLING && !ANY_ARMED (l) && !ANY_HELD (l) && SAME_VERSION (l) -> set_phase (l, CALM)
      :: phase[l] == SETTLING && ANY_HELD (l) -> set_phase (l, LOOKING)
      :: phase[l] == SECURING && own_hold[l] -> start_clearing (l)
      :: phase[l] == SECURING && SECURES_HELD (l) && IS_HELD_SECURED (l) ->
@@ -436,9 +437,9 @@
   fi;
   if
   :: phase[l] != HOLDING ->
-     heard[V (l, 0)] = false;
-     heard[V (l, 1)] = false;
-     heard[V (l, LAST)] = false;
+     heard[VIEW (l, 0)] = false;
+     heard[VIEW (l, 1)] = false;
+     heard[VIEW (l, LAST)] = false;
      if
      :: rounds[l] == 0 && phase[l] != PREPARING -> last_step[l] = 0
      :: else
@@ -458,15 +459,15 @@
 /* Handles the report of a rank. */
 inline handle_report (l, r)
 {
-  known[V (l, r)] = true;
-  heard[V (l, r)] = own_hold[l] && phase[l] == HOLDING;
-  r_epoch[V (l, r)] = now_epoch;
-  r_version[V (l, r)] = version[r];
-  r_prepared[V (l, r)] = prepared[r];
-  r_armed[V (l, r)] = armed[r];
-  r_armed_step[V (l, r)] = armed_step[r];
-  r_held[V (l, r)] = held[r];
-  r_sequence[V (l, r)] = sequence[r];
+  known[VIEW (l, r)] = true;
+  heard[VIEW (l, r)] = own_hold[l] && phase[l] == HOLDING;
+  r_epoch[VIEW (l, r)] = now_epoch;
+  r_version[VIEW (l, r)] = version[r];
+  r_prepared[VIEW (l, r)] = prepared[r];
+  r_armed[VIEW (l, r)] = armed[r];
+  r_armed_step[VIEW (l, r)] = armed_step[r];
+  r_held[VIEW (l, r)] = held[r];
+  r_sequence[VIEW (l, r)] = sequence[r];
   seen_step[l] = now_step;
 #ifdef COPY
   effect_pending[r] = effect_pending[r] && prepared[r] != highest[r];
@@ -482,11 +483,11 @@
 }
 
 #define HAS_UPDATE(l, r) \
-  (!known[V (l, r)] || r_epoch[V (l, r)] != now_epoch || r_version[V (l, r)] != version[r] || \
-   r_prepared[V (l, r)] != prepared[r] || r_armed[V (l, r)] != armed[r] || \
-   r_armed_step[V (l, r)] != armed_step[r] || r_held[V (l, r)] != held[r] || \
-   r_sequence[V (l, r)] != sequence[r] || \
-   (phase[l] == HOLDING && own_hold[l] && !heard[V (l, r)]) || \
+  (!known[VIEW (l, r)] || r_epoch[VIEW (l, r)] != now_epoch || r_version[VIEW (l, r)] != version[r] || \
+   r_prepared[VIEW (l, r)] != prepared[r] || r_armed[VIEW (l, r)] != armed[r] || \
+   r_armed_step[VIEW (l, r)] != armed_step[r] || r_held[VIEW (l, r)] != held[r] || \
+   r_sequence[VIEW (l, r)] != sequence[r] || \
+   (phase[l] == HOLDING && own_hold[l] && !heard[VIEW (l, r)]) || \
    (seen_step[l] < now_step && (phase[l] == HOLDING || phase[l] == SECURING || phase[l] == CALM)))
 
 #define IS_HOLD_DUE(l) (phase[l] == HOLDING || (phase[l] == SECURING && !SECURES_HELD (l)))
@@ -499,15 +500,15 @@
   order_version = target[l];
   order_step = step[l];
   if
-  :: phase[l] == PREPARING && known[V (l, r)] && r_prepared[V (l, r)] != target[l] -> order_kind = PREPARE
+  :: phase[l] == PREPARING && known[VIEW (l, r)] && r_prepared[VIEW (l, r)] != target[l] -> order_kind = PREPARE
   :: IS_HOLD_DUE (l) && r == holder[l] && !own_hold[l] -> order_kind = HOLD
   :: phase[l] == ARMING && !IS_ARMED (l, r) -> order_kind = ARM
-  :: phase[l] == LETTING_GO && r_held[V (l, r)] != 0 -> order_kind = GO; order_step = r_held[V (l, r)]
-  :: IS_CLEARING_RANK (l, r) && r_armed[V (l, r)] != 0 -> order_kind = DISARM; order_version = r_armed[V (l, r)]
-  :: IS_CLEARING_RANK (l, r) && r_armed[V (l, r)] == 0 && !HAS_CLEARING_VERSION (l, r) ->
+  :: phase[l] == LETTING_GO && r_held[VIEW (l, r)] != 0 -> order_kind = GO; order_step = r_held[VIEW (l, r)]
+  :: IS_CLEARING_RANK (l, r) && r_armed[VIEW (l, r)] != 0 -> order_kind = DISARM; order_version = r_armed[VIEW (l, r)]
+  :: IS_CLEARING_RANK (l, r) && r_armed[VIEW (l, r)] == 0 && !HAS_CLEARING_VERSION (l, r) ->
      order_kind = PREPARE;
      order_version = clearing[l]
-  :: phase[l] == CLEARING && IS_CLEARED (l) && r_held[V (l, r)] != 0 -> order_kind = GO; order_step = r_held[V (l, r)]
+  :: phase[l] == CLEARING && IS_CLEARED (l) && r_held[VIEW (l, r)] != 0 -> order_kind = GO; order_step = r_held[VIEW (l, r)]
   :: else
   fi
 }
@@ -515,17 +516,17 @@
 #ifdef GIVER_IS_HOLDER
 #define HOLD_SENDER(r) (r)
 #else
-#define HOLD_SENDER(r) OTHER (r)
+#define HOLD_SENDER(r) NEXT_RANK (r)
 #endif
 
 #define HAS_ORDER(l, r) \
-  (leading[l] && known[V (l, r)] && \
-   ((phase[l] == PREPARING && r_prepared[V (l, r)] != target[l]) || \
+  (leading[l] && known[VIEW (l, r)] && \
+   ((phase[l] == PREPARING && r_prepared[VIEW (l, r)] != target[l]) || \
     (IS_HOLD_DUE (l) && r == holder[l] && !own_hold[l]) || \
     (phase[l] == ARMING && !IS_ARMED (l, r)) || \
-    (phase[l] == LETTING_GO && r_held[V (l, r)] != 0) || \
-    (IS_CLEARING_RANK (l, r) && (r_armed[V (l, r)] != 0 || !HAS_CLEARING_VERSION (l, r))) || \
-    (phase[l] == CLEARING && IS_CLEARED (l) && r_held[V (l, r)] != 0)))
+    (phase[l] == LETTING_GO && r_held[VIEW (l, r)] != 0) || \
+    (IS_CLEARING_RANK (l, r) && (r_armed[VIEW (l, r)] != 0 || !HAS_CLEARING_VERSION (l, r))) || \
+    (phase[l] == CLEARING && IS_CLEARED (l) && r_held[VIEW (l, r)] != 0)))
 #define IS_REACHABLE(l, r) (frozen != r && (!IS_HOLD_DUE (l) || frozen != HOLD_SENDER (r)))
 /* An order that neither changes a rank nor ends the leader's term need not be explored. */
 #ifdef NO_FENCE
@@ -533,7 +534,7 @@
 #else
 #define IS_FENCED_OFF(l, r) (FENCE (l) < fence[r])
 #endif
-#define IS_CURRENT(l, r) (EPOCH_FITS (epoch[l]) && SEQUENCE_FITS (r, r_sequence[V (l, r)]))
+#define IS_CURRENT(l, r) (EPOCH_FITS (epoch[l]) && SEQUENCE_FITS (r, r_sequence[VIEW (l, r)]))
 
 proctype engines ()
 {
@@ -629,14 +630,14 @@
   i = 0;
   do
   :: i < N_RANKS ->
-     known[V (l, i)] = false;
-     r_epoch[V (l, i)] = 0;
-     r_version[V (l, i)] = 0;
-     r_prepared[V (l, i)] = 0;
-     r_armed[V (l, i)] = 0;
-     r_armed_step[V (l, i)] = 0;
-     r_held[V (l, i)] = 0;
-     r_sequence[V (l, i)] = 0;
+     known[VIEW (l, i)] = false;
+     r_epoch[VIEW (l, i)] = 0;
+     r_version[VIEW (l, i)] = 0;
+     r_prepared[VIEW (l, i)] = 0;
+     r_armed[VIEW (l, i)] = 0;
+     r_armed_step[VIEW (l, i)] = 0;
+     r_held[VIEW (l, i)] = 0;
+     r_sequence[VIEW (l, i)] = 0;
      i++
   :: else -> break
   od;
@@ -669,7 +670,7 @@
      reset_leader (l)
   :: else ->
      printf ("leader %d sends %e to rank %d, version %d, step %d\n", l, order_kind, r, order_version, order_step);
-     execute_order (r, order_kind, FENCE (l), epoch[l], r_sequence[V (l, r)], order_version, order_step);
+     execute_order (r, order_kind, FENCE (l), epoch[l], r_sequence[VIEW (l, r)], order_version, order_step);
      handle_answer (l, r);
 #ifdef COPY
      effect_pending[r] = executed && order_kind == PREPARE;
@@ -708,7 +709,7 @@
   late_rank[lost] = r;
   late_fence[lost] = FENCE (l);
   late_epoch[lost] = epoch[l];
-  late_sequence[lost] = r_sequence[V (l, r)];
+  late_sequence[lost] = r_sequence[VIEW (l, r)];
   late_version[lost] = order_version;
   late_step[lost] = order_step;
   lost++;
