--- a/tools/demo.sh
+++ b/tools/demo.sh
@@ -1,7 +1,7 @@
 #!/bin/bash
 # Demonstrates the main functions with the stand-ins: three entries, three model engines and a plain
 # service with their agents. Sends real requests, kills one entry meanwhile and prints what each caller
-# received. Stops all of them at the end.
+# received. Stops all processes at the end.
 # Usage: tools/demo.sh BUILD_DIR
 set -euo pipefail
 cd "$(dirname "$0")/.."
