--- a/bench/bench_capacity.c
+++ b/bench/bench_capacity.c
@@ -217,7 +217,7 @@
 bench_in_force (bt_context_t *ctx)
 {
   static const char *const names[] = { "no fault", "1 frame in 20 lost", "an entry dies each time",
-                                       "no hand-over", "and every watch silent" };
+                                       "no push", "and every watch silent" };
 
   printf ("\n## From the write to in force on the last entry\n\n"
           "| way | entries | p50 ms | p99 ms | worst ms | calls/s |\n|---|--:|--:|--:|--:|--:|\n");
@@ -418,8 +418,8 @@
 static void
 bench_entry_processes (void)
 {
-  /* bt_new_testbed waits until every entry is linked to every agent. That does not happen with more
-   * than eight entries. */
+  /* An agent has links to at most eight entries. With more of them, not every entry is linked to
+   * every agent, and bt_new_testbed does not wait for the links. */
   static const int32_t sizes[] = { 2, 4, 6, 8 };
   char *rules = bt_make_version_rules ("start");
   double x[SIZES];
--- a/bench/drift.h
+++ b/bench/drift.h
@@ -119,7 +119,7 @@
   bt_free (ctx, drift);
 }
 
-/* Rises from 0 to 1 within SHIFT_MS after @p start_ms. */
+/* Returns a factor that is 0 until @p start_ms and then rises linearly to 1 within SHIFT_MS. */
 static double
 ramp (int64_t now_ms, int64_t start_ms)
 {
--- a/bench/harness_group.h
+++ b/bench/harness_group.h
@@ -8,8 +8,8 @@
  *
  * A pass takes a fixed time, plus the own work of the rank with most work, plus for each set the
  * work of the rank whose experts are selected most. A stream gets one event per pass. Ranks
- * report their selection counts every 100 ms. A new map is in use three passes after all ranks
- * have copied their experts.
+ * report their selection counts every 100 ms. A new map is in use three passes after all ranks have
+ * copied their experts and 100 ms for the orders of the round have passed.
  */
 
 #include "group_maps.h"
@@ -37,7 +37,8 @@
   int64_t duration_ms;
   double skew; /**< Exponent of the power law of expert popularity. */
   bt_shift_kind_t shift;
-  double shift_share; /**< Share of sets that a jump, or of experts that a drift changes. */
+  double shift_share; /**< Share of the sets that a jump changes, or of the experts that a drift
+                         changes. */
   int64_t shift_ms;   /**< Time between two shifts. */
 } bt_group_load_t;
 
--- a/bench/harness_memory.h
+++ b/bench/harness_memory.h
@@ -15,7 +15,7 @@
 typedef struct bt_memory_case
 {
   const char *name;
-  /** Makes an object that holds @p count of them. */
+  /** Makes an object that holds @p count items of this kind. */
   void *(*make) (bt_context_t *ctx, int32_t count);
   void (*drop) (bt_context_t *ctx, void *object);
 } bt_memory_case_t;
--- a/bench/harness_sync.h
+++ b/bench/harness_sync.h
@@ -55,10 +55,12 @@
   double change_bytes;  /**< Bytes that one entry sends for one change, beyond idle traffic. */
   double change_calls;  /**< Store calls of all entries for one change, beyond idle calls. */
   double change_cpu_us; /**< CPU time of one entry for one change, beyond idle. */
-  int64_t p50_ms;       /**< From the write until in force on the last entry, median. */
+  int64_t p50_ms;       /**< Time from the write until the change is in force on all entries,
+                             median. */
   int64_t p99_ms;
   int64_t worst_ms;
-  double outage_calls_s; /**< Calls of all entries in an outage, after its first ten seconds. */
+  double outage_calls_s; /**< Store calls per second of all entries in an outage, after its first
+                             ten seconds. */
   double recovery_calls; /**< Store calls of all entries in the busiest second after an outage. */
 } bt_sync_metrics_t;
 
--- a/test/agent/test_sidecar.c
+++ b/test/agent/test_sidecar.c
@@ -201,11 +201,11 @@
                                             .beat_ms = 100,
                                             .link_idle_ms = 10000,
                                             .max_links = 4 };
-  bt_standin_callbacks_t routes = { &engine, answer_call, NULL };
+  bt_standin_callbacks_t callbacks = { &engine, answer_call, NULL };
   bt_error_t error = { 0 };
 
   ctx = bt_new_context ();
-  standin = bt_start_standin (0, &routes);
+  standin = bt_start_standin (0, &callbacks);
   snprintf (address, sizeof address, "127.0.0.1:%d", bt_get_standin_port (standin));
   snprintf (listen, sizeof listen, "127.0.0.1:%d", find_port ());
   atomic_store (&engine.born, 100);
--- a/test/base/test_event_log.c
+++ b/test/base/test_event_log.c
@@ -149,8 +149,8 @@
 }
 
 /* The reader of the log stops while the process logs many events. The process must not block; lines
- * are lost and counted. When the reader continues, it gets whole lines and then an event with the
- * number of lost lines and how many of them were failures. */
+ * are lost and counted. When the reader continues, it gets complete lines and then an event with
+ * the number of lost lines and how many of them were failures. */
 static void
 test_stopped_reader_loses_lines_without_blocking (void)
 {
--- a/test/config/config_world.h
+++ b/test/config/config_world.h
@@ -742,10 +742,10 @@
 
 /* Blocks all messages to and from a node, or lets them through again. */
 static inline void
-sim_isolate_node (simulation_t *sim, int32_t node, bool cut)
+sim_isolate_node (simulation_t *sim, int32_t node, bool isolated)
 {
   for (int32_t i = 0; i < SIM_NODES; i++)
-    sim->blocked[node][i] = sim->blocked[i][node] = cut;
+    sim->blocked[node][i] = sim->blocked[i][node] = isolated;
 }
 
 /* Replaces an entry by a new process with the same instance name. */
--- a/test/core/test_membership.c
+++ b/test/core/test_membership.c
@@ -21,14 +21,14 @@
 open_link (fixture_t *fixture, const char *instance, uint64_t incarnation, int64_t now_ms)
 {
   bt_member_hello_t hello = { .role = BT_LISTED_ENTRY, .address = "", .failure_domain = "hall-0" };
-  bt_link_result_t verdict;
+  bt_link_result_t result;
   uint64_t replaced;
 
   bt_copy_name (hello.identity.instance, instance);
   hello.identity.incarnation = incarnation;
-  verdict = bt_open_member_link (fixture->ctx, fixture->membership, &hello, now_ms, &replaced);
+  result = bt_open_member_link (fixture->ctx, fixture->membership, &hello, now_ms, &replaced);
   bt_handle_member_heartbeat (fixture->membership, &hello.identity, false, true, now_ms);
-  return verdict;
+  return result;
 }
 
 static void
@@ -108,8 +108,8 @@
 }
 
 /* Guards against callers that are sent to a leaving entry, which the list still shows as live. A
- * heartbeat sent before the leaving and delivered late must not revoke it; a new incarnation
- * does. */
+ * heartbeat that was sent before the entry began to leave and arrives late must not make it
+ * advertised again; a new incarnation does. */
 static void
 test_leaving_entry_is_not_advertised (void)
 {
--- a/test/core/test_subset.c
+++ b/test/core/test_subset.c
@@ -62,8 +62,9 @@
   bt_drop_context (ctx);
 }
 
-/* Guards against moving most links when one entry instance is replaced: only the links to the
- * replaced instance may move. */
+/* Guards against drawing all subsets anew when one entry instance is replaced: every agent would
+ * dial eight other entries at once, and every entry would lose most of its links. Only the links to
+ * the replaced instance may move. */
 static void
 test_replacing_one_entry_moves_one_link (void)
 {
--- a/test/gateway/test_endpoint_table.c
+++ b/test/gateway/test_endpoint_table.c
@@ -53,8 +53,8 @@
 }
 
 /* An entry instance that alone was cut off from the store has reached it again, and just then an
- * endpoint leaves. Its entry could have lapsed with the store and be listed again, but requests
- * must not be sent to the endpoint for that long. */
+ * endpoint leaves. Its store item could have lapsed during the outage and be written again, but
+ * requests must not be sent to the endpoint for that long. */
 static void
 test_endpoint_that_leaves_after_an_outage_is_removed_in_time (void)
 {
@@ -145,8 +145,8 @@
   drop_table ();
 }
 
-/* Guards against an outlier verdict that outlives its process: an endpoint that failed until it was
- * taken out as an outlier is restarted by its operator, and the new process must get requests. */
+/* Guards against an ejection that outlives its process: an endpoint that failed until it was
+ * ejected is restarted by its operator, and the new process must get requests. */
 static void
 test_new_start_is_no_outlier (void)
 {
@@ -194,11 +194,11 @@
   drop_table ();
 }
 
-/* Guards against applying an old start's entry to the new one: the old process's last write, that
- * it is leaving, arrives after the new one has listed itself. The new one must still get
- * requests. */
+/* Guards against applying the store item of an old start to the new one: the old process's last
+ * write, which says that it is leaving, arrives after the new one has listed itself. The new one
+ * must still get requests. */
 static void
-test_late_entry_of_an_old_start_is_ignored (void)
+test_late_item_of_an_old_start_is_ignored (void)
 {
   create_table ();
   list_start (SECOND_START_MS);
@@ -304,7 +304,7 @@
   CU_ADD_TEST (suite, test_new_start_has_free_slots);
   CU_ADD_TEST (suite, test_new_start_is_no_outlier);
   CU_ADD_TEST (suite, test_new_start_is_used_after_the_earlier_one_was_gone);
-  CU_ADD_TEST (suite, test_late_entry_of_an_old_start_is_ignored);
+  CU_ADD_TEST (suite, test_late_item_of_an_old_start_is_ignored);
   CU_ADD_TEST (suite, test_new_start_does_not_inherit_missing_time);
   CU_ADD_TEST (suite, test_endpoint_without_start_time_is_used);
   CU_ADD_TEST (suite, test_unannounced_end_is_reported);
--- a/test/gateway/test_group_control.c
+++ b/test/gateway/test_group_control.c
@@ -57,24 +57,24 @@
 }
 
 static bool
-grant (bt_context_t *unused, bt_kv_t *kv, int64_t life_s, int64_t *lease, bt_error_t *error)
+grant (bt_context_t *unused, bt_kv_t *kv, int64_t ttl_s, int64_t *lease, bt_error_t *error)
 {
   (void)unused;
   (void)kv;
-  (void)life_s;
+  (void)ttl_s;
   (void)error;
   *lease = LEASE;
   return true;
 }
 
 static bool
-renew (bt_context_t *unused, bt_kv_t *kv, int64_t lease, int64_t *life_s, bt_error_t *error)
+renew (bt_context_t *unused, bt_kv_t *kv, int64_t lease, int64_t *ttl_s, bt_error_t *error)
 {
   (void)unused;
   (void)kv;
   (void)lease;
   (void)error;
-  *life_s = LEASE_S;
+  *ttl_s = LEASE_S;
   atomic_fetch_add (&renewed, 1);
   return true;
 }
@@ -131,7 +131,7 @@
 /** A run of the group control on an event loop, until its condition or a time limit is reached. */
 typedef struct control_run
 {
-  bt_loop_hook_t turn;
+  bt_loop_hook_t hook;
   bt_timer_t timer;
   bt_event_loop_t *loop;
   bt_agent_links_t *links;
@@ -165,7 +165,7 @@
       bt_new_group_control (ctx, control_run->loop, control_run->links, &options);
   control_run->end_ms = bt_now_ms (ctx) + LIMIT_MS;
   bt_set_group_view (control_run->control, &control_run->view, false);
-  bt_add_loop_hook (control_run->loop, &control_run->turn);
+  bt_add_loop_hook (control_run->loop, &control_run->hook);
   control_run->timer.on_expiry (&control_run->timer);
   bt_run_event_loop (control_run->loop);
   bt_drop_group_control (ctx, control_run->control);
@@ -183,9 +183,9 @@
 }
 
 static void
-check_leaving (bt_loop_hook_t *turn)
+check_leaving (bt_loop_hook_t *hook)
 {
-  control_run_t *control_run = (control_run_t *)turn;
+  control_run_t *control_run = (control_run_t *)hook;
 
   bt_run_group_control (control_run->control);
   if (!control_run->leaving && atomic_load (&renewed) > 1)
@@ -202,7 +202,7 @@
 static void
 test_leaving_leader_releases_the_lease (void)
 {
-  control_run_t control_run = { .turn = { .on_iteration = check_leaving },
+  control_run_t control_run = { .hook = { .on_iteration = check_leaving },
                                 .timer = { .on_expiry = rearm_timer } };
 
   run_control (&control_run);
@@ -221,9 +221,9 @@
 }
 
 static void
-check_handover (bt_loop_hook_t *turn)
+check_handover (bt_loop_hook_t *hook)
 {
-  control_run_t *control_run = (control_run_t *)turn;
+  control_run_t *control_run = (control_run_t *)hook;
   int32_t release_count = atomic_load (&released);
 
   bt_run_group_control (control_run->control);
@@ -242,7 +242,7 @@
 test_leader_hands_over_once_to_larger_instance (void)
 {
   bt_listed_entry_t other = { .identity = { .instance = "two" }, .cores = 0.5 };
-  control_run_t control_run = { .turn = { .on_iteration = check_handover },
+  control_run_t control_run = { .hook = { .on_iteration = check_handover },
                                 .timer = { .on_expiry = apply_view_again },
                                 .view = { .entries = &other, .entry_count = 1 } };
 
--- a/test/gateway/test_group_load.c
+++ b/test/gateway/test_group_load.c
@@ -41,7 +41,7 @@
 }
 
 static bt_group_result_t
-run_load (const bt_group_load_t *load, const bt_group_variant_t *way)
+run_load (const bt_group_load_t *load, const bt_group_variant_t *variant)
 {
   bt_context_t *ctx = bt_new_context ();
   bt_group_result_t sum = { 0 };
@@ -50,7 +50,7 @@
     {
       bt_group_result_t result;
 
-      bt_simulate_group (ctx, load, way, seed, &result);
+      bt_simulate_group (ctx, load, variant, seed, &result);
       CU_ASSERT_EQUAL (result.in_time + result.late + result.abandoned, result.requests);
       sum.requests += result.requests;
       sum.in_time += result.in_time;
--- a/test/gateway/test_view.c
+++ b/test/gateway/test_view.c
@@ -7,14 +7,14 @@
 
 enum
 {
-  MOST_ITEMS = 8,
+  MAX_ITEMS = 8,
   VALUE_BYTES = 512,
 };
 
 static bt_context_t *ctx;
-static bt_kv_pair_t pairs[MOST_ITEMS];
-static char keys[MOST_ITEMS][VALUE_BYTES];
-static char values[MOST_ITEMS][VALUE_BYTES];
+static bt_kv_pair_t pairs[MAX_ITEMS];
+static char keys[MAX_ITEMS][VALUE_BYTES];
+static char values[MAX_ITEMS][VALUE_BYTES];
 static bt_kv_range_t range;
 
 static void
--- a/test/load/test_policy_invariants.c
+++ b/test/load/test_policy_invariants.c
@@ -18,11 +18,11 @@
   MAX_DEADLINE_MS = 2000,
 };
 
-/* Events of a random run over an agent's queue. */
+/* Counts of a random run of an agent's queue. */
 typedef struct run_counts
 {
   int32_t running;
-  int32_t waiting;
+  int32_t queued;
   int32_t offered[ACCOUNTS];
   int32_t started[ACCOUNTS];
 } run_counts_t;
@@ -35,16 +35,16 @@
 
 /* Records a decision. The number of a request modulo ACCOUNTS is its account. */
 static void
-record_decision (run_counts_t *counts, const bt_run_decision_t *decision, bool was_waiting)
+record_decision (run_counts_t *counts, const bt_run_decision_t *decision, bool was_queued)
 {
-  counts->waiting -= was_waiting ? 1 : 0;
+  counts->queued -= was_queued ? 1 : 0;
   if (decision->action == BT_RUN_START)
     {
       counts->running++;
       counts->started[decision->id % ACCOUNTS]++;
     }
   else if (decision->action == BT_RUN_QUEUED)
-    counts->waiting++;
+    counts->queued++;
   else
     CU_ASSERT_NOT_EQUAL (decision->reason, BT_REASON_NONE);
 }
@@ -56,7 +56,7 @@
 
   bt_get_run_load (queue, &load);
   CU_ASSERT_EQUAL (load.running, counts->running);
-  CU_ASSERT_EQUAL (load.queued, counts->waiting);
+  CU_ASSERT_EQUAL (load.queued, counts->queued);
   CU_ASSERT (load.running <= SLOTS);
   CU_ASSERT (load.queued <= QUEUE_LIMIT);
   CU_ASSERT (load.queued == 0 || load.running == SLOTS);
@@ -137,7 +137,7 @@
   bt_random_t random;
   bt_route_t routes[ENDPOINTS * SLOTS];
   int32_t in_flight;
-  int32_t waiting;
+  int32_t queued;
 } entry_run_t;
 
 static void
@@ -196,7 +196,7 @@
   if (decision.action == BT_ADMISSION_ADMIT)
     dispatch (run, now_ms);
   else if (decision.action == BT_ADMISSION_QUEUE)
-    run->waiting++;
+    run->queued++;
   else
     {
       CU_ASSERT_NOT_EQUAL (decision.reason, BT_REASON_NONE);
@@ -227,13 +227,13 @@
         }
       while (bt_next_admission (run.admission, now_ms, &decision))
         {
-          run.waiting--;
+          run.queued--;
           if (decision.action == BT_ADMISSION_ADMIT)
             dispatch (&run, now_ms);
         }
-      CU_ASSERT_EQUAL (bt_count_queued_requests (run.admission, "drafts"), run.waiting);
-      CU_ASSERT (run.waiting <= QUEUE_LIMIT);
-      CU_ASSERT (run.waiting == 0 || run.in_flight == ENDPOINTS * SLOTS);
+      CU_ASSERT_EQUAL (bt_count_queued_requests (run.admission, "drafts"), run.queued);
+      CU_ASSERT (run.queued <= QUEUE_LIMIT);
+      CU_ASSERT (run.queued == 0 || run.in_flight == ENDPOINTS * SLOTS);
     }
   bt_drop_admission (run.ctx, run.admission);
   bt_drop_router (run.ctx, run.router);
--- a/test/load/test_router.c
+++ b/test/load/test_router.c
@@ -355,8 +355,8 @@
   close_fixture ();
 }
 
-/* Guards against sending requests to the same engine before the first deadline passes: its requests
- * are still in flight, so its mean time shows nothing. */
+/* Guards against sending more requests to such a slow engine before the first deadline passes: no
+ * request to it has ended yet, so its mean time does not show that it is slow. */
 static void
 test_quiet_endpoint_is_avoided_before_first_deadline (void)
 {
--- a/test/maps/lockstep.h
+++ b/test/maps/lockstep.h
@@ -120,7 +120,7 @@
     state->armed = (bt_round_id_t){ 0 };
 }
 
-/** Executes an order; false when the engine refuses it. */
+/** Executes an order. Returns false when the engine refuses it. */
 static inline bool
 lockstep_order (lockstep_t *group, int32_t rank, const bt_map_order_t *order)
 {
@@ -197,7 +197,8 @@
     }
 }
 
-/** Runs one step on all ranks, or none while a rank is missing, stalled or held. */
+/** Runs one step on all ranks, or none while a rank is missing, stalled or held. Returns whether it
+ * ran. */
 static inline bool
 lockstep_step (lockstep_t *group)
 {
--- a/test/maps/test_group_rounds.c
+++ b/test/maps/test_group_rounds.c
@@ -88,7 +88,7 @@
 }
 
 static void
-run_world (held_group_t *group, leader_t *leaders, int32_t count, int64_t until_ms)
+run_simulation (held_group_t *group, leader_t *leaders, int32_t count, int64_t until_ms)
 {
   while (group->now_ms < until_ms)
     {
@@ -118,7 +118,7 @@
 
   start_held_group (&group, 1);
   start_leading (&leader, 7);
-  run_world (&group, &leader, 1, 3000);
+  run_simulation (&group, &leader, 1, 3000);
   CU_ASSERT (group.switches >= 5 * HELD_RANKS);
   CU_ASSERT_EQUAL (group.mixed_steps, 0);
   bt_drop_group_rounds (ctx, leader.rounds);
@@ -203,9 +203,9 @@
       start_leading (&leader, 7);
       for (int32_t turn = 0; turn < TURNS; turn++)
         {
-          run_world (&group, &leader, 1, group.now_ms + 2000);
+          run_simulation (&group, &leader, 1, group.now_ms + 2000);
           group.freeze_hold_sender = true;
-          run_world (&group, &leader, 1, group.now_ms + 6000);
+          run_simulation (&group, &leader, 1, group.now_ms + 6000);
         }
       CU_ASSERT_EQUAL (group.mixed_steps, 0);
       CU_ASSERT (group.switches > TURNS * HELD_RANKS);
@@ -234,11 +234,11 @@
       start_held_group (&group, seed);
       start_leading (&leader, 7);
       bt_limit_group_holds (leader.rounds, end_ms);
-      run_world (&group, &leader, 1, end_ms + MARGIN_MS);
+      run_simulation (&group, &leader, 1, end_ms + MARGIN_MS);
       bt_stop_leading_group (leader.rounds);
       leader.leading = false;
       group.longest_step_ms = 0;
-      run_world (&group, &leader, 1, end_ms + (int64_t)4 * MARGIN_MS);
+      run_simulation (&group, &leader, 1, end_ms + (int64_t)4 * MARGIN_MS);
       CU_ASSERT_EQUAL (group.longest_step_ms, STEP_MS);
       CU_ASSERT_EQUAL (group.mixed_steps, 0);
       bt_drop_group_rounds (ctx, leader.rounds);
@@ -260,9 +260,9 @@
       start_held_group (&group, seed);
       group.lost_percent = 40;
       start_leading (&leader, 7);
-      run_world (&group, &leader, 1, 20000);
+      run_simulation (&group, &leader, 1, 20000);
       group.lost_percent = 0;
-      run_world (&group, &leader, 1, 32000);
+      run_simulation (&group, &leader, 1, 32000);
       CU_ASSERT (group.switches > 0);
       CU_ASSERT_EQUAL (group.mixed_steps, 0);
       CU_ASSERT (group.engines[0].report.step > 100);
@@ -284,21 +284,21 @@
       leader_t *old = &leaders[turn % LEADERS];
       int64_t frozen_ms;
 
-      run_world (group, leaders, LEADERS,
-                 group->now_ms + 500 + (int64_t)bt_random_below (&group->random, 1500));
+      run_simulation (group, leaders, LEADERS,
+                      group->now_ms + 500 + (int64_t)bt_random_below (&group->random, 1500));
       old->frozen = true;
       start_leading (&leaders[(turn + 1) % LEADERS], fence++);
       frozen_ms = 100 + (int64_t)bt_random_below (&group->random, 2000);
-      run_world (group, leaders, LEADERS, group->now_ms + frozen_ms);
+      run_simulation (group, leaders, LEADERS, group->now_ms + frozen_ms);
       old->frozen = false;
-      run_world (group, leaders, LEADERS, group->now_ms + 400);
+      run_simulation (group, leaders, LEADERS, group->now_ms + 400);
       old->leading = false;
     }
   group->lost_percent = 0;
-  run_world (group, leaders, LEADERS, group->now_ms + 12000);
+  run_simulation (group, leaders, LEADERS, group->now_ms + 12000);
   /* A round may be in progress, with the group held before a future step. */
   group->no_new_rounds = true;
-  run_world (group, leaders, LEADERS, group->now_ms + 1000);
+  run_simulation (group, leaders, LEADERS, group->now_ms + 1000);
 }
 
 static void
@@ -342,7 +342,7 @@
 
       start_held_group_with (&group, 1, ranks[i]);
       start_leading (&leader, 7);
-      run_world (&group, &leader, 1, 5000);
+      run_simulation (&group, &leader, 1, 5000);
       CU_ASSERT (group.switches >= 5 * ranks[i]);
       CU_ASSERT_EQUAL (group.mixed_steps, 0);
       bt_drop_group_rounds (ctx, leader.rounds);
@@ -365,12 +365,12 @@
       start_leading (&leader, 7);
       for (int32_t turn = 0; turn < 10; turn++)
         {
-          run_world (&group, &leader, 1,
-                     group.now_ms + 200 + (int64_t)bt_random_below (&group.random, 1200));
+          run_simulation (&group, &leader, 1,
+                          group.now_ms + 200 + (int64_t)bt_random_below (&group.random, 1200));
           form_held_group (&group);
         }
       group.lost_percent = 0;
-      run_world (&group, &leader, 1, group.now_ms + 12000);
+      run_simulation (&group, &leader, 1, group.now_ms + 12000);
       CU_ASSERT_EQUAL (group.mixed_steps, 0);
       CU_ASSERT (group.engines[0].report.version > 0);
       bt_drop_group_rounds (ctx, leader.rounds);
@@ -396,16 +396,16 @@
       start_leading (&leader, 7);
       for (int32_t turn = 0; turn < 10; turn++)
         {
-          run_world (&group, &leader, 1,
-                     group.now_ms + 200 + (int64_t)bt_random_below (&group.random, 1200));
+          run_simulation (&group, &leader, 1,
+                          group.now_ms + 200 + (int64_t)bt_random_below (&group.random, 1200));
           restart_held_group (&group);
         }
       group.lost_percent = 0;
-      run_world (&group, &leader, 1, group.now_ms + 12000);
+      run_simulation (&group, &leader, 1, group.now_ms + 12000);
       CU_ASSERT_EQUAL (group.mixed_steps, 0);
       CU_ASSERT (group.engines[0].report.version > 0);
       group.no_new_rounds = true;
-      run_world (&group, &leader, 1, group.now_ms + 1000);
+      run_simulation (&group, &leader, 1, group.now_ms + 1000);
       for (int32_t i = 0; i < HELD_RANKS; i++)
         CU_ASSERT_EQUAL (group.engines[i].report.held_step, BT_NO_STEP);
       misdirected += group.misdirected;
@@ -430,7 +430,7 @@
     group.engines[i].report.started_ms = 100;
   start_leading (&leader, 7);
   while (bt_get_group_target (leader.rounds) == 0 && group.now_ms < 3000)
-    run_world (&group, &leader, 1, group.now_ms + TICK_MS);
+    run_simulation (&group, &leader, 1, group.now_ms + TICK_MS);
   CU_ASSERT (bt_get_group_target (leader.rounds) != 0);
   restarted.epoch = group.epoch;
   restarted.step = group.step;
@@ -497,7 +497,7 @@
             report->armed_step = i < armed ? 2 : 0;
           }
         start_leading (&leader, 7);
-        run_world (&group, &leader, 1, 3000);
+        run_simulation (&group, &leader, 1, 3000);
         CU_ASSERT_EQUAL (group.mixed_steps, 0);
         for (int32_t i = 0; i < HELD_RANKS; i++)
           CU_ASSERT_EQUAL (group.engines[i].report.held_step, BT_NO_STEP);
--- a/test/maps/test_map_planner.c
+++ b/test/maps/test_map_planner.c
@@ -90,7 +90,8 @@
 }
 
 /* One rank's engine has become four times as slow, and every pass of the group waits for it. Its
- * experts must move to the other ranks. */
+ * experts must move to the other ranks, which then take a little longer, so that passes become
+ * shorter for all. */
 static void
 test_slow_rank_is_relieved (void)
 {
@@ -216,17 +217,17 @@
   fixture->input.load = fixture->load;
 }
 
-/* The largest number of copies on one rank. */
+/* Returns the largest number of experts that one rank has to copy. */
 static int32_t
 get_max_copies (const bt_map_plan_t *plan)
 {
   int32_t copies[RANKS] = { 0 };
-  int32_t most = 0;
+  int32_t max = 0;
 
   for (int32_t i = 0; i < plan->move_count; i++)
-    if (plan->moves[i].add && ++copies[plan->moves[i].rank] > most)
-      most = copies[plan->moves[i].rank];
-  return most;
+    if (plan->moves[i].add && ++copies[plan->moves[i].rank] > max)
+      max = copies[plan->moves[i].rank];
+  return max;
 }
 
 static bt_map_plan_t *
--- a/test/maps/test_map_rank.c
+++ b/test/maps/test_map_rank.c
@@ -154,7 +154,7 @@
  * and the controller abandons the round. The first decision is final even if the engine would
  * accept another, and a restarted agent finds it in the engine. */
 static void
-test_first_decision_stands (void)
+test_first_decision_is_final (void)
 {
   fixture_t fixture = start (0, true);
 
@@ -304,7 +304,7 @@
   CU_initialize_registry ();
   suite = CU_add_suite ("map rank", NULL, NULL);
   CU_ADD_TEST (suite, test_restarted_agent_keeps_its_floor);
-  CU_ADD_TEST (suite, test_first_decision_stands);
+  CU_ADD_TEST (suite, test_first_decision_is_final);
   CU_ADD_TEST (suite, test_only_rank_0_decides);
   CU_ADD_TEST (suite, test_undecided_rank_asks_rank_0);
   CU_ADD_TEST (suite, test_late_answer_is_ignored);
--- a/test/maps/test_map_schedules.c
+++ b/test/maps/test_map_schedules.c
@@ -39,7 +39,7 @@
 } message_t;
 
 /** The state of one schedule. */
-typedef struct world
+typedef struct simulation
 {
   bt_context_t *ctx;
   bt_random_t random;
@@ -64,341 +64,341 @@
   uint64_t digests;
   int32_t applied;
   uint64_t fault_interval;
-} world_t;
+} simulation_t;
 
 static bool
-chance (world_t *world, uint64_t one_in)
+chance (simulation_t *sim, uint64_t one_in)
 {
-  return bt_random_below (&world->random, one_in) == 0;
+  return bt_random_below (&sim->random, one_in) == 0;
 }
 
 static int64_t
-draw_delay (world_t *world)
+draw_delay (simulation_t *sim)
 {
-  if (!world->faults_ended && chance (world, 20))
-    return (int64_t)bt_random_below (&world->random, 2500);
-  return (int64_t)bt_random_below (&world->random, 30);
+  if (!sim->faults_ended && chance (sim, 20))
+    return (int64_t)bt_random_below (&sim->random, 2500);
+  return (int64_t)bt_random_below (&sim->random, 30);
 }
 
 static void
-post (world_t *world, message_t message, int64_t extra_ms)
+post (simulation_t *sim, message_t message, int64_t extra_ms)
 {
-  if (!world->faults_ended && chance (world, 12))
+  if (!sim->faults_ended && chance (sim, 12))
     return;
   do
     {
-      if (world->message_count == MAX_MESSAGES)
+      if (sim->message_count == MAX_MESSAGES)
         return;
-      message.at_ms = world->now_ms + extra_ms + draw_delay (world);
-      world->messages[world->message_count++] = message;
+      message.at_ms = sim->now_ms + extra_ms + draw_delay (sim);
+      sim->messages[sim->message_count++] = message;
     }
-  while (!world->faults_ended && chance (world, 10));
+  while (!sim->faults_ended && chance (sim, 10));
 }
 
 static void
-start_agent (world_t *world, int32_t rank)
+start_agent (simulation_t *sim, int32_t rank)
 {
-  bt_map_rank_settings_t settings = { rank, ++world->start_count, SETTLE_MS, 100, 60, 600 };
+  bt_map_rank_settings_t settings = { rank, ++sim->start_count, SETTLE_MS, 100, 60, 600 };
 
-  settings.test_options = world->options;
-  bt_drop_map_rank (world->ctx, world->agents[rank]);
-  world->agents[rank] = bt_new_map_rank (world->ctx, &settings, world->now_ms);
-  world->agent_starts[rank] = settings.incarnation;
+  settings.test_options = sim->options;
+  bt_drop_map_rank (sim->ctx, sim->agents[rank]);
+  sim->agents[rank] = bt_new_map_rank (sim->ctx, &settings, sim->now_ms);
+  sim->agent_starts[rank] = settings.incarnation;
 }
 
 /* Executes an order on the engine at once; the engine's answer may be lost or late. */
 static void
-call_engine (world_t *world, int32_t rank, const bt_map_action_t *action)
+call_engine (simulation_t *sim, int32_t rank, const bt_map_action_t *action)
 {
-  message_t answer = { 0, false, rank, world->agent_starts[rank], true };
+  message_t answer = { 0, false, rank, sim->agent_starts[rank], true };
 
   answer.accepted = action->order.kind == BT_MAP_QUERY && action->order.fence == 0;
   if (!answer.accepted)
-    answer.accepted = lockstep_order (&world->group, rank, &action->order);
+    answer.accepted = lockstep_order (&sim->group, rank, &action->order);
   answer.action = *action;
-  answer.state = world->group.ranks[rank].state;
-  post (world, answer, 0);
+  answer.state = sim->group.ranks[rank].state;
+  post (sim, answer, 0);
 }
 
 static int32_t
-find_sender (const world_t *world, uint64_t fence)
+find_sender (const simulation_t *sim, uint64_t fence)
 {
   for (int32_t i = 0; i < CONTROLLERS; i++)
-    if (bt_get_map_fence (world->controllers[i]) == fence)
+    if (bt_get_map_fence (sim->controllers[i]) == fence)
       return i;
   return 0;
 }
 
 static void
-execute_agent_actions (world_t *world, int32_t rank)
+execute_agent_actions (simulation_t *sim, int32_t rank)
 {
-  for (int32_t i = 0; i < world->actions.count; i++)
+  for (int32_t i = 0; i < sim->actions.count; i++)
     {
-      const bt_map_action_t *action = &world->actions.items[i];
+      const bt_map_action_t *action = &sim->actions.items[i];
       message_t message = { 0 };
 
       message.action = *action;
       if (action->kind == BT_MAP_ENGINE_ORDER)
-        call_engine (world, rank, action);
-      else if (action->kind == BT_MAP_READ_FLOOR && world->now_ms >= world->down_until_ms)
-        bt_handle_map_floor (world->agents[rank], world->fence);
+        call_engine (sim, rank, action);
+      else if (action->kind == BT_MAP_READ_FLOOR && sim->now_ms >= sim->down_until_ms)
+        bt_handle_map_floor (sim->agents[rank], sim->fence);
       else if (action->kind == BT_MAP_REPORT)
         {
           message.to_controller = true;
-          message.to = find_sender (world, action->report.fence);
-          post (world, message, 0);
+          message.to = find_sender (sim, action->report.fence);
+          post (sim, message, 0);
         }
       else if (action->kind == BT_MAP_TELL)
         {
           message.to = action->tell.ask.rank;
-          post (world, message, 0);
+          post (sim, message, 0);
         }
       else if (action->kind == BT_MAP_ASK)
-        post (world, message, 0);
+        post (sim, message, 0);
     }
-  world->actions.count = 0;
+  sim->actions.count = 0;
 }
 
 /* A controller may be paused between checking its lease and sending. */
 static void
-execute_controller_actions (world_t *world, int32_t index)
+execute_controller_actions (simulation_t *sim, int32_t index)
 {
   int64_t pause_ms = 0;
 
-  if (!world->faults_ended && world->actions.count > 0 && chance (world, 60))
+  if (!sim->faults_ended && sim->actions.count > 0 && chance (sim, 60))
     {
-      pause_ms = 50 + (int64_t)bt_random_below (&world->random, 1500);
-      world->paused_until_ms[index] = world->now_ms + pause_ms;
+      pause_ms = 50 + (int64_t)bt_random_below (&sim->random, 1500);
+      sim->paused_until_ms[index] = sim->now_ms + pause_ms;
     }
-  for (int32_t i = 0; i < world->actions.count; i++)
+  for (int32_t i = 0; i < sim->actions.count; i++)
     {
-      message_t message = { 0, false, world->actions.items[i].order.rank };
+      message_t message = { 0, false, sim->actions.items[i].order.rank };
 
-      message.action = world->actions.items[i];
-      post (world, message, pause_ms);
+      message.action = sim->actions.items[i];
+      post (sim, message, pause_ms);
     }
-  world->actions.count = 0;
+  sim->actions.count = 0;
 }
 
 static void
-deliver_to_agent (world_t *world, const message_t *message)
+deliver_to_agent (simulation_t *sim, const message_t *message)
 {
   const bt_map_action_t *action = &message->action;
-  bt_map_rank_t *agent = world->agents[message->to];
+  bt_map_rank_t *agent = sim->agents[message->to];
 
   if (message->answered)
     {
-      if (message->agent == world->agent_starts[message->to])
-        bt_handle_engine_answer (world->ctx, agent, action->call, message->accepted,
-                                 &message->state, world->now_ms, &world->actions);
+      if (message->agent == sim->agent_starts[message->to])
+        bt_handle_engine_answer (sim->ctx, agent, action->call, message->accepted, &message->state,
+                                 sim->now_ms, &sim->actions);
     }
   else if (action->kind == BT_MAP_SEND_ORDER)
-    bt_handle_map_order (world->ctx, agent, &action->order, world->now_ms, &world->actions);
+    bt_handle_map_order (sim->ctx, agent, &action->order, sim->now_ms, &sim->actions);
   else if (action->kind == BT_MAP_ASK)
-    bt_handle_map_ask (world->ctx, agent, &action->ask, world->now_ms, &world->actions);
+    bt_handle_map_ask (sim->ctx, agent, &action->ask, sim->now_ms, &sim->actions);
   else if (action->kind == BT_MAP_TELL)
-    bt_handle_map_tell (world->ctx, agent, &action->tell, world->now_ms, &world->actions);
-  execute_agent_actions (world, message->to);
+    bt_handle_map_tell (sim->ctx, agent, &action->tell, sim->now_ms, &sim->actions);
+  execute_agent_actions (sim, message->to);
 }
 
 static void
-deliver (world_t *world)
+deliver (simulation_t *sim)
 {
-  for (int32_t i = 0; i < world->message_count; i++)
+  for (int32_t i = 0; i < sim->message_count; i++)
     {
-      message_t message = world->messages[i];
+      message_t message = sim->messages[i];
 
-      if (message.at_ms > world->now_ms
-          || (message.to_controller && world->paused_until_ms[message.to] > world->now_ms))
+      if (message.at_ms > sim->now_ms
+          || (message.to_controller && sim->paused_until_ms[message.to] > sim->now_ms))
         continue;
-      world->messages[i--] = world->messages[--world->message_count];
+      sim->messages[i--] = sim->messages[--sim->message_count];
       if (!message.to_controller)
-        deliver_to_agent (world, &message);
-      else if (!world->dead[message.to])
-        bt_handle_map_report (world->controllers[message.to], &message.action.report,
-                              world->now_ms);
+        deliver_to_agent (sim, &message);
+      else if (!sim->dead[message.to])
+        bt_handle_map_report (sim->controllers[message.to], &message.action.report, sim->now_ms);
     }
 }
 
 static void
-contact_service (world_t *world, int32_t index)
+contact_service (simulation_t *sim, int32_t index)
 {
-  int64_t sent_ms = world->now_ms - draw_delay (world);
+  int64_t sent_ms = sim->now_ms - draw_delay (sim);
 
-  if (world->now_ms < world->down_until_ms || world->now_ms < world->renew_ms[index])
+  if (sim->now_ms < sim->down_until_ms || sim->now_ms < sim->renew_ms[index])
     return;
-  world->renew_ms[index] = world->now_ms + RENEW_MS;
-  if (world->holder == index && world->now_ms < world->lease_ms
-      && bt_holds_map_lease (world->controllers[index], world->now_ms))
+  sim->renew_ms[index] = sim->now_ms + RENEW_MS;
+  if (sim->holder == index && sim->now_ms < sim->lease_ms
+      && bt_holds_map_lease (sim->controllers[index], sim->now_ms))
     {
-      world->lease_ms = world->now_ms + LEASE_MS;
-      bt_renew_map_lease (world->controllers[index], sent_ms, LEASE_MS, world->now_ms);
+      sim->lease_ms = sim->now_ms + LEASE_MS;
+      bt_renew_map_lease (sim->controllers[index], sent_ms, LEASE_MS, sim->now_ms);
     }
-  else if (world->now_ms >= world->lease_ms)
+  else if (sim->now_ms >= sim->lease_ms)
     {
-      world->holder = index;
-      world->lease_ms = world->now_ms + LEASE_MS;
-      bt_grant_map_lease (world->controllers[index], ++world->fence, sent_ms, LEASE_MS);
+      sim->holder = index;
+      sim->lease_ms = sim->now_ms + LEASE_MS;
+      bt_grant_map_lease (sim->controllers[index], ++sim->fence, sent_ms, LEASE_MS);
     }
 }
 
 static void
-run_controller (world_t *world, int32_t index)
+run_controller (simulation_t *sim, int32_t index)
 {
-  bt_map_controller_t *controller = world->controllers[index];
+  bt_map_controller_t *controller = sim->controllers[index];
 
-  if (world->dead[index] || world->paused_until_ms[index] > world->now_ms)
+  if (sim->dead[index] || sim->paused_until_ms[index] > sim->now_ms)
     return;
-  contact_service (world, index);
-  if (chance (world, 10) && bt_begin_map_round (controller, world->digests + 1, world->now_ms))
-    world->digests++;
-  bt_tick_map_controller (world->ctx, controller, world->now_ms, &world->actions);
+  contact_service (sim, index);
+  if (chance (sim, 10) && bt_begin_map_round (controller, sim->digests + 1, sim->now_ms))
+    sim->digests++;
+  bt_tick_map_controller (sim->ctx, controller, sim->now_ms, &sim->actions);
   if (bt_get_round_result (controller) == BT_ROUND_APPLIED)
-    world->applied++;
-  execute_controller_actions (world, index);
+    sim->applied++;
+  execute_controller_actions (sim, index);
 }
 
-/* Injects faults. Some schedules have fewer of them, so that a round also gets far in between. */
+/* Injects faults. Some schedules have fewer of them, so that some rounds get far between two
+ * faults. */
 static void
-inject_faults (world_t *world)
+inject_faults (simulation_t *sim)
 {
-  int32_t rank = (int32_t)bt_random_below (&world->random, RANKS);
-  int32_t index = (int32_t)bt_random_below (&world->random, CONTROLLERS);
+  int32_t rank = (int32_t)bt_random_below (&sim->random, RANKS);
+  int32_t index = (int32_t)bt_random_below (&sim->random, CONTROLLERS);
 
-  if (chance (world, 60 * world->fault_interval))
-    start_agent (world, rank);
-  if (chance (world, 250 * world->fault_interval))
+  if (chance (sim, 60 * sim->fault_interval))
+    start_agent (sim, rank);
+  if (chance (sim, 250 * sim->fault_interval))
     {
-      lockstep_replace (&world->group, rank);
-      start_agent (world, rank);
+      lockstep_replace (&sim->group, rank);
+      start_agent (sim, rank);
     }
-  if (chance (world, 150 * world->fault_interval))
-    world->paused_until_ms[index] = world->now_ms + (int64_t)bt_random_below (&world->random, 2000);
-  if (chance (world, 200 * world->fault_interval))
-    world->down_until_ms = world->now_ms + (int64_t)bt_random_below (&world->random, 1500);
-  if (chance (world, 30 * world->fault_interval))
-    world->group.ranks[rank].stalled = !world->group.ranks[rank].stalled;
+  if (chance (sim, 150 * sim->fault_interval))
+    sim->paused_until_ms[index] = sim->now_ms + (int64_t)bt_random_below (&sim->random, 2000);
+  if (chance (sim, 200 * sim->fault_interval))
+    sim->down_until_ms = sim->now_ms + (int64_t)bt_random_below (&sim->random, 1500);
+  if (chance (sim, 30 * sim->fault_interval))
+    sim->group.ranks[rank].stalled = !sim->group.ranks[rank].stalled;
 }
 
 static void
-tick (world_t *world)
+tick (simulation_t *sim)
 {
-  world->now_ms += TICK_MS;
-  if (!world->faults_ended)
-    inject_faults (world);
-  deliver (world);
+  sim->now_ms += TICK_MS;
+  if (!sim->faults_ended)
+    inject_faults (sim);
+  deliver (sim);
   for (int32_t i = 0; i < CONTROLLERS; i++)
-    run_controller (world, i);
+    run_controller (sim, i);
   for (int32_t rank = 0; rank < RANKS; rank++)
     {
-      bt_tick_map_rank (world->ctx, world->agents[rank], world->now_ms, &world->actions);
-      execute_agent_actions (world, rank);
+      bt_tick_map_rank (sim->ctx, sim->agents[rank], sim->now_ms, &sim->actions);
+      execute_agent_actions (sim, rank);
     }
-  lockstep_step (&world->group);
+  lockstep_step (&sim->group);
 }
 
 static void
-start_world (world_t *world, bt_context_t *ctx, uint64_t seed, uint32_t options)
+start_simulation (simulation_t *sim, bt_context_t *ctx, uint64_t seed, uint32_t options)
 {
   bt_map_controller_settings_t settings = { RANKS, 30, 50, 150, 300, 500, 12, 1 };
 
-  memset (world, 0, sizeof *world);
-  world->ctx = ctx;
-  world->options = options;
-  world->digests = 1;
-  bt_seed_random (&world->random, seed);
-  world->fault_interval = 1 + seed / 4 % 4;
+  memset (sim, 0, sizeof *sim);
+  sim->ctx = ctx;
+  sim->options = options;
+  sim->digests = 1;
+  bt_seed_random (&sim->random, seed);
+  sim->fault_interval = 1 + seed / 4 % 4;
   settings.test_options = options;
-  lockstep_start (&world->group, RANKS, seed % 2 == 0);
-  world->group.forgetful = seed % 3 == 0;
+  lockstep_start (&sim->group, RANKS, seed % 2 == 0);
+  sim->group.forgetful = seed % 3 == 0;
   for (int32_t rank = 0; rank < RANKS; rank++)
-    start_agent (world, rank);
+    start_agent (sim, rank);
   for (int32_t i = 0; i < CONTROLLERS; i++)
-    world->controllers[i] = bt_new_map_controller (ctx, &settings);
+    sim->controllers[i] = bt_new_map_controller (ctx, &settings);
 }
 
 static void
-end_world (world_t *world)
+end_simulation (simulation_t *sim)
 {
   for (int32_t rank = 0; rank < RANKS; rank++)
-    bt_drop_map_rank (world->ctx, world->agents[rank]);
+    bt_drop_map_rank (sim->ctx, sim->agents[rank]);
   for (int32_t i = 0; i < CONTROLLERS; i++)
-    bt_drop_map_controller (world->ctx, world->controllers[i]);
-  bt_clear_map_actions (world->ctx, &world->actions);
+    bt_drop_map_controller (sim->ctx, sim->controllers[i]);
+  bt_clear_map_actions (sim->ctx, &sim->actions);
 }
 
 /* Ends the faults: nothing is lost from here on. In half of the schedules the controllers are gone
- * and the service is down for good; a group with all its ranks must still run steps. */
+ * and the lease service is down for good; a group with all its ranks must still run steps. */
 static void
-end_faults (world_t *world, bool without_service)
+end_faults (simulation_t *sim, bool without_service)
 {
-  world->faults_ended = true;
+  sim->faults_ended = true;
   for (int32_t i = 0; i < CONTROLLERS; i++)
-    world->paused_until_ms[i] = 0;
+    sim->paused_until_ms[i] = 0;
   for (int32_t rank = 0; rank < RANKS; rank++)
-    world->group.ranks[rank].stalled = false;
-  world->down_until_ms = without_service ? INT64_MAX : 0;
+    sim->group.ranks[rank].stalled = false;
+  sim->down_until_ms = without_service ? INT64_MAX : 0;
   for (int32_t i = 0; i < CONTROLLERS; i++)
-    world->dead[i] = without_service;
+    sim->dead[i] = without_service;
 }
 
 static bool
-is_group_complete (const world_t *world)
+is_group_complete (const simulation_t *sim)
 {
   for (int32_t rank = 0; rank < RANKS; rank++)
-    if (!world->group.ranks[rank].state.joined)
+    if (!sim->group.ranks[rank].state.joined)
       return false;
   return true;
 }
 
 /* Runs one schedule; a fault is recorded as the group's violation. */
 static void
-run_schedule (world_t *world, bt_context_t *ctx, uint64_t seed, uint32_t options)
+run_schedule (simulation_t *sim, bt_context_t *ctx, uint64_t seed, uint32_t options)
 {
   bool without_service = seed / 2 % 2 == 0;
   bool complete;
   uint64_t steps;
   int32_t applied;
 
-  start_world (world, ctx, seed, options);
-  for (int32_t i = 0; i < FAULT_TICKS && world->group.violation[0] == '\0'; i++)
-    tick (world);
-  complete = is_group_complete (world);
-  end_faults (world, without_service);
-  applied = world->applied;
+  start_simulation (sim, ctx, seed, options);
+  for (int32_t i = 0; i < FAULT_TICKS && sim->group.violation[0] == '\0'; i++)
+    tick (sim);
+  complete = is_group_complete (sim);
+  end_faults (sim, without_service);
+  applied = sim->applied;
   steps = 0;
-  for (int32_t i = 0; i < RECOVERY_TICKS && world->group.violation[0] == '\0'; i++)
+  for (int32_t i = 0; i < RECOVERY_TICKS && sim->group.violation[0] == '\0'; i++)
     {
       if (i == RECOVERY_TICKS / 2)
-        steps = world->group.steps;
-      tick (world);
+        steps = sim->group.steps;
+      tick (sim);
     }
   /* With a safeguard disabled, only wrong steps count, not missing ones. */
-  if (options == 0 && world->group.violation[0] == '\0' && (complete || !without_service)
-      && world->group.steps < steps + RECOVERY_MIN_STEPS)
-    snprintf (world->group.violation, sizeof world->group.violation, "the group is held forever");
-  if (options == 0 && world->group.violation[0] == '\0' && !without_service
-      && world->applied == applied)
-    snprintf (world->group.violation, sizeof world->group.violation, "rounds no longer end");
-  end_world (world);
+  if (options == 0 && sim->group.violation[0] == '\0' && (complete || !without_service)
+      && sim->group.steps < steps + RECOVERY_MIN_STEPS)
+    snprintf (sim->group.violation, sizeof sim->group.violation, "the group is held forever");
+  if (options == 0 && sim->group.violation[0] == '\0' && !without_service
+      && sim->applied == applied)
+    snprintf (sim->group.violation, sizeof sim->group.violation, "rounds no longer end");
+  end_simulation (sim);
 }
 
 /* Returns the first seed that shows a violation, or 0. */
 static uint64_t
 find_violation (uint32_t options, uint64_t first, uint64_t seeds, bool print)
 {
-  static world_t world;
+  static simulation_t sim;
   bt_context_t *ctx = bt_new_context ();
   uint64_t found = 0;
 
   for (uint64_t seed = first; seed < first + seeds && found == 0; seed++)
     {
-      run_schedule (&world, ctx, seed, options);
-      if (world.group.violation[0] != '\0')
+      run_schedule (&sim, ctx, seed, options);
+      if (sim.group.violation[0] != '\0')
         found = seed;
     }
   if (print && found != 0)
-    printf ("seed %llu: %s\n", (unsigned long long)found, world.group.violation);
+    printf ("seed %llu: %s\n", (unsigned long long)found, sim.group.violation);
   bt_drop_context (ctx);
   return found;
 }
--- a/test/platform/test_endpoints.c
+++ b/test/platform/test_endpoints.c
@@ -13,7 +13,7 @@
   BYTE_VALUES = 256,
 };
 
-static const char *const valid_entry =
+static const char *const valid_item =
     "{\"service\":\"svc\",\"address\":\"10.1.0.40:8227\",\"zone\":\"hall\",\"version\":\"v1\","
     "\"slots\":12,\"state\":\"ready\",\"cold_left_ms\":0,\"stage\":\"unified\","
     "\"models\":[{\"name\":\"m\",\"version\":1,\"adapters\":[]}],\"sequence\":4,"
@@ -35,20 +35,20 @@
   return read_bytes ("servers/i-1", text, strlen (text));
 }
 
-/* Reads the valid entry with one part of it replaced. */
+/* Reads the valid item with one part of it replaced. */
 static bool
 read_changed (const char *part, const char *replacement)
 {
   char text[TEXT_BYTES];
-  const char *at = strstr (valid_entry, part);
+  const char *at = strstr (valid_item, part);
 
   CU_ASSERT_PTR_NOT_NULL_FATAL (at);
-  snprintf (text, sizeof text, "%.*s%s%s", (int)(at - valid_entry), valid_entry, replacement,
+  snprintf (text, sizeof text, "%.*s%s%s", (int)(at - valid_item), valid_item, replacement,
             at + strlen (part));
   return read_text (text);
 }
 
-/* Expects an entry to be refused with an error that names its key and the field. */
+/* Expects an item to be refused with an error that names its key and the field. */
 static void
 expect_refused (const char *part, const char *replacement, const char *field)
 {
@@ -62,9 +62,9 @@
 }
 
 static void
-test_valid_entry_is_read (void)
+test_valid_item_is_read (void)
 {
-  CU_ASSERT_TRUE (read_text (valid_entry));
+  CU_ASSERT_TRUE (read_text (valid_item));
   CU_ASSERT_STRING_EQUAL (endpoint.id, "i-1");
   CU_ASSERT_STRING_EQUAL (endpoint.app, "svc");
   CU_ASSERT_STRING_EQUAL (endpoint.address, "10.1.0.40:8227");
@@ -78,13 +78,13 @@
 
 /* A runner with older software does not report its start time. */
 static void
-test_entry_without_start_time_is_read (void)
+test_item_without_start_time_is_read (void)
 {
   CU_ASSERT_TRUE (read_changed (",\"born\":1764720000123", ""));
   CU_ASSERT_EQUAL (endpoint.started_ms, 0);
 }
 
-/* Another program wrote entries that lack a field. Accepting one would add a runner that does not
+/* Another program wrote items that lack a field. Accepting one would add a runner that does not
  * exist, or one without slots. */
 static void
 test_missing_field_is_refused (void)
@@ -179,12 +179,12 @@
   size_t prefix = strlen (name);
 
   memset (name + prefix, 'x', BT_NAME_BYTES);
-  CU_ASSERT_FALSE (read_bytes (name, valid_entry, strlen (valid_entry)));
+  CU_ASSERT_FALSE (read_bytes (name, valid_item, strlen (valid_item)));
   name[prefix + BT_NAME_BYTES - 1] = '\0';
-  CU_ASSERT_TRUE (read_bytes (name, valid_entry, strlen (valid_entry)));
-  CU_ASSERT_FALSE (read_bytes ("servers/", valid_entry, strlen (valid_entry)));
-  CU_ASSERT_FALSE (read_bytes ("servers/i 1", valid_entry, strlen (valid_entry)));
-  CU_ASSERT_FALSE (read_bytes ("servers/i-1\r\nHost: x", valid_entry, strlen (valid_entry)));
+  CU_ASSERT_TRUE (read_bytes (name, valid_item, strlen (valid_item)));
+  CU_ASSERT_FALSE (read_bytes ("servers/", valid_item, strlen (valid_item)));
+  CU_ASSERT_FALSE (read_bytes ("servers/i 1", valid_item, strlen (valid_item)));
+  CU_ASSERT_FALSE (read_bytes ("servers/i-1\r\nHost: x", valid_item, strlen (valid_item)));
   memset (name, 'x', sizeof name - 1);
   name[BT_NAME_BYTES] = '\0';
   expect_refused ("svc", name, "service");
@@ -193,14 +193,14 @@
 }
 
 static void
-test_malformed_entry_is_refused (void)
+test_malformed_item_is_refused (void)
 {
   static const char *const invalid[] = { "",     " ",          "null", "true",
                                          "12",   "\"ready\"",  "[]",   "{}",
                                          "{",    "{\"a\":1}x", "\xff", "{\"\xc3(\":1}",
                                          "[[[[", "\\x00",      "nan",  "}" };
   char text[TEXT_BYTES];
-  size_t bytes = strlen (valid_entry);
+  size_t bytes = strlen (valid_item);
 
   for (size_t i = 0; i < sizeof invalid / sizeof invalid[0]; i++)
     {
@@ -208,8 +208,8 @@
       CU_ASSERT_PTR_NOT_NULL (strstr (error.message, "servers/i-1"));
       CU_ASSERT_PTR_NULL (strchr (error.message, '\xff'));
     }
-  /* A zero byte after the entry, inside it, and inside a name. */
-  memcpy (text, valid_entry, bytes);
+  /* A zero byte after the item, inside it, and inside a name. */
+  memcpy (text, valid_item, bytes);
   text[bytes] = '\0';
   CU_ASSERT_FALSE (read_bytes ("servers/i-1", text, bytes + 1));
   *strstr (text, "svc") = '\0';
@@ -218,7 +218,7 @@
   /* With duplicate fields it is not clear which value applies. */
   expect_refused ("\"slots\":12", "\"slots\":12,\"slots\":13", "");
   for (size_t i = 0; i < bytes; i++)
-    CU_ASSERT_FALSE (read_bytes ("servers/i-1", valid_entry, i));
+    CU_ASSERT_FALSE (read_bytes ("servers/i-1", valid_item, i));
 }
 
 static size_t
@@ -252,7 +252,7 @@
   return bytes;
 }
 
-/* Any mutated entry is either refused with a message or yields an endpoint that can be used. */
+/* Any mutated item is either refused with a message or yields an endpoint that can be used. */
 static void
 test_changed_bytes_are_refused_or_usable (void)
 {
@@ -261,12 +261,12 @@
   for (uint64_t seed = 1; seed <= FUZZ_SEEDS; seed++)
     {
       char text[TEXT_BYTES];
-      size_t bytes = strlen (valid_entry);
+      size_t bytes = strlen (valid_item);
       bt_random_t random;
       bool usable;
 
       bt_seed_random (&random, seed);
-      snprintf (text, sizeof text, "%s", valid_entry);
+      snprintf (text, sizeof text, "%s", valid_item);
       bytes = change_bytes (&random, text, bytes);
       if (!read_bytes ("servers/i-1", text, bytes))
         {
@@ -293,14 +293,14 @@
 
   CU_initialize_registry ();
   suite = CU_add_suite ("endpoints", NULL, NULL);
-  CU_ADD_TEST (suite, test_valid_entry_is_read);
-  CU_ADD_TEST (suite, test_entry_without_start_time_is_read);
+  CU_ADD_TEST (suite, test_valid_item_is_read);
+  CU_ADD_TEST (suite, test_item_without_start_time_is_read);
   CU_ADD_TEST (suite, test_missing_field_is_refused);
   CU_ADD_TEST (suite, test_field_of_wrong_type_is_refused);
   CU_ADD_TEST (suite, test_value_out_of_range_is_refused);
   CU_ADD_TEST (suite, test_invalid_address_is_refused);
   CU_ADD_TEST (suite, test_invalid_name_is_refused);
-  CU_ADD_TEST (suite, test_malformed_entry_is_refused);
+  CU_ADD_TEST (suite, test_malformed_item_is_refused);
   CU_ADD_TEST (suite, test_changed_bytes_are_refused_or_usable);
   CU_basic_set_mode (CU_BRM_VERBOSE);
   CU_basic_run_tests ();
--- a/test/process/harness.h
+++ b/test/process/harness.h
@@ -81,7 +81,8 @@
 bool bt_signal_process (bt_testbed_t *testbed, const char *name, int signal_number);
 
 /** Waits until a process exits and writes its exit code to @p exit_code, or minus the number of the
- * signal that killed it. Returns false if it does not exit within BT_WAIT_LIMIT_MS. */
+ * signal that killed it. Returns false if it is not running, or does not exit within
+ * BT_WAIT_LIMIT_MS. */
 bool bt_wait_process (bt_testbed_t *testbed, const char *name, int32_t *exit_code);
 
 /** Returns a port by the name of its process: the callers' port of an entry, the HTTP port of an
--- a/test/process/harness_gateway.h
+++ b/test/process/harness_gateway.h
@@ -11,7 +11,7 @@
 
 enum
 {
-  BT_MAX_GATEWAYS = 64, /* maximum */
+  BT_MAX_GATEWAYS = 64,
   BT_MAX_RUNNERS = 128,
   BT_DEFAULT_RUNNERS = 3, /* started by bt_new_gateway_testbed */
 };
--- a/test/process/test_gateway.c
+++ b/test/process/test_gateway.c
@@ -500,8 +500,8 @@
   check_request_trace ("r-never", 1, nothing);
 }
 
-/* A gateway is told to stop while it forwards a stream. It must no longer be advertised or ready at
- * once, complete the stream, and exit. */
+/* A gateway is told to stop while it forwards a stream. It must at once be neither advertised nor
+ * ready, and must complete the stream and exit. */
 static void
 test_stop_completes_streams (void)
 {
--- a/test/process/test_request_faults.c
+++ b/test/process/test_request_faults.c
@@ -38,8 +38,8 @@
 
 /* An entry dies while it streams a draft's answer. The caller sends the draft again with the same
  * key through the other entry. The run has continued at the agent: the caller must get its complete
- * answer, and the draft must have run once. Without a key at its home agent it would run, and be
- * ordered, twice. */
+ * answer, and the draft must have run once. If the home agent had no record of the key, the draft
+ * would run, and be ordered, twice. */
 static void
 test_resend_through_another_entry (void)
 {
--- a/test/process/test_sidecar_page.c
+++ b/test/process/test_sidecar_page.c
@@ -55,7 +55,7 @@
 static int32_t page_port;
 static uint64_t last_order;
 
-/* The engine carries out HOLD, answers ARM with 412, as if another entry led, and closes the
+/* The engine executes HOLD, answers ARM with 412, as if another entry led, and closes the
  * connection without an answer at GO. */
 static void
 answer_engine (void *data,
@@ -71,7 +71,7 @@
     answer->drop = true;
 }
 
-static const bt_standin_callbacks_t engine_routes = { NULL, answer_engine, NULL };
+static const bt_standin_callbacks_t engine_callbacks = { NULL, answer_engine, NULL };
 
 static void
 on_up (bt_link_handler_t *handler, bt_link_t *link)
@@ -198,7 +198,7 @@
   ctx = bt_new_context ();
   bt_set_log_level (ctx, -1);
   leader.handler.vtable = &leader_vtable;
-  engine = bt_start_standin (0, &engine_routes);
+  engine = bt_start_standin (0, &engine_callbacks);
   loop = bt_new_link_loop (ctx, &options, &error);
   if (engine == NULL || loop == NULL || !open_log_pipe (&agent_log))
     return 1;
--- a/test/requests/request_processes.h
+++ b/test/requests/request_processes.h
@@ -10,7 +10,7 @@
 static void
 start_agent (simulation_t *sim, int32_t agent)
 {
-  agent_t *it = &sim->agents[agent];
+  agent_t *state = &sim->agents[agent];
   bool small_table = chance (sim, 20);
   bt_arbiter_options_t options = {
     .max_records = small_table ? 2 : 100,
@@ -25,21 +25,21 @@
     .faults = sim->faults,
   };
 
-  bt_drop_arbiter (sim->ctx, it->arbiter);
-  snprintf (it->self.instance, sizeof it->self.instance, "agent-%d", agent);
-  it->self.incarnation = ++sim->last_incarnation;
-  options.self = it->self;
-  it->arbiter = bt_new_arbiter (sim->ctx, &options);
-  it->clock_offset = pick (sim, CLOCK_SPREAD_MS);
+  bt_drop_arbiter (sim->ctx, state->arbiter);
+  snprintf (state->self.instance, sizeof state->self.instance, "agent-%d", agent);
+  state->self.incarnation = ++sim->last_incarnation;
+  options.self = state->self;
+  state->arbiter = bt_new_arbiter (sim->ctx, &options);
+  state->clock_offset = pick (sim, CLOCK_SPREAD_MS);
 }
 
 static void
 open_link (simulation_t *sim, int32_t entry, int32_t agent)
 {
-  entry_t *it = &sim->entries[entry];
+  entry_t *state = &sim->entries[entry];
 
-  it->links[agent] = ++sim->last_link * ENTRIES + (uint64_t)entry;
-  it->incarnations[agent] = sim->agents[agent].self.incarnation;
+  state->links[agent] = ++sim->last_link * ENTRIES + (uint64_t)entry;
+  state->incarnations[agent] = sim->agents[agent].self.incarnation;
 }
 
 static void
@@ -114,9 +114,9 @@
 finish (simulation_t *sim, submission_t *submission, const bt_delivery_action_t *action)
 {
   submission->finished = true;
-  submission->whole = action->kind == BT_DELIVERY_FINISH_COMPLETE;
-  submission->cut = action->kind == BT_DELIVERY_ABORT;
-  submission->outcome = submission->whole ? BT_OUTCOME_ANSWERED : action->outcome;
+  submission->complete = action->kind == BT_DELIVERY_FINISH_COMPLETE;
+  submission->aborted = action->kind == BT_DELIVERY_ABORT;
+  submission->outcome = submission->complete ? BT_OUTCOME_ANSWERED : action->outcome;
   submission->reason = action->reason;
   if (action->kind == BT_DELIVERY_FINISH_REFUSED
       && (action->reason == BT_REASON_NONE || action->outcome == BT_OUTCOME_ANSWERED))
@@ -128,7 +128,7 @@
 }
 
 static void
-carry_out_action (simulation_t *sim, submission_t *submission, const bt_delivery_action_t *action)
+execute_action (simulation_t *sim, submission_t *submission, const bt_delivery_action_t *action)
 {
   bt_delivery_event_t event = { .kind = BT_DELIVERY_BUDGET };
   size_t used = strlen (submission->text);
@@ -180,7 +180,7 @@
   bt_handle_delivery_event (sim->ctx, submission->call, event, entry_now (sim, submission->entry),
                             &actions);
   for (int32_t i = 0; i < actions.count; i++)
-    carry_out_action (sim, submission, &actions.items[i]);
+    execute_action (sim, submission, &actions.items[i]);
   bt_free_delivery_actions (sim->ctx, &actions);
 }
 
@@ -319,7 +319,7 @@
 }
 
 static void
-carry_out_arbiter_actions (simulation_t *sim, int32_t agent, bt_arbiter_actions_t *actions)
+execute_arbiter_actions (simulation_t *sim, int32_t agent, bt_arbiter_actions_t *actions)
 {
   for (int32_t i = 0; i < actions->count; i++)
     {
@@ -342,32 +342,32 @@
 handle_agent_event (simulation_t *sim, event_t *event)
 {
   int32_t agent = event->kind == RUN_EVENT ? sim->runs[event->index].agent : event->agent;
-  agent_t *it = &sim->agents[agent];
+  agent_t *state = &sim->agents[agent];
   int64_t now_ms = agent_now (sim, agent);
   bt_arbiter_actions_t actions = { 0 };
 
-  if (event->kind == RUN_EVENT && sim->runs[event->index].incarnation != it->self.incarnation)
+  if (event->kind == RUN_EVENT && sim->runs[event->index].incarnation != state->self.incarnation)
     return;
   event->dispatch.admission = chance (sim, 10) ? BT_REASON_ENDPOINT_FULL : BT_REASON_NONE;
   event->dispatch.deadline_ms = now_ms + DEADLINE_MS;
   event->run_event.run = sim->runs[event->index].id;
   event->run_event.data = event->data;
   if (event->kind == TO_AGENT_DISPATCH)
-    bt_handle_dispatch (sim->ctx, it->arbiter, &event->dispatch, now_ms, &actions);
+    bt_handle_dispatch (sim->ctx, state->arbiter, &event->dispatch, now_ms, &actions);
   else if (event->kind == TO_AGENT_GRANT)
-    bt_handle_grant_request (sim->ctx, it->arbiter, &event->grant_request, now_ms, &actions);
+    bt_handle_grant_request (sim->ctx, state->arbiter, &event->grant_request, now_ms, &actions);
   else if (event->kind == TO_AGENT_TOMBSTONE)
-    bt_handle_tombstone_request (sim->ctx, it->arbiter, &event->tombstone_request, now_ms,
+    bt_handle_tombstone_request (sim->ctx, state->arbiter, &event->tombstone_request, now_ms,
                                  &actions);
   else if (event->kind == TO_AGENT_CANCEL)
-    bt_handle_cancel (sim->ctx, it->arbiter, &event->path, &actions);
+    bt_handle_cancel (sim->ctx, state->arbiter, &event->path, &actions);
   else if (event->kind == LINK_DOWN_AT_AGENT)
-    bt_handle_link_down (sim->ctx, it->arbiter, event->link, &actions);
+    bt_handle_link_down (sim->ctx, state->arbiter, event->link, &actions);
   else if (event->kind == AGENT_LEAVES)
-    bt_set_arbiter_leaving (it->arbiter, now_ms);
+    bt_set_arbiter_leaving (state->arbiter, now_ms);
   else
-    bt_handle_run_event (sim->ctx, it->arbiter, &event->run_event, now_ms, &actions);
-  carry_out_arbiter_actions (sim, agent, &actions);
+    bt_handle_run_event (sim->ctx, state->arbiter, &event->run_event, now_ms, &actions);
+  execute_arbiter_actions (sim, agent, &actions);
 }
 
 /* Passes a reply to all calls with its call id, whatever its link and attempt, so that only the
--- a/test/requests/request_world.h
+++ b/test/requests/request_world.h
@@ -105,8 +105,8 @@
   bt_delivery_t *call; /* NULL: not submitted yet, or lost with its entry instance */
   int32_t retries;
   bool finished;
-  bool whole;
-  bool cut;
+  bool complete;
+  bool aborted;
   bt_outcome_t outcome;
   bt_reason_t reason;
   char text[MAX_TEXT]; /* what the caller received */
@@ -154,7 +154,7 @@
 {
   uint64_t submissions;
   uint64_t outcomes[3];
-  uint64_t cut;
+  uint64_t aborted;
   uint64_t orphaned; /* lost when their entry instance restarted */
   uint64_t runs;
   uint64_t reasons[BT_REASON_COUNT];
--- a/test/requests/test_arbiter.c
+++ b/test/requests/test_arbiter.c
@@ -226,8 +226,8 @@
 }
 
 /* Guards against two agents that may run one key, when two entry instances propose different
- * agents. The home grants the key to one agent, and to another only after the first has tombstoned
- * it. */
+ * agents. The home agent grants the key to one agent, and to another only after the first has
+ * tombstoned it. */
 static void
 test_a_grant_moves_only_after_a_tombstone (void)
 {
@@ -316,8 +316,8 @@
   close_fixture (&fixture);
 }
 
-/* Guards against running a delayed copy under the home's grant to itself that expires after the
- * ticket. The tombstone was removed when the ticket expired, and the copy ran. */
+/* Guards against running a delayed copy under the home agent's grant to itself that expires after
+ * the ticket. The tombstone was removed when the ticket expired, and the copy ran. */
 static void
 test_no_grant_outlives_the_ticket_at_home (void)
 {
--- a/test/requests/test_attempt.c
+++ b/test/requests/test_attempt.c
@@ -33,8 +33,9 @@
   CU_ASSERT_TRUE (decision.may_have_run);
 }
 
-/* Guards against running a request twice after the connection broke before an answer: neither may
- * we retry it elsewhere, nor may its caller be told that it did not run and resend it. */
+/* Guards against running a request twice after the connection broke before an answer: it must not
+ * be retried elsewhere, and its caller, who would resend it, must not be told that it did not run.
+ */
 static void
 test_broken_attempt_is_neither_retried_nor_reported_not_run (void)
 {
--- a/test/requests/test_delivery.c
+++ b/test/requests/test_delivery.c
@@ -185,8 +185,8 @@
   close_fixture (&fixture);
 }
 
-/* Guards against two agents running one request when the home and the first granted agent refuse it
- * as full: the next agent is asked only after the previous one has tombstoned the key. */
+/* Guards against two agents running one request when the home agent and the first granted agent
+ * refuse it as full: the next agent is asked only after the previous one has tombstoned the key. */
 static void
 test_a_key_moves_with_grants_and_tombstones (void)
 {
@@ -255,9 +255,9 @@
   close_fixture (&fixture);
 }
 
-/* Guards against a wrong outcome when the link to the home breaks after the dispatch. The delivery
- * attaches to the run by key over the next link. When the home restarted or does not reconnect, the
- * outcome is unknown. */
+/* Guards against a wrong outcome when the link to the home agent breaks after the dispatch. The
+ * delivery attaches to the run by key over the next link. When the home agent restarted or does not
+ * reconnect, the outcome is unknown. */
 static void
 test_a_lost_home_is_reattached_or_unknown (void)
 {
--- a/test/requests/test_event_stream.c
+++ b/test/requests/test_event_stream.c
@@ -4,7 +4,7 @@
 #include "bilberrytray/requests/event_stream.h"
 
 static size_t
-take (bt_event_stream_t *stream, const char *text)
+consume (bt_event_stream_t *stream, const char *text)
 {
   return bt_consume_events (stream, text, strlen (text));
 }
@@ -15,10 +15,11 @@
   bt_event_stream_t stream = { .last_number = -1 };
   const char *text = "id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\nda";
 
-  CU_ASSERT_EQUAL (take (&stream, text), strlen ("id: 1\ndata: a\n\nid: 2\ndata: b\n\n"));
+  CU_ASSERT_EQUAL (consume (&stream, text), strlen ("id: 1\ndata: a\n\nid: 2\ndata: b\n\n"));
   CU_ASSERT_STRING_EQUAL (stream.last_id, "2");
   CU_ASSERT_EQUAL (stream.events, 2);
-  CU_ASSERT_EQUAL (take (&stream, "id:3\r\ndata: c\r\n\r\n"), strlen ("id:3\r\ndata: c\r\n\r\n"));
+  CU_ASSERT_EQUAL (consume (&stream, "id:3\r\ndata: c\r\n\r\n"),
+                   strlen ("id:3\r\ndata: c\r\n\r\n"));
   CU_ASSERT_STRING_EQUAL (stream.last_id, "3");
 }
 
@@ -29,9 +30,9 @@
 {
   bt_event_stream_t stream = { .last_number = -1 };
 
-  CU_ASSERT_EQUAL (take (&stream, "id: 1\ndata: whole\n\nid: 2\ndata: ha"),
+  CU_ASSERT_EQUAL (consume (&stream, "id: 1\ndata: whole\n\nid: 2\ndata: ha"),
                    strlen ("id: 1\ndata: whole\n\n"));
-  CU_ASSERT_EQUAL (take (&stream, "id: 2\ndata: again\n\n"), strlen ("id: 2\ndata: again\n\n"));
+  CU_ASSERT_EQUAL (consume (&stream, "id: 2\ndata: again\n\n"), strlen ("id: 2\ndata: again\n\n"));
   CU_ASSERT_EQUAL (stream.events, 2);
   CU_ASSERT_FALSE (stream.gap);
 }
@@ -44,11 +45,11 @@
   bt_event_stream_t late = { .last_number = -1 };
   bt_event_stream_t early = { .last_number = -1 };
 
-  take (&late, "id: 1\ndata: a\n\n");
-  CU_ASSERT_EQUAL (take (&late, "id: 3\ndata: c\n\n"), 0);
+  consume (&late, "id: 1\ndata: a\n\n");
+  CU_ASSERT_EQUAL (consume (&late, "id: 3\ndata: c\n\n"), 0);
   CU_ASSERT_TRUE (late.gap);
-  take (&early, "id: 1\ndata: a\n\nid: 2\ndata: b\n\n");
-  CU_ASSERT_EQUAL (take (&early, "id: 1\ndata: a\n\n"), 0);
+  consume (&early, "id: 1\ndata: a\n\nid: 2\ndata: b\n\n");
+  CU_ASSERT_EQUAL (consume (&early, "id: 1\ndata: a\n\n"), 0);
   CU_ASSERT_TRUE (early.gap);
 }
 
@@ -57,7 +58,7 @@
 {
   bt_event_stream_t stream = { .last_number = -1 };
 
-  CU_ASSERT_EQUAL (take (&stream, "data: a\n\nid: x\ndata: b\n\nid: y\ndata: c\n\n"),
+  CU_ASSERT_EQUAL (consume (&stream, "data: a\n\nid: x\ndata: b\n\nid: y\ndata: c\n\n"),
                    strlen ("data: a\n\nid: x\ndata: b\n\nid: y\ndata: c\n\n"));
   CU_ASSERT_STRING_EQUAL (stream.last_id, "y");
   CU_ASSERT_FALSE (stream.gap);
--- a/test/requests/test_request_schedules.c
+++ b/test/requests/test_request_schedules.c
@@ -100,12 +100,12 @@
     return NULL;
   if (!submission->finished)
     return "no final answer";
-  if (submission->whole && !is_complete_answer_of_a_run (sim, submission))
-    return "not the whole answer of one run of its own request";
-  if (!submission->whole && submission->outcome == BT_OUTCOME_NOT_RUN && request->runs > 0)
+  if (submission->complete && !is_complete_answer_of_a_run (sim, submission))
+    return "not the complete answer of one run of its own request";
+  if (!submission->complete && submission->outcome == BT_OUTCOME_NOT_RUN && request->runs > 0)
     return "told not-run, but it ran";
-  if (submission->text[0] != '\0' && !submission->whole && !submission->cut)
-    return "an answer that was begun is neither whole nor cut";
+  if (submission->text[0] != '\0' && !submission->complete && !submission->aborted)
+    return "an answer that was begun is neither complete nor aborted";
   return NULL;
 }
 
@@ -128,7 +128,7 @@
         }
       tally->outcomes[submission->outcome]++;
       tally->reasons[submission->reason]++;
-      tally->cut += submission->cut ? 1 : 0;
+      tally->aborted += submission->aborted ? 1 : 0;
     }
   for (int32_t i = 0; i < sim->request_count; i++)
     tally->runs += (uint64_t)sim->requests[i].runs;
@@ -193,12 +193,11 @@
 static void
 print_tally (const tally_t *tally)
 {
-  printf (
-      "\n    %d submissions: %d answered, %d not-run, %d unknown (%d of them cut), %d lost with "
-      "their entry; %d runs\n    reasons:",
-      (int)tally->submissions, (int)tally->outcomes[BT_OUTCOME_ANSWERED],
-      (int)tally->outcomes[BT_OUTCOME_NOT_RUN], (int)tally->outcomes[BT_OUTCOME_UNKNOWN],
-      (int)tally->cut, (int)tally->orphaned, (int)tally->runs);
+  printf ("\n    %d submissions: %d answered, %d not-run, %d unknown (%d of them aborted), "
+          "%d lost with their entry; %d runs\n    reasons:",
+          (int)tally->submissions, (int)tally->outcomes[BT_OUTCOME_ANSWERED],
+          (int)tally->outcomes[BT_OUTCOME_NOT_RUN], (int)tally->outcomes[BT_OUTCOME_UNKNOWN],
+          (int)tally->aborted, (int)tally->orphaned, (int)tally->runs);
   for (int32_t i = 1; i < BT_REASON_COUNT; i++)
     if (tally->reasons[i] > 0)
       printf (" %s %d", bt_name_reason ((bt_reason_t)i), (int)tally->reasons[i]);
@@ -222,8 +221,8 @@
 
 /* Guards against running a delayed copy of a dispatch after its tombstone was removed and the
  * caller was told that the request did not run. In 27844 and 109416 the copy came under a later
- * grant to the agent that had tombstoned the key under an earlier one, in 49565 under the home's
- * grant to itself, which expired after the ticket. */
+ * grant to the agent that had tombstoned the key under an earlier one, in 49565 under the home
+ * agent's grant to itself, which expired after the ticket. */
 static void
 test_seeds_of_past_failures (void)
 {
--- a/test/soak/caller.c
+++ b/test/soak/caller.c
@@ -85,7 +85,7 @@
 
   memset (outcome, 0, sizeof *outcome);
   snprintf (url, sizeof url, "http://127.0.0.1:%d%s",
-            caller->soak->field->caller_ports[caller->gateway], paths[kind]);
+            caller->soak->testbed->caller_ports[caller->gateway], paths[kind]);
   lines = curl_slist_append (lines, "Host: shop.example");
   snprintf (line, sizeof line, "Bilberrytray-Attempt-Id: %s", id);
   lines = curl_slist_append (lines, line);
@@ -191,7 +191,7 @@
   char path[BT_SOAK_TEXT_BYTES];
 
   bt_seed_random (&caller.random, soak->settings.seed * PERCENT + (uint64_t)index);
-  snprintf (path, sizeof path, "%s/caller-%d.log", soak->field->folder, index);
+  snprintf (path, sizeof path, "%s/caller-%d.log", soak->testbed->folder, index);
   caller.log = fopen (path, "w");
   caller.easy = curl_easy_init ();
   choose_gateway (&caller);
--- a/test/soak/checker.c
+++ b/test/soak/checker.c
@@ -272,7 +272,7 @@
       char pattern[BT_SOAK_TEXT_BYTES];
       glob_t found;
 
-      snprintf (pattern, sizeof pattern, "%s/%s", checker->soak->field->folder, patterns[i]);
+      snprintf (pattern, sizeof pattern, "%s/%s", checker->soak->testbed->folder, patterns[i]);
       if (glob (pattern, 0, NULL, &found) != 0)
         continue;
       for (size_t k = 0; k < found.gl_pathc; k++)
--- a/test/soak/faults.c
+++ b/test/soak/faults.c
@@ -111,7 +111,7 @@
 
   soak->version++;
   text = bt_write_soak_configuration (soak);
-  if (!bt_put_store_item (soak->field, "op/config", text))
+  if (!bt_put_store_item (soak->testbed, "op/config", text))
     bt_print_soak_event (soak, "the store did not accept the operator's configuration");
   free (text);
 }
@@ -171,7 +171,7 @@
 static void
 stop_gateway (bt_soak_t *soak, int32_t gateway)
 {
-  pid_t pid = soak->field->gateways[gateway];
+  pid_t pid = soak->testbed->gateways[gateway];
 
   soak->stopped_before_ready[gateway] = !is_sigterm_blocked (pid);
   kill (pid, SIGTERM);
@@ -196,20 +196,20 @@
 {
   int status;
 
-  if (soak->field->gateways[gateway] == 0)
+  if (soak->testbed->gateways[gateway] == 0)
     return;
-  waitpid (soak->field->gateways[gateway], &status, 0);
+  waitpid (soak->testbed->gateways[gateway], &status, 0);
   if (stopped)
     check_exit_status (soak, gateway, status);
-  soak->field->gateways[gateway] = 0;
+  soak->testbed->gateways[gateway] = 0;
 }
 
 static void
 kill_gateway (bt_soak_t *soak, int32_t gateway)
 {
-  if (soak->field->gateways[gateway] == 0)
+  if (soak->testbed->gateways[gateway] == 0)
     return;
-  kill (soak->field->gateways[gateway], SIGKILL);
+  kill (soak->testbed->gateways[gateway], SIGKILL);
   reap_gateway (soak, gateway, false);
 }
 
@@ -227,7 +227,7 @@
 static void
 replace_runner (bt_soak_t *soak, int32_t runner)
 {
-  if (!bt_put_runner_item (soak->field, runner, "draining"))
+  if (!bt_put_runner_item (soak->testbed, runner, "draining"))
     bt_print_soak_event (soak, "runner %d could not be listed as draining", runner);
 }
 
@@ -235,7 +235,7 @@
 start_fault (bt_soak_faults_t *faults, active_fault_t *fault)
 {
   bt_soak_t *soak = faults->soak;
-  bt_gateway_testbed_t *field = soak->field;
+  bt_gateway_testbed_t *testbed = soak->testbed;
   bt_hop_fault_t hop_fault = (bt_hop_fault_t)(1 + draw_below (faults, BT_HOP_FAULTS - 1));
   int32_t delay_ms = 1 + draw_below (faults, MAX_DELAY_MS);
   const char *detail = "";
@@ -243,7 +243,7 @@
   switch (fault->kind)
     {
     case FAULT_FREEZE:
-      kill (field->gateways[fault->target], SIGSTOP);
+      kill (testbed->gateways[fault->target], SIGSTOP);
       break;
     case FAULT_KILL:
       kill_gateway (soak, fault->target);
@@ -252,25 +252,25 @@
       stop_gateway (soak, fault->target);
       break;
     case FAULT_KILL_ALL:
-      for (int32_t i = 0; i < field->gateway_count; i++)
+      for (int32_t i = 0; i < testbed->gateway_count; i++)
         kill_gateway (soak, i);
       break;
     case FAULT_STORE_LINK:
-      bt_set_hop_fault (field->hop_ports[fault->target], hop_fault, delay_ms);
+      bt_set_hop_fault (testbed->hop_ports[fault->target], hop_fault, delay_ms);
       break;
     case FAULT_RUNNER_LINK:
-      bt_set_hop_fault (field->runner_hop_ports[fault->target], hop_fault, delay_ms);
+      bt_set_hop_fault (testbed->runner_hop_ports[fault->target], hop_fault, delay_ms);
       break;
     case FAULT_RUNNER:
       detail = runner_faults[draw_below (faults, sizeof runner_faults / sizeof runner_faults[0])];
-      set_standin_fault (field->runner_ports[fault->target], detail, delay_ms);
+      set_standin_fault (testbed->runner_ports[fault->target], detail, delay_ms);
       break;
     case FAULT_RUNNER_REPLACED:
       replace_runner (soak, fault->target);
       break;
     default:
       detail = store_faults[draw_below (faults, sizeof store_faults / sizeof store_faults[0])];
-      set_standin_fault (field->store_port, detail, delay_ms);
+      set_standin_fault (testbed->store_port, detail, delay_ms);
       break;
     }
   bt_print_soak_event (soak, "%s %d for %lld ms %s %d", fault_names[fault->kind], fault->target,
@@ -282,46 +282,46 @@
 end_fault (bt_soak_faults_t *faults, const active_fault_t *fault)
 {
   bt_soak_t *soak = faults->soak;
-  bt_gateway_testbed_t *field = soak->field;
+  bt_gateway_testbed_t *testbed = soak->testbed;
 
   switch (fault->kind)
     {
     case FAULT_FREEZE:
-      kill (field->gateways[fault->target], SIGCONT);
+      kill (testbed->gateways[fault->target], SIGCONT);
       break;
     case FAULT_STOP:
       reap_gateway (soak, fault->target, true);
-      bt_start_gateway_process (field, fault->target);
+      bt_start_gateway_process (testbed, fault->target);
       break;
     case FAULT_KILL:
-      bt_start_gateway_process (field, fault->target);
+      bt_start_gateway_process (testbed, fault->target);
       break;
     case FAULT_KILL_ALL:
-      for (int32_t i = 0; i < field->gateway_count; i++)
-        bt_start_gateway_process (field, i);
+      for (int32_t i = 0; i < testbed->gateway_count; i++)
+        bt_start_gateway_process (testbed, i);
       break;
     case FAULT_STORE_LINK:
-      bt_set_hop_fault (field->hop_ports[fault->target], BT_HOP_NONE, 0);
+      bt_set_hop_fault (testbed->hop_ports[fault->target], BT_HOP_NONE, 0);
       break;
     case FAULT_RUNNER_LINK:
-      bt_set_hop_fault (field->runner_hop_ports[fault->target], BT_HOP_NONE, 0);
+      bt_set_hop_fault (testbed->runner_hop_ports[fault->target], BT_HOP_NONE, 0);
       break;
     case FAULT_RUNNER:
-      set_standin_fault (field->runner_ports[fault->target], "none", 0);
+      set_standin_fault (testbed->runner_ports[fault->target], "none", 0);
       break;
     case FAULT_RUNNER_REPLACED:
       {
         char key[BT_SOAK_TEXT_BYTES] = "servers/";
 
-        bt_write_runner_id (field, fault->target, key + strlen (key), sizeof key - strlen (key));
-        bt_kill_runner_process (field, fault->target);
-        bt_put_store_item (field, key, NULL);
-        bt_start_runner_process (field, fault->target);
-        bt_put_runner_item (field, fault->target, "ready");
+        bt_write_runner_id (testbed, fault->target, key + strlen (key), sizeof key - strlen (key));
+        bt_kill_runner_process (testbed, fault->target);
+        bt_put_store_item (testbed, key, NULL);
+        bt_start_runner_process (testbed, fault->target);
+        bt_put_runner_item (testbed, fault->target, "ready");
         break;
       }
     default:
-      set_standin_fault (field->store_port, "none", 0);
+      set_standin_fault (testbed->store_port, "none", 0);
       break;
     }
 }
@@ -363,8 +363,8 @@
   if (kind == FAULT_STORE || kind == FAULT_KILL_ALL)
     return NO_TARGET;
   if (kind >= FAULT_RUNNER_LINK)
-    return draw_below (faults, faults->soak->field->runner_count);
-  return draw_below (faults, faults->soak->field->gateway_count);
+    return draw_below (faults, faults->soak->testbed->runner_count);
+  return draw_below (faults, faults->soak->testbed->gateway_count);
 }
 
 /* Records until when a fault disturbs gateways, the store or the links to the runners. */
@@ -373,7 +373,7 @@
 {
   bt_soak_t *soak = faults->soak;
 
-  for (int32_t i = 0; i < soak->field->gateway_count; i++)
+  for (int32_t i = 0; i < soak->testbed->gateway_count; i++)
     if (fault->kind == FAULT_KILL_ALL
         || (fault->target == i && (fault->kind == FAULT_FREEZE || fault->kind == FAULT_KILL)))
       soak->halted_ms[i] = fault->until_ms;
@@ -382,7 +382,7 @@
   else if (fault->kind == FAULT_RUNNER_LINK)
     soak->runner_link_disturbed_ms = fault->until_ms + BT_SOAK_SETTLE_MS;
   else if (fault->kind == FAULT_KILL_ALL)
-    for (int32_t i = 0; i < soak->field->gateway_count; i++)
+    for (int32_t i = 0; i < soak->testbed->gateway_count; i++)
       extend_disturbance (soak, i, fault->until_ms);
   else if (fault->kind <= FAULT_STORE_LINK)
     extend_disturbance (soak, fault->target, fault->until_ms);
@@ -421,7 +421,7 @@
 static bool
 has_ended (bt_soak_faults_t *faults, active_fault_t *fault, int64_t now_ms)
 {
-  pid_t *pid = &faults->soak->field->gateways[fault->target < 0 ? 0 : fault->target];
+  pid_t *pid = &faults->soak->testbed->gateways[fault->target < 0 ? 0 : fault->target];
   int status;
 
   if (fault->until_ms > now_ms)
@@ -470,8 +470,8 @@
   bool ready = true;
 
   end_due_faults (faults, INT64_MAX);
-  for (int32_t i = 0; i < soak->field->gateway_count; i++)
-    if (!bt_wait_gateway_ready (soak->field, i))
+  for (int32_t i = 0; i < soak->testbed->gateway_count; i++)
+    if (!bt_wait_gateway_ready (soak->testbed, i))
       {
         bt_print_soak_event (soak, "BROKEN RECOVER gateway %d is not ready", i);
         ready = false;
--- a/test/soak/main.c
+++ b/test/soak/main.c
@@ -52,15 +52,15 @@
   soak->start_ms = bt_read_clock_ms (bt_system_clock ());
   setenv ("STORE_LAPSES", "1", 1);
   text = bt_write_soak_configuration (soak);
-  soak->field =
+  soak->testbed =
       bt_new_large_gateway_testbed (soak->settings.gateways, soak->settings.runners, text);
   free (text);
-  if (soak->field == NULL)
+  if (soak->testbed == NULL)
     return false;
   for (int32_t i = 0; i < soak->settings.gateways; i++)
-    if (!bt_wait_gateway_ready (soak->field, i))
+    if (!bt_wait_gateway_ready (soak->testbed, i))
       return false;
-  soak->field->drain_ms =
+  soak->testbed->drain_ms =
       drain_times_ms[soak->settings.seed % (sizeof drain_times_ms / sizeof drain_times_ms[0])];
   soak->start_ms = bt_read_clock_ms (bt_system_clock ());
   return true;
@@ -214,6 +214,6 @@
     }
   curl_global_init (CURL_GLOBAL_DEFAULT);
   passed = start_soak (&soak) && run_soak (&soak);
-  bt_drop_gateway_testbed (soak.field, false);
+  bt_drop_gateway_testbed (soak.testbed, false);
   return passed ? 0 : 1;
 }
--- a/test/soak/poison.c
+++ b/test/soak/poison.c
@@ -62,7 +62,7 @@
 
   /* bt_check_poison_run reads the gateway from the id. */
   snprintf (id, sizeof id, "p%d-%d", gateway, number);
-  bt_get_call_status (soak->field, &call);
+  bt_get_call_status (soak->testbed, &call);
 }
 
 void
@@ -85,21 +85,21 @@
 static void
 restart_runner (bt_soak_poison_t *poison, int32_t index)
 {
-  bt_gateway_testbed_t *field = poison->soak->field;
+  bt_gateway_testbed_t *testbed = poison->soak->testbed;
 
   poison->restart_ms[index] = 0;
   /* A planned replacement may have started it meanwhile. */
-  if (field->runners[index] != 0)
+  if (testbed->runners[index] != 0)
     return;
-  if (!bt_restart_runner_process (field, index) || !bt_put_runner_item (field, index, "ready"))
+  if (!bt_restart_runner_process (testbed, index) || !bt_put_runner_item (testbed, index, "ready"))
     bt_print_soak_event (poison->soak, "runner %d could not be restarted", index);
 }
 
 void
 bt_restart_crashed_runners (bt_soak_poison_t *poison)
 {
-  for (int32_t i = 0; i < poison->soak->field->runner_count; i++)
-    if (bt_reap_runner_process (poison->soak->field, i))
+  for (int32_t i = 0; i < poison->soak->testbed->runner_count; i++)
+    if (bt_reap_runner_process (poison->soak->testbed, i))
       {
         poison->restart_ms[i] =
             now () + MIN_DOWN_MS
--- a/test/soak/soak.h
+++ b/test/soak/soak.h
@@ -3,8 +3,8 @@
 
 /** @file
  * Randomized soak test. Real gateways run against stand-ins on loopback while callers send requests
- * over kept connections and faults are injected. A seed determines all random choices. The results
- * are checked while the test runs.
+ * over persistent connections and faults are injected. A seed determines all random choices. The
+ * results are checked while the test runs.
  *
  * Each caller is a separate process that logs the result of each request to a file. Each runner
  * logs every run to a file. The checker reads both.
@@ -56,7 +56,7 @@
 {
   bt_soak_settings_t settings;
   bt_random_t random;
-  bt_gateway_testbed_t *field;
+  bt_gateway_testbed_t *testbed;
   int64_t start_ms;
   pid_t callers[BT_MAX_GATEWAYS * 4];
   pid_t poison_caller;
@@ -80,7 +80,7 @@
 char *bt_write_soak_configuration (const bt_soak_t *soak);
 
 /** Runs in a child process: sends requests until the process is killed, and logs the result of each
- * to a file in the folder of soak->field. */
+ * to a file in the folder of soak->testbed. */
 void bt_run_soak_caller (const bt_soak_t *soak, int32_t index);
 
 /** Fault injection: the faults in force and the time of the next one. */
--- a/test/standin/engine/engine.h
+++ b/test/standin/engine/engine.h
@@ -34,11 +34,11 @@
 /** Faults set by a test. */
 typedef struct engine_faults
 {
-  int32_t fail_count; /**< How many next completions are answered with 500 and not run. */
-  /** How many next streams stall after silent_after tokens; the run goes on. */
+  int32_t fail_count; /**< Number of next completions that are answered with 500 and not run. */
+  /** Number of next streams that stall after silent_after tokens; the run goes on. */
   int32_t silent_count;
   int32_t silent_after;
-  int32_t cut_count; /**< How many next streams are closed after cut_after tokens. */
+  int32_t cut_count; /**< Number of next streams that are closed after cut_after tokens. */
   int32_t cut_after;
   int32_t slow_factor; /**< Multiplies the duration of steps. */
 } engine_faults_t;
--- a/test/standin/engine/main.c
+++ b/test/standin/engine/main.c
@@ -125,7 +125,8 @@
   return (ssize_t)bytes;
 }
 
-/* Returns after and decrements the count if the fault applies to this call, else -1. */
+/* Returns -1 if the fault does not apply to this call. Otherwise decrements @p count and returns @p
+ * after. */
 static int32_t
 consume_fault (int32_t *count, int32_t after)
 {
--- a/test/standin/kv/main.c
+++ b/test/standin/kv/main.c
@@ -1,5 +1,5 @@
 /** @file
- * HTTP server of the stand-in for the key-value service. See store.h for the data.
+ * HTTP server of the stand-in for the key-value store. See store.h for the data.
  *
  *   GET /stats     how often each call was made
  *   POST /fault    see standin_http.h, matched against the names of routes; also "stale-read"
--- a/test/standin/kv/store.h
+++ b/test/standin/kv/store.h
@@ -2,7 +2,7 @@
 #define STANDIN_KV_STORE_H
 
 /** @file
- * Keys, leases and history of the stand-in for the key-value service. Requests and answers are the
+ * Keys, leases and history of the stand-in for the key-value store. Requests and answers are the
  * documents of the etcd v3 JSON gateway. Keys are returned in the order in which they were created.
  */
 
--- a/test/store/standin_process.h
+++ b/test/store/standin_process.h
@@ -64,8 +64,8 @@
   waitpid (process->pid, NULL, 0);
 }
 
-/** Sends one request and copies the text of the answer to @p text, which may be NULL. False when
- * there was no answer. */
+/** Sends one request and copies the text of the answer to @p text, which may be NULL. Returns false
+ * when there was no answer. */
 static inline bool
 command_standin (bt_context_t *ctx,
                  const standin_process_t *process,
--- a/test/store/test_kv.c
+++ b/test/store/test_kv.c
@@ -7,7 +7,7 @@
 typedef struct fixture
 {
   bt_context_t *ctx;
-  standin_process_t service;
+  standin_process_t store;
   bt_kv_t *kv;
 } fixture_t;
 
@@ -18,8 +18,8 @@
 
   fixture->ctx = bt_new_context ();
   bt_set_log_level (fixture->ctx, -1);
-  CU_ASSERT_FATAL (start_standin (&fixture->service, "standin-kv"));
-  settings = bt_get_default_kv_settings (fixture->service.url);
+  CU_ASSERT_FATAL (start_standin (&fixture->store, "standin-kv"));
+  settings = bt_get_default_kv_settings (fixture->store.url);
   settings.total_ms = total_ms;
   settings.rate.calls_per_s = calls_per_s;
   settings.rate.burst = burst;
@@ -32,7 +32,7 @@
 close_fixture (fixture_t *fixture)
 {
   bt_drop_kv (fixture->ctx, fixture->kv);
-  stop_standin (&fixture->service);
+  stop_standin (&fixture->store);
   bt_drop_context (fixture->ctx);
 }
 
@@ -132,13 +132,13 @@
 
   open_fixture (&fixture, 3000, 1000, 1000);
   read_text (&fixture, "config/rules", text);
-  CU_ASSERT_TRUE (set_fault (fixture.ctx, &fixture.service,
+  CU_ASSERT_TRUE (set_fault (fixture.ctx, &fixture.store,
                              "{\"kind\":\"lost-answer\",\"count\":1,\"match\":\"txn\"}"));
   CU_ASSERT_FALSE (swap_text (&fixture, "config/rules", 0, "one", &result, &error));
   CU_ASSERT_TRUE (bt_is_kv_effect_unknown (&error));
   CU_ASSERT_TRUE (read_text (&fixture, "config/rules", text) > 0);
   CU_ASSERT_STRING_EQUAL (text, "one");
-  command_standin (fixture.ctx, &fixture.service, "/stats", NULL, stats, sizeof stats);
+  command_standin (fixture.ctx, &fixture.store, "/stats", NULL, stats, sizeof stats);
   CU_ASSERT_PTR_NOT_NULL (strstr (stats, "\"txn\":1"));
   close_fixture (&fixture);
 }
@@ -146,14 +146,14 @@
 /* A write fails because the store does not listen. The request was never sent, so the error must
  * say that nothing was written. */
 static void
-test_unreachable_service_has_no_effect (void)
+test_unreachable_store_has_no_effect (void)
 {
   fixture_t fixture;
   bt_kv_txn_result_t result;
   bt_error_t error = { 0 };
 
   open_fixture (&fixture, 3000, 1000, 1000);
-  stop_standin (&fixture.service);
+  stop_standin (&fixture.store);
   CU_ASSERT_FALSE (swap_text (&fixture, "config/rules", 0, "one", &result, &error));
   CU_ASSERT_EQUAL (error.code, BT_ERROR_SYSTEM);
   CU_ASSERT_FALSE (bt_is_kv_effect_unknown (&error));
@@ -174,7 +174,7 @@
   open_fixture (&fixture, 500, 1000, 1000);
   CU_ASSERT_TRUE (put_text (&fixture, "config/rules", "one", NULL));
   CU_ASSERT_TRUE (
-      set_fault (fixture.ctx, &fixture.service,
+      set_fault (fixture.ctx, &fixture.store,
                  "{\"kind\":\"slow\",\"count\":1,\"delay_ms\":60000,\"match\":\"range\"}"));
   CU_ASSERT_FALSE (bt_read_kv (fixture.ctx, fixture.kv, "config/", true, &range, &error));
   CU_ASSERT_EQUAL (error.code, BT_ERROR_TIMEOUT);
@@ -202,7 +202,7 @@
   CU_ASSERT_TRUE (
       bt_watch_kv (fixture.ctx, fixture.kv, "config/", revision + 1, 60000, &result, &error));
   CU_ASSERT_EQUAL (result, BT_KV_WATCH_EVENTS);
-  set_fault (fixture.ctx, &fixture.service, "{\"kind\":\"silent-watch\",\"match\":\"watch\"}");
+  set_fault (fixture.ctx, &fixture.store, "{\"kind\":\"silent-watch\",\"match\":\"watch\"}");
   CU_ASSERT_TRUE (
       bt_watch_kv (fixture.ctx, fixture.kv, "config/", revision + 1, 500, &result, &error));
   CU_ASSERT_EQUAL (result, BT_KV_WATCH_NO_EVENTS);
@@ -248,7 +248,7 @@
 
   open_fixture (&fixture, 3000, 1000, 1000);
   CU_ASSERT_TRUE (put_text (&fixture, "config/rules", "one", NULL));
-  set_fault (fixture.ctx, &fixture.service,
+  set_fault (fixture.ctx, &fixture.store,
              "{\"kind\":\"stale-read\",\"count\":1,\"match\":\"range\"}");
   CU_ASSERT_TRUE (put_text (&fixture, "config/rules", "two", NULL));
   read_text (&fixture, "config/rules", text);
@@ -271,7 +271,7 @@
   for (int32_t i = 0; i < 3; i++)
     CU_ASSERT_EQUAL (read_text (&fixture, "config/rules", text), 0);
   CU_ASSERT_EQUAL (read_text (&fixture, "config/rules", text), -1);
-  command_standin (fixture.ctx, &fixture.service, "/stats", NULL, stats, sizeof stats);
+  command_standin (fixture.ctx, &fixture.store, "/stats", NULL, stats, sizeof stats);
   CU_ASSERT_PTR_NOT_NULL (strstr (stats, "\"range\":3"));
   CU_ASSERT_EQUAL (bt_read_counter (bt_find_counter (
                        fixture.ctx, BT_COUNTER, "bilberry_store_calls_total", "", "kind", "range")),
@@ -289,7 +289,7 @@
   suite = CU_add_suite ("kv", NULL, NULL);
   CU_ADD_TEST (suite, test_reads_and_writes);
   CU_ADD_TEST (suite, test_lost_answer_leaves_effect_unknown);
-  CU_ADD_TEST (suite, test_unreachable_service_has_no_effect);
+  CU_ADD_TEST (suite, test_unreachable_store_has_no_effect);
   CU_ADD_TEST (suite, test_silent_call_times_out_and_next_succeeds);
   CU_ADD_TEST (suite, test_watch_ends_by_event_or_time_limit);
   CU_ADD_TEST (suite, test_expired_lease_is_not_renewed);
--- a/test/tools/test_operations_page.sh
+++ b/test/tools/test_operations_page.sh
@@ -1,6 +1,6 @@
 #!/bin/bash
-# A new event or metric comes with a change of the code, and on call nobody knows what it says. So
-# each one that the code can write has to stand on the operators' page.
+# Guards against an event or metric that is added to the code without an explanation: an operator on
+# call would not know what it means. The operators' page must list each one that the code can write.
 set -u
 cd "$(dirname "$0")/../.."
 page=docs/OPERATIONS.md
--- a/test/tools/test_run_tests.sh
+++ b/test/tools/test_run_tests.sh
@@ -1,15 +1,16 @@
 #!/bin/bash
-# A test was fixed and its line stayed in KNOWN-RED.txt. When it breaks again, for a new cause, CI
-# passes over it and nobody looks. So a listed test that passes has to make the run fail, and a
-# listed one that did not run, or that fails, must not.
+# Guards against the line of a fixed test that stays in KNOWN-RED.txt: if the test breaks again for a
+# new cause, CI would ignore it and nobody would look. A listed test that passes must make the run
+# fail; a listed test that did not run, or that fails, must not.
 set -u
 cd "$(dirname "$0")/../.."
 folder=$(mktemp -d)
 trap 'rm -r "$folder"' EXIT
 errors=0
 
-# Judges a log of ctest by a list: judge NAME EXPECTED_STATUS EXPECTED_LINE
-judge() {
+# Runs run-tests.sh on a ctest log and a list of known failures:
+# check_log NAME EXPECTED_STATUS EXPECTED_LINE
+check_log() {
   local output status
   output=$(BT_CTEST_LOG=$folder/log BT_KNOWN_RED=$folder/red ./tools/run-tests.sh 2>&1)
   status=$?
@@ -32,20 +33,20 @@
 
 echo "# Tests that fail for a known fault" >"$folder/red"
 write_log test_good ""
-judge "nothing is wrong" 0 ""
+check_log "nothing is wrong" 0 ""
 write_log test_good test_bad
-judge "a test fails" 1 "FAILED: test_bad"
+check_log "a test fails" 1 "FAILED: test_bad"
 echo "test_bad, a cause, #1" >>"$folder/red"
-judge "a listed test fails" 0 "KNOWN RED: test_bad, a cause, #1"
+check_log "a listed test fails" 0 "KNOWN RED: test_bad, a cause, #1"
 write_log test_bad ""
-judge "a listed test passes" 1 "NO LONGER RED: test_bad"
+check_log "a listed test passes" 1 "NO LONGER RED: test_bad"
 write_log test_bad test_other
-judge "a listed test passes and another fails" 1 "FAILED: test_other"
+check_log "a listed test passes and another fails" 1 "FAILED: test_other"
 write_log test_bad_too ""
-judge "the name of a listed test begins another's" 0 ""
+check_log "the name of a listed test begins another's" 0 ""
 write_log test_good ""
-judge "a listed test did not run" 0 ""
+check_log "a listed test did not run" 0 ""
 echo "Errors while running CTest" >"$folder/log"
-judge "ctest did not finish" 1 "ctest did not finish"
+check_log "ctest did not finish" 1 "ctest did not finish"
 [ "$errors" -eq 0 ] && echo "run-tests: all cases good"
 exit $((errors > 0))
