--- a/source/entry/caller.c
+++ b/source/entry/caller.c
@@ -134,7 +134,10 @@
 }
 
 void
-bt_begin_answer (bt_context_t *ctx, bt_caller_t *caller, int32_t status, const char *content_type)
+bt_begin_caller_answer (bt_context_t *ctx,
+                        bt_caller_t *caller,
+                        int32_t status,
+                        const char *content_type)
 {
   pthread_mutex_lock (&caller->lock);
   if (caller->state == ANSWER_NONE)
@@ -148,7 +151,7 @@
 }
 
 bool
-bt_add_answer (bt_context_t *ctx, bt_caller_t *caller, const void *data, size_t bytes)
+bt_add_caller_answer (bt_context_t *ctx, bt_caller_t *caller, const void *data, size_t bytes)
 {
   bool added = false;
 
@@ -181,7 +184,7 @@
 }
 
 void
-bt_end_answer (bt_context_t *ctx, bt_caller_t *caller)
+bt_end_caller_answer (bt_context_t *ctx, bt_caller_t *caller)
 {
   bt_count_outcome (ctx, BT_OUTCOME_ANSWERED);
   end_answer (caller, ANSWER_COMPLETE);
@@ -241,8 +244,8 @@
                   const char *content_type,
                   const char *text)
 {
-  bt_begin_answer (ctx, caller, status, content_type);
-  bt_add_answer (ctx, caller, text, strlen (text));
+  bt_begin_caller_answer (ctx, caller, status, content_type);
+  bt_add_caller_answer (ctx, caller, text, strlen (text));
   end_answer (caller, ANSWER_COMPLETE);
 }
 
--- a/source/entry/caller.h
+++ b/source/entry/caller.h
@@ -56,15 +56,17 @@
 const char *bt_find_caller_header (const bt_caller_t *caller, const char *name);
 
 /** Begins the answer. */
-void
-bt_begin_answer (bt_context_t *ctx, bt_caller_t *caller, int32_t status, const char *content_type);
+void bt_begin_caller_answer (bt_context_t *ctx,
+                             bt_caller_t *caller,
+                             int32_t status,
+                             const char *content_type);
 
 /** Appends to the answer. Returns false if the answer is not in progress, or if the caller reads
  * so slowly that too much of the answer is pending; the answer is then aborted. */
-bool bt_add_answer (bt_context_t *ctx, bt_caller_t *caller, const void *data, size_t bytes);
+bool bt_add_caller_answer (bt_context_t *ctx, bt_caller_t *caller, const void *data, size_t bytes);
 
 /** Marks the answer as complete and counts its outcome. */
-void bt_end_answer (bt_context_t *ctx, bt_caller_t *caller);
+void bt_end_caller_answer (bt_context_t *ctx, bt_caller_t *caller);
 
 /** Refuses the request at once, or aborts the answer if it has begun; the outcome is then
  * unknown. All refusals go through this function, which counts the reason and the outcome. */
--- a/source/entry/deliveries.c
+++ b/source/entry/deliveries.c
@@ -327,15 +327,15 @@
       send_cancel (entry, call, &action->path);
       break;
     case BT_DELIVERY_FORWARD_HEAD:
-      bt_begin_answer (entry->ctx, call->caller, (int32_t)action->status, action->data);
+      bt_begin_caller_answer (entry->ctx, call->caller, (int32_t)action->status, action->data);
       break;
     case BT_DELIVERY_FORWARD_PIECE:
-      if (!bt_add_answer (entry->ctx, call->caller, action->data, action->data_bytes))
+      if (!bt_add_caller_answer (entry->ctx, call->caller, action->data, action->data_bytes))
         queue_event (queue, BT_DELIVERY_CALLER_GONE);
       break;
     case BT_DELIVERY_FINISH_COMPLETE:
       end_attempt (entry, call, BT_ATTEMPT_ANSWERED);
-      bt_end_answer (entry->ctx, call->caller);
+      bt_end_caller_answer (entry->ctx, call->caller);
       log_request_end (entry, call, BT_OUTCOME_ANSWERED, BT_REASON_NONE);
       call->finished = true;
       break;
