--- a/bench/bench_log.c
+++ b/bench/bench_log.c
@@ -121,7 +121,7 @@
 
   for (int32_t i = 0; i < count; i++)
     {
-      bt_reply_t reply;
+      bt_http_reply_t reply;
 
       bt_send_gateway_request (testbed, gateway, "/a/lookup", headers, "shrimp", &reply);
       failed_requests += reply.curl_code != 0 || reply.status != 200;
--- a/test/process/harness.c
+++ b/test/process/harness.c
@@ -311,7 +311,7 @@
 static json_t *
 call_url (const char *url, const char *body, const char *method)
 {
-  bt_reply_t reply;
+  bt_http_reply_t reply;
   json_t *answer = NULL;
 
   bt_perform_request (url, NULL, body, method, &reply);
@@ -337,7 +337,7 @@
 {
   int32_t offset = is_kind (name, "entry") ? OFFSET_ENTRY_PAGE : OFFSET_AGENT_PAGE;
   char url[URL_BYTES];
-  bt_reply_t reply;
+  bt_http_reply_t reply;
 
   snprintf (url, sizeof url, "http://127.0.0.1:%d/metrics",
             testbed->base_port + offset + read_index (name));
@@ -367,7 +367,7 @@
 {
   const char *build = getenv ("BT_BUILD_DIR");
   char command[COMMAND_BYTES];
-  bt_reply_t printed = { 0 };
+  bt_http_reply_t printed = { 0 };
   char block[URL_BYTES];
   size_t got;
   FILE *pipe;
--- a/test/process/harness.h
+++ b/test/process/harness.h
@@ -44,7 +44,7 @@
 } bt_testbed_t;
 
 /** The reply that a caller received. */
-typedef struct bt_reply
+typedef struct bt_http_reply
 {
   int32_t curl_code; /**< CURLE_OK (0): the answer is complete. */
   int32_t status;
@@ -53,7 +53,7 @@
   int64_t retry_after_ms; /**< -1 without the header Bilberry-Retry-After-Ms. */
   char *body;             /**< Freed by bt_clear_reply. */
   size_t body_bytes;
-} bt_reply_t;
+} bt_http_reply_t;
 
 /** Starts the stand-ins, @p entries entry instances, @p engines model engines (app "drafts") and @p
  * plain_services plain services (app "lookup") with their agents, publishes @p rules_json and waits
@@ -109,12 +109,12 @@
                             const char *path,
                             const char *const *headers,
                             const char *body,
-                            bt_reply_t *reply);
+                            bt_http_reply_t *reply);
 
 /** Returns the body as text, "" if there is none. */
-const char *bt_get_reply_text (const bt_reply_t *reply);
+const char *bt_get_reply_text (const bt_http_reply_t *reply);
 
-void bt_clear_reply (bt_reply_t *reply);
+void bt_clear_reply (bt_http_reply_t *reply);
 
 /** Calls a page of a stand-in: GET without a body, POST with one. The caller owns the result.
  * Returns NULL on failure. */
--- a/test/process/harness_config.c
+++ b/test/process/harness_config.c
@@ -40,7 +40,7 @@
 void
 bt_read_rules_version (const bt_testbed_t *testbed, const char *entry, char version[VERSION_BYTES])
 {
-  bt_reply_t reply;
+  bt_http_reply_t reply;
   json_t *body;
 
   bt_send_entry_request (testbed, entry, "small", "/version", NULL, "{}", &reply);
--- a/test/process/harness_gateway.c
+++ b/test/process/harness_gateway.c
@@ -125,7 +125,7 @@
 get_status (int32_t port, const char *path, const char *body)
 {
   char url[4 * URL_BYTES];
-  bt_reply_t reply;
+  bt_http_reply_t reply;
   int32_t status;
 
   snprintf (url, sizeof url, "http://127.0.0.1:%d%s", port, path);
@@ -138,7 +138,7 @@
 void
 bt_send_gateway_call (const bt_gateway_testbed_t *testbed,
                       const bt_gateway_call_t *call,
-                      bt_reply_t *reply)
+                      bt_http_reply_t *reply)
 {
   char id[HEADER_BYTES];
   char deadline[HEADER_BYTES];
@@ -161,7 +161,7 @@
 int32_t
 bt_get_call_status (const bt_gateway_testbed_t *testbed, const bt_gateway_call_t *call)
 {
-  bt_reply_t reply;
+  bt_http_reply_t reply;
   int32_t status;
 
   bt_send_gateway_call (testbed, call, &reply);
@@ -187,7 +187,7 @@
 }
 
 void
-bt_read_gateway_metrics (const bt_gateway_testbed_t *testbed, int32_t index, bt_reply_t *reply)
+bt_read_gateway_metrics (const bt_gateway_testbed_t *testbed, int32_t index, bt_http_reply_t *reply)
 {
   char url[URL_BYTES];
 
@@ -200,7 +200,7 @@
 {
   char start[TEXT_BYTES];
   const char *line;
-  bt_reply_t reply;
+  bt_http_reply_t reply;
   int64_t value;
 
   snprintf (start, sizeof start, "\n%s ", name);
@@ -525,7 +525,7 @@
                          const char *path,
                          const char *const *headers,
                          const char *body,
-                         bt_reply_t *reply)
+                         bt_http_reply_t *reply)
 {
   struct curl_slist *lines = NULL;
   char url[2 * URL_BYTES];
@@ -555,7 +555,7 @@
 append_runs (json_t *found, int32_t port, const char *request_id)
 {
   char url[URL_BYTES];
-  bt_reply_t reply;
+  bt_http_reply_t reply;
   json_t *log;
   json_t *run;
   size_t i;
--- a/test/process/harness_gateway.h
+++ b/test/process/harness_gateway.h
@@ -101,7 +101,7 @@
                               const char *path,
                               const char *const *headers,
                               const char *body,
-                              bt_reply_t *reply);
+                              bt_http_reply_t *reply);
 
 /** A request for the host that the tests' routes match. */
 typedef struct bt_gateway_call
@@ -117,7 +117,7 @@
 /** Sends a request and waits for the reply, which the caller clears. */
 void bt_send_gateway_call (const bt_gateway_testbed_t *testbed,
                            const bt_gateway_call_t *call,
-                           bt_reply_t *reply);
+                           bt_http_reply_t *reply);
 
 /** Sends a request and returns the status, 0 without an answer. */
 int32_t bt_get_call_status (const bt_gateway_testbed_t *testbed, const bt_gateway_call_t *call);
@@ -129,8 +129,9 @@
                           int32_t wanted);
 
 /** Reads the metrics page of a gateway; the caller clears the reply. */
-void
-bt_read_gateway_metrics (const bt_gateway_testbed_t *testbed, int32_t index, bt_reply_t *reply);
+void bt_read_gateway_metrics (const bt_gateway_testbed_t *testbed,
+                              int32_t index,
+                              bt_http_reply_t *reply);
 
 /** Reads one value of the metrics page by its name with the labels, such as "x_total{kind=\"a\"}";
  * -1 if the page does not have it. */
--- a/test/process/harness_http.c
+++ b/test/process/harness_http.c
@@ -15,7 +15,7 @@
 size_t
 bt_append_reply_bytes (char *data, size_t size, size_t count, void *argument)
 {
-  bt_reply_t *reply = argument;
+  bt_http_reply_t *reply = argument;
 
   reply->body = realloc (reply->body, reply->body_bytes + size * count + 1);
   memcpy (reply->body + reply->body_bytes, data, size * count);
@@ -38,7 +38,7 @@
 static size_t
 read_header (char *data, size_t size, size_t count, void *argument)
 {
-  bt_reply_t *reply = argument;
+  bt_http_reply_t *reply = argument;
   char wait[32] = "";
 
   copy_header (reply->outcome, sizeof reply->outcome, data, size * count, "Bilberry-Outcome: ");
@@ -54,7 +54,7 @@
                     struct curl_slist *lines,
                     const char *body,
                     const char *method,
-                    bt_reply_t *reply)
+                    bt_http_reply_t *reply)
 {
   CURL *easy = curl_easy_init ();
   long status = 0;
@@ -87,7 +87,7 @@
                        const char *path,
                        const char *const *headers,
                        const char *body,
-                       bt_reply_t *reply)
+                       bt_http_reply_t *reply)
 {
   struct curl_slist *lines = NULL;
   char url[URL_BYTES];
@@ -103,13 +103,13 @@
 }
 
 const char *
-bt_get_reply_text (const bt_reply_t *reply)
+bt_get_reply_text (const bt_http_reply_t *reply)
 {
   return reply->body == NULL ? "" : reply->body;
 }
 
 void
-bt_clear_reply (bt_reply_t *reply)
+bt_clear_reply (bt_http_reply_t *reply)
 {
   free (reply->body);
   memset (reply, 0, sizeof *reply);
--- a/test/process/harness_http.h
+++ b/test/process/harness_http.h
@@ -22,6 +22,6 @@
                          struct curl_slist *lines,
                          const char *body,
                          const char *method,
-                         bt_reply_t *reply);
+                         bt_http_reply_t *reply);
 
 #endif
--- a/test/process/harness_requests.c
+++ b/test/process/harness_requests.c
@@ -27,7 +27,7 @@
 {
   static const char *const headers[] = { "Bilberry-App: drafts", "Bilberry-Tickets: 1", NULL };
   const ticket_wait_t *wait = argument;
-  bt_reply_t reply;
+  bt_http_reply_t reply;
   json_t *answer;
   const char *text;
 
@@ -155,7 +155,7 @@
 bool
 bt_is_draft_complete (const bt_draft_t *draft)
 {
-  const bt_reply_t *reply = &draft->reply;
+  const bt_http_reply_t *reply = &draft->reply;
 
   if (reply->curl_code == 0 && reply->status == 200 && has_complete_body (draft))
     return true;
--- a/test/process/harness_requests.h
+++ b/test/process/harness_requests.h
@@ -27,7 +27,7 @@
   int64_t disconnect_after_ms; /**< The caller disconnects after this time; 0: it waits for the
                                   answer. */
   pthread_t thread;
-  bt_reply_t reply;
+  bt_http_reply_t reply;
 } bt_draft_t;
 
 /** Gets a ticket for an account's drafts from an entry; waits until the entry issues one. */
--- a/test/process/test_gateway.c
+++ b/test/process/test_gateway.c
@@ -85,7 +85,8 @@
 }
 
 static void
-send_request (int32_t gateway, const char *path, const char *id, const char *key, bt_reply_t *reply)
+send_request (
+    int32_t gateway, const char *path, const char *id, const char *key, bt_http_reply_t *reply)
 {
   bt_gateway_call_t call = make_call (gateway, path, id, key);
 
@@ -155,7 +156,7 @@
 static void
 test_streams_are_complete (void)
 {
-  bt_reply_t reply;
+  bt_http_reply_t reply;
 
   send_request (0, "/a/stream/x", "r-stream", "key-small", &reply);
   CU_ASSERT_EQUAL (reply.curl_code, 0);
@@ -180,7 +181,7 @@
 static bool
 is_stream_complete (const char *id, const char *expected)
 {
-  bt_reply_t reply;
+  bt_http_reply_t reply;
   bool complete;
 
   send_request (0, "/a/stream/x", id, "key-small", &reply);
@@ -264,7 +265,7 @@
                                         "{\"kind\":\"cut\",\"count\":-1,\"match\":\"/stream/\"}"));
   for (int32_t i = 0; i < BT_DEFAULT_RUNNERS * 2; i++)
     {
-      bt_reply_t reply;
+      bt_http_reply_t reply;
 
       send_request (0, "/a/stream/x", "r-alone", "key-small", &reply);
       CU_ASSERT (reply.curl_code != 0 || reply.status == UNAVAILABLE);
@@ -416,7 +417,7 @@
                                           "bilberry_view_age_ms",    "bilberry_connect_ms",
                                           "bilberry_store_call_ms" };
   char name[128];
-  bt_reply_t reply;
+  bt_http_reply_t reply;
   char *rest = NULL;
   char *text;
 
@@ -505,7 +506,7 @@
 static void
 test_stop_completes_streams (void)
 {
-  bt_reply_t reply;
+  bt_http_reply_t reply;
   int status = 0;
   pid_t caller = fork ();
 
--- a/test/process/test_gateway_foreign.c
+++ b/test/process/test_gateway_foreign.c
@@ -160,7 +160,7 @@
 test_invalid_address_is_not_advertised (void)
 {
   char url[LINE_BYTES];
-  bt_reply_t reply;
+  bt_http_reply_t reply;
 
   snprintf (url, sizeof url, "http://127.0.0.1:%d/v1/resolve?name=shop.example",
             testbed->address_ports[0]);
--- a/test/process/test_gateway_logs.c
+++ b/test/process/test_gateway_logs.c
@@ -102,7 +102,7 @@
 static int64_t
 read_value (const char *name)
 {
-  bt_reply_t reply;
+  bt_http_reply_t reply;
   const char *at;
   int64_t value = -1;
 
--- a/test/process/test_gateway_peers.c
+++ b/test/process/test_gateway_peers.c
@@ -181,7 +181,7 @@
 {
   char url[PAGE_LINE_BYTES];
   char address[PAGE_LINE_BYTES];
-  bt_reply_t reply;
+  bt_http_reply_t reply;
   bool advertised;
 
   snprintf (url, sizeof url, "http://127.0.0.1:%d/v1/resolve", testbed->address_ports[gateway]);
--- a/test/process/test_gateway_stop.c
+++ b/test/process/test_gateway_stop.c
@@ -59,7 +59,7 @@
 }
 
 static void
-send_request (const char *path, const char *id, bt_reply_t *reply)
+send_request (const char *path, const char *id, bt_http_reply_t *reply)
 {
   bt_gateway_call_t call = {
     .gateway = 1, .path = path, .id = id, .key = "key-small", .deadline_ms = 6000
@@ -98,7 +98,7 @@
 count_caller (stop_tally_t *tally, int32_t number)
 {
   char id[64];
-  bt_reply_t reply;
+  bt_http_reply_t reply;
 
   snprintf (id, sizeof id, "r-stop-%d", number);
   send_request ("/a/lookup", id, &reply);
@@ -204,7 +204,7 @@
 start_slow_caller (const char *id)
 {
   pid_t caller = fork ();
-  bt_reply_t reply;
+  bt_http_reply_t reply;
 
   if (caller != 0)
     return caller;
@@ -420,7 +420,7 @@
   caller = fork ();
   if (caller == 0)
     {
-      bt_reply_t reply;
+      bt_http_reply_t reply;
 
       send_request ("/a/twice/slow", "r-sent-on", &reply);
       _exit (0);
--- a/test/process/test_hostile.c
+++ b/test/process/test_hostile.c
@@ -86,7 +86,7 @@
 static void
 check_entry_serves (void)
 {
-  bt_reply_t reply;
+  bt_http_reply_t reply;
 
   bt_send_entry_request (testbed, "entry-0", "small", "/anything", NULL, "body", &reply);
   CU_ASSERT_EQUAL (reply.status, 200);
--- a/test/process/test_path.c
+++ b/test/process/test_path.c
@@ -32,7 +32,7 @@
 static void
 test_draft_is_streamed_completely (void)
 {
-  bt_reply_t reply;
+  bt_http_reply_t reply;
 
   bt_send_entry_request (testbed, "entry-0", "small", "/v1/completions", NULL,
                          "{\"prompt\":\"ten kilos\",\"max_tokens\":4}", &reply);
@@ -47,7 +47,7 @@
 static void
 test_lookup_goes_to_the_plain_service (void)
 {
-  bt_reply_t reply;
+  bt_http_reply_t reply;
 
   bt_send_entry_request (testbed, "entry-1", "small", "/lookup/stock", NULL, "shrimp", &reply);
   CU_ASSERT_EQUAL (reply.status, 200);
@@ -58,7 +58,7 @@
 static void
 check_refusal (const char *account, const char *path, int32_t status, const char *reason)
 {
-  bt_reply_t reply;
+  bt_http_reply_t reply;
 
   bt_send_entry_request (testbed, "entry-0", account, path, NULL, "{}", &reply);
   CU_ASSERT_EQUAL (reply.status, status);
@@ -84,7 +84,7 @@
 static void
 test_refusal_has_a_retry_after_time (void)
 {
-  bt_reply_t reply;
+  bt_http_reply_t reply;
 
   bt_send_entry_request (testbed, "entry-0", "third", "/v1/completions", NULL, "{}", &reply);
   CU_ASSERT_EQUAL (reply.retry_after_ms, 1500);
@@ -95,7 +95,7 @@
 test_body_over_the_limit_is_refused (void)
 {
   static char body[(3 << 20) + 1];
-  bt_reply_t reply;
+  bt_http_reply_t reply;
 
   memset (body, 'x', sizeof body - 1);
   bt_send_entry_request (testbed, "entry-0", "small", "/v1/completions", NULL, body, &reply);
@@ -108,7 +108,7 @@
 static bool
 advertises_one_entry (void *argument)
 {
-  bt_reply_t reply;
+  bt_http_reply_t reply;
   json_t *answer;
   bool one;
 
--- a/test/process/test_sidecar_page.c
+++ b/test/process/test_sidecar_page.c
@@ -255,7 +255,7 @@
 read_page (void)
 {
   char url[URL_BYTES];
-  bt_reply_t reply;
+  bt_http_reply_t reply;
 
   snprintf (url, sizeof url, "http://127.0.0.1:%d/metrics", page_port);
   bt_perform_request (url, NULL, NULL, NULL, &reply);
--- a/test/soak/caller.c
+++ b/test/soak/caller.c
@@ -38,7 +38,7 @@
 /** The result of a request. */
 typedef struct outcome
 {
-  bt_reply_t reply;
+  bt_http_reply_t reply;
   bool stamped; /* the answer has the server stamp of a runner */
   int64_t began_ms;
 } outcome_t;
