--- a/bench/harness_sync.c
+++ b/bench/harness_sync.c
@@ -259,7 +259,7 @@
   node->sync = bt_new_config_sync (fleet->ctx, &node->identity, &settings, fleet->last_incarnation,
                                    fleet->now_ms);
   for (int32_t i = 0; i < fleet->trial->entries; i++)
-    fleet->members[i].near = is_neighbor (fleet, index, i);
+    fleet->members[i].is_neighbor = is_neighbor (fleet, index, i);
   bt_set_sync_members (fleet->ctx, node->sync, fleet->members, fleet->trial->entries);
   open_links (fleet, index);
 }
--- a/include/bilberrytray/config/config_sync.h
+++ b/include/bilberrytray/config/config_sync.h
@@ -134,8 +134,8 @@
 {
   char instance[BT_NAME_BYTES];
   char failure_domain[BT_NAME_BYTES];
-  bool near; /**< A neighbor: one of the two instances chose to link to the other; in a small fleet
-                all are neighbors. */
+  bool is_neighbor; /**< One of the two instances chose to link to the other; in a small fleet
+                       all are neighbors. */
 } bt_sync_member_t;
 
 /** Replaces the list of members, which may or may not include this instance. */
--- a/source/config/config_sync.c
+++ b/source/config/config_sync.c
@@ -197,7 +197,7 @@
 
       bt_copy_name (sync->members[i].instance, members[i].instance);
       bt_copy_name (sync->members[i].failure_domain, members[i].failure_domain);
-      sync->is_neighbor[i] = members[i].near && !self;
+      sync->is_neighbor[i] = members[i].is_neighbor && !self;
       sync->neighborhood_size += sync->is_neighbor[i] ? 1 : 0;
     }
   choose_watchers (ctx, sync);
--- a/source/core/membership.c
+++ b/source/core/membership.c
@@ -429,7 +429,7 @@
         continue;
       bt_copy_name (entry->instance, member->listed.instance);
       bt_copy_name (entry->failure_domain, member->listed.failure_domain);
-      entry->near = member->is_neighbor;
+      entry->is_neighbor = member->is_neighbor;
       (*count)++;
     }
   return entries;
--- a/test/config/config_world.h
+++ b/test/config/config_world.h
@@ -294,7 +294,7 @@
     {
       snprintf (members[i].instance, BT_NAME_BYTES, "entry-%d", (int)i);
       snprintf (members[i].failure_domain, BT_NAME_BYTES, "hall-%d", (int)i % 3);
-      members[i].near = true;
+      members[i].is_neighbor = true;
     }
   for (int32_t i = 0; i < sim->entry_count; i++)
     if (sim->entries[i].alive)
