--- a/test/config/config_world.h
+++ b/test/config/config_simulation.h
@@ -1,5 +1,5 @@
-#ifndef TEST_CONFIG_WORLD_H
-#define TEST_CONFIG_WORLD_H
+#ifndef TEST_CONFIG_SIMULATION_H
+#define TEST_CONFIG_SIMULATION_H
 
 /** @file
  * Deterministic simulation of entry instances, operators and a key-value store around the modules
--- a/test/config/test_config_sync.c
+++ b/test/config/test_config_sync.c
@@ -1,6 +1,6 @@
 #include <CUnit/Basic.h>
 
-#include "config_world.h"
+#include "config_simulation.h"
 
 enum
 {
@@ -392,7 +392,7 @@
   unsigned int failed;
 
   CU_initialize_registry ();
-  suite = CU_add_suite ("config_spread", NULL, NULL);
+  suite = CU_add_suite ("config_sync", NULL, NULL);
   CU_ADD_TEST (suite, test_change_is_in_force_on_all_entries_within_seconds);
   CU_ADD_TEST (suite, test_silent_watch_is_followed_by_read);
   CU_ADD_TEST (suite, test_cut_off_entry_is_isolated);
--- a/test/config/test_publisher.c
+++ b/test/config/test_publisher.c
@@ -1,6 +1,6 @@
 #include <CUnit/Basic.h>
 
-#include "config_world.h"
+#include "config_simulation.h"
 
 enum
 {
--- a/test/load/test_pass_limiter.c
+++ b/test/load/test_pass_limiter.c
@@ -136,7 +136,7 @@
 
   ctx = bt_new_context ();
   CU_initialize_registry ();
-  suite = CU_add_suite ("pass_pace", NULL, NULL);
+  suite = CU_add_suite ("pass_limiter", NULL, NULL);
   CU_ADD_TEST (suite, test_short_passes_allow_all_slots);
   CU_ADD_TEST (suite, test_long_passes_lower_the_limit_at_once);
   CU_ADD_TEST (suite, test_limit_grows_back);
--- a/test/maps/test_adaptive_load.c
+++ b/test/maps/test_adaptive_load.c
@@ -140,7 +140,7 @@
   unsigned int failed;
 
   CU_initialize_registry ();
-  suite = CU_add_suite ("moving load", NULL, NULL);
+  suite = CU_add_suite ("adaptive load", NULL, NULL);
   CU_ADD_TEST (suite, test_a_jump_is_followed_within_two_windows);
   CU_ADD_TEST (suite, test_noise_is_no_jump);
   CU_ADD_TEST (suite, test_silence_is_no_jump);
--- a/test/platform/test_asker.c
+++ b/test/platform/test_caller_domain.c
@@ -34,7 +34,7 @@
   unsigned int failed;
 
   CU_initialize_registry ();
-  suite = CU_add_suite ("asker", NULL, NULL);
+  suite = CU_add_suite ("caller_domain", NULL, NULL);
   CU_ADD_TEST (suite, test_failure_domain_of_a_caller);
   CU_basic_set_mode (CU_BRM_VERBOSE);
   CU_basic_run_tests ();
--- a/test/process/test_sidecar_page.c
+++ b/test/process/test_sidecar_page.c
@@ -359,7 +359,7 @@
   unsigned failures;
 
   CU_initialize_registry ();
-  suite = CU_add_suite ("side", start_suite, end_suite);
+  suite = CU_add_suite ("sidecar_page", start_suite, end_suite);
   CU_ADD_TEST (suite, test_metrics_cover_each_step);
   CU_ADD_TEST (suite, test_stalled_log_reader_affects_no_order);
   CU_ADD_TEST (suite, test_stalled_log_reader_delays_no_stop);
--- a/test/requests/request_processes.h
+++ b/test/requests/request_processes.h
@@ -5,7 +5,7 @@
  * The simulated entry instances, agents and endpoints of the request schedules, and their events.
  */
 
-#include "request_world.h"
+#include "request_simulation.h"
 
 static void
 start_agent (simulation_t *sim, int32_t agent)
--- a/test/requests/request_world.h
+++ b/test/requests/request_simulation.h
@@ -1,5 +1,5 @@
-#ifndef BT_TEST_CORE_REQUEST_WORLD_H
-#define BT_TEST_CORE_REQUEST_WORLD_H
+#ifndef BT_TEST_CORE_REQUEST_SIMULATION_H
+#define BT_TEST_CORE_REQUEST_SIMULATION_H
 
 /** @file
  * State of the request schedule simulation, and its network.
