--- a/source/agent/command_side.c
+++ b/source/agent/command_side.c
@@ -105,8 +105,8 @@
   bt_agent_command_t command = {
     .usage =
         "Usage: bilberry-agent side [FLAGS]\n\n"
-        "Runs beside an engine that requests reach directly: tells the entry instances how it\n"
-        "stands and carries out the orders of its group's leader.\n\n",
+        "Runs beside an engine that receives requests directly. Reports the engine's state to the\n"
+        "entry instances and executes the orders of its group's leader.\n\n",
     .settings = sidecar_settings,
     .setting_count = sizeof sidecar_settings / sizeof sidecar_settings[0],
     .log_level = &settings.log_level,
--- a/source/agent/main.c
+++ b/source/agent/main.c
@@ -130,8 +130,8 @@
   bt_agent_settings_t settings = { 0 };
   bt_agent_command_t command = {
     .usage = "Usage: bilberry-agent [FLAGS]\n       bilberry-agent side [FLAGS]\n\n"
-             "Runs beside one endpoint and passes it the requests that bilberryd sends.\n"
-             "SIGTERM lets it take no new work, end what runs, and exit.\n\n",
+             "Runs beside one endpoint and forwards requests from bilberryd to it.\n"
+             "On SIGTERM it accepts no new requests, finishes the running ones and exits.\n\n",
     .settings = settings_table,
     .setting_count = sizeof settings_table / sizeof settings_table[0],
     .log_level = &settings.log_level,
