--- a/include/bilberrytray/maps/map_rank.h
+++ b/include/bilberrytray/maps/map_rank.h
@@ -20,8 +20,8 @@
                             start or a lost answer. The engine is queried only after that. */
   int64_t call_limit_ms; /**< A call that is not answered within this time is abandoned. */
   int64_t ask_ms;        /**< Interval between questions to rank 0 while the round is undecided. */
-  int64_t give_up_ms;    /**< Rank 0 drops an undecided round that other ranks have asked about for
-                            this long: the controller is presumed gone. */
+  int64_t give_up_ms; /**< Rank 0 drops an undecided round that ranks, itself included, have asked
+                         about for this long: the controller is presumed gone. */
   uint32_t test_options; /**< Bits of bt_map_option_t; 0 outside tests. */
 } bt_map_rank_settings_t;
 
@@ -39,7 +39,7 @@
                        int64_t now_ms,
                        bt_map_actions_t *actions);
 
-/** Processes the service's answer to BT_MAP_READ_FLOOR: the fencing number of the newest
+/** Processes the lease service's answer to BT_MAP_READ_FLOOR: the fencing number of the newest
  * controller. */
 void bt_handle_map_floor (bt_map_rank_t *rank, uint64_t fence);
 
--- a/source/agent/upstream_clear.c
+++ b/source/agent/orphaned_runs.c
@@ -12,7 +12,7 @@
   MAX_LIST_BYTES = 16 << 20,
 };
 
-/** A body that is being read. */
+/** A response body that is being received. */
 typedef struct answer
 {
   bt_context_t *ctx;
@@ -20,22 +20,22 @@
 } answer_t;
 
 static size_t
-take_body (char *data, size_t size, size_t count, void *argument)
+on_body (char *data, size_t size, size_t count, void *argument)
 {
   answer_t *answer = argument;
 
-  if (bt_count_buffer (&answer->body) + size * count > MAX_LIST_BYTES)
+  if (bt_get_buffer_bytes (&answer->body) + size * count > MAX_LIST_BYTES)
     return 0;
   bt_append_buffer (answer->ctx, &answer->body, data, size * count);
   return size * count;
 }
 
 static json_t *
-call (bt_context_t *ctx,
-      const bt_upstream_options_t *options,
-      const char *url,
-      bool post,
-      bt_error_t *error)
+call_engine (bt_context_t *ctx,
+             const bt_upstream_options_t *options,
+             const char *url,
+             bool post,
+             bt_error_t *error)
 {
   answer_t answer = { ctx, { 0 } };
   CURL *easy = curl_easy_init ();
@@ -46,19 +46,20 @@
   curl_easy_setopt (easy, CURLOPT_PROXY, "");
   curl_easy_setopt (easy, CURLOPT_NOSIGNAL, 1L);
   curl_easy_setopt (easy, CURLOPT_TIMEOUT_MS, (long)options->idle_ms);
-  curl_easy_setopt (easy, CURLOPT_WRITEFUNCTION, take_body);
+  curl_easy_setopt (easy, CURLOPT_WRITEFUNCTION, on_body);
   curl_easy_setopt (easy, CURLOPT_WRITEDATA, &answer);
   if (post)
     curl_easy_setopt (easy, CURLOPT_POSTFIELDS, "");
   code = curl_easy_perform (easy);
   curl_easy_cleanup (easy);
   body = json_loadb ((const char *)answer.body.data + answer.body.start,
-                     bt_count_buffer (&answer.body), 0, NULL);
+                     bt_get_buffer_bytes (&answer.body), 0, NULL);
   bt_clear_buffer (ctx, &answer.body);
   if (code != CURLE_OK || !json_is_object (body))
     {
       bt_set_error (error, BT_ERROR_CLOSED, "%s: %s.", url,
-                    code == CURLE_OK ? "the answer is no JSON object" : curl_easy_strerror (code));
+                    code == CURLE_OK ? "the answer is not a JSON object"
+                                     : curl_easy_strerror (code));
       json_decref (body);
       return NULL;
     }
@@ -66,37 +67,37 @@
 }
 
 static bool
-cancel_one (bt_context_t *ctx,
-            const bt_upstream_options_t *options,
-            const char *run,
-            bt_error_t *error)
+cancel_engine_run (bt_context_t *ctx,
+                   const bt_upstream_options_t *options,
+                   const char *run,
+                   bt_error_t *error)
 {
   char url[URL_BYTES];
   json_t *body;
 
   snprintf (url, sizeof url, "%s/v1/runs/%s/cancel", options->url, run);
-  body = call (ctx, options, url, true, error);
+  body = call_engine (ctx, options, url, true, error);
   json_decref (body);
   return body != NULL;
 }
 
 bool
-bt_clear_upstream_runs (bt_context_t *ctx,
-                        const bt_upstream_options_t *options,
-                        int32_t *cancelled,
-                        bt_error_t *error)
+bt_cancel_orphaned_runs (bt_context_t *ctx,
+                         const bt_upstream_options_t *options,
+                         int32_t *cancelled,
+                         bt_error_t *error)
 {
   char url[URL_BYTES];
   json_t *body;
   json_t *run;
   size_t index;
-  bool cleared = true;
+  bool all_cancelled = true;
 
   *cancelled = 0;
-  if (!options->model)
+  if (!options->is_model)
     return true;
   snprintf (url, sizeof url, "%s/v1/runs", options->url);
-  body = call (ctx, options, url, false, error);
+  body = call_engine (ctx, options, url, false, error);
   if (body == NULL)
     return false;
   json_array_foreach (json_object_get (body, "runs"), index, run)
@@ -105,9 +106,9 @@
 
     if (id == NULL || id[0] == '\0' || json_is_true (json_object_get (run, "ended")))
       continue;
-    cleared = cleared && cancel_one (ctx, options, id, error);
+    all_cancelled = all_cancelled && cancel_engine_run (ctx, options, id, error);
     (*cancelled)++;
   }
   json_decref (body);
-  return cleared;
+  return all_cancelled;
 }
--- /dev/null
+++ b/source/agent/sidecar_private.h
@@ -0,0 +1,74 @@
+#ifndef BILBERRYTRAY_SOURCE_AGENT_SIDECAR_PRIVATE_H
+#define BILBERRYTRAY_SOURCE_AGENT_SIDECAR_PRIVATE_H
+
+/** @file
+ * State shared by the parts of the sidecar: links and orders, and the reports that it sends.
+ */
+
+#include <pthread.h>
+
+#include "bilberrytray/wire/link.h"
+#include "engine_client.h"
+#include "picks_schedule.h"
+#include "reported_picks.h"
+#include "sidecar.h"
+#include "sidecar_metrics.h"
+
+typedef struct bt_sidecar_order bt_sidecar_order_t;
+
+/** A link to an entry. */
+typedef struct bt_sidecar_link
+{
+  bt_link_t *link;
+  bool leads_group;  /* the entry leads the engine's group */
+  bool wants_places; /* the next report carries places */
+  int64_t next_ms;   /* when the next report is due */
+  bt_picks_schedule_t picks_schedule;
+  bt_reported_picks_t reported;
+  struct bt_sidecar_link *next;
+} bt_sidecar_link_t;
+
+struct bt_sidecar
+{
+  bt_link_handler_t handler; /* must be the first member */
+  bt_context_t *ctx;
+  const bt_sidecar_settings_t *settings;
+  bt_engine_client_t *engine;
+  bt_link_loop_t *links_loop;
+  int32_t cancelled;
+  bool engine_lost;          /* the engine did not answer the last call */
+  int64_t engine_started_ms; /* start time in the engine's last report; 0: not reported */
+  uint64_t max_fence;        /* the highest fencing number seen */
+  int64_t report_read_ms;    /* when the engine's last report was requested */
+  bt_sidecar_metrics_t metrics;
+  int64_t next_report_ms;
+  /* Lock order: acquired before any call into a link. */
+  pthread_mutex_t lock; /* guards the members below */
+  pthread_cond_t wakeup;
+  bool stopping;
+  bt_sidecar_link_t *links;
+  bt_sidecar_order_t *first_order;
+  bt_sidecar_order_t **last_order;
+};
+
+/** Returns true when both start times of an engine are known (not 0) and differ. */
+bool bt_is_different_engine_incarnation (int64_t first_ms, int64_t second_ms);
+
+/** Reads the engine's state, and logs when the engine stops answering, answers again or has
+ * restarted. Returns false when it did not answer. */
+bool bt_read_sidecar_engine_state (bt_sidecar_t *sidecar, bt_engine_report_t *report);
+
+/** Sends the result of an order on @p link, to the entry that sent the order. */
+void bt_send_sidecar_result (bt_sidecar_t *sidecar,
+                             bt_link_t *link,
+                             uint64_t order_id,
+                             bt_order_result_t result,
+                             int32_t status,
+                             const bt_engine_report_t *report);
+
+/** Reads the engine's state once and sends it to the entries whose report is due. The leader of the
+ * engine's group tracks the demand for experts and needs updates quickly; the other entries use the
+ * report only to weight the engines. */
+void bt_send_sidecar_reports (bt_sidecar_t *sidecar);
+
+#endif
--- a/source/core/membership.c
+++ b/source/core/membership.c
@@ -136,9 +136,9 @@
                  int32_t count)
 {
   int32_t chosen[BT_AGENT_LINKS];
-  int32_t given = bt_choose_subset (ctx, chooser, candidates, count, BT_AGENT_LINKS, chosen);
+  int32_t chosen_count = bt_choose_subset (ctx, chooser, candidates, count, BT_AGENT_LINKS, chosen);
 
-  for (int32_t i = 0; i < given; i++)
+  for (int32_t i = 0; i < chosen_count; i++)
     if (strcmp (candidates[chosen[i]].instance, wanted) == 0)
       return true;
   return false;
@@ -168,10 +168,10 @@
       if (member->neighbor_is_known && digest == membership->entries_digest)
         continue;
       member->neighbor_is_known = true;
-      member->near = count <= BT_AGENT_LINKS
-                     || (!agent && chooser_selects (ctx, self, other, candidates, count))
-                     || (membership->role == BT_LISTED_ENTRY
-                         && chooser_selects (ctx, other, self, candidates, count));
+      member->is_neighbor = count <= BT_AGENT_LINKS
+                            || (!agent && chooser_selects (ctx, self, other, candidates, count))
+                            || (membership->role == BT_LISTED_ENTRY
+                                && chooser_selects (ctx, other, self, candidates, count));
     }
   membership->entries_digest = digest;
   bt_free (ctx, candidates);
@@ -217,7 +217,7 @@
   bool restarted = member->incarnation != 0 && member->incarnation != hello->identity.incarnation;
 
   /* A process that was partitioned while its replacement took over may reconnect. Its records and
-   * promises are outdated, and it must not replace the live incarnation. */
+   * tombstones are outdated, and it must not replace the live incarnation. */
   if (restarted && member->replaced_incarnation == hello->identity.incarnation)
     return BT_LINK_REFUSED;
   if (restarted)
@@ -344,7 +344,7 @@
     return true;
   if (member->linked)
     return now_ms - member->heard_ms <= membership->settings.link_idle_ms;
-  return member->is_listed && !member->near && !member->lost;
+  return member->is_listed && !member->is_neighbor && !member->lost;
 }
 
 static void
@@ -414,22 +414,22 @@
   return count;
 }
 
-bt_spread_member_t *
-bt_list_spread_members (bt_context_t *ctx, const bt_membership_t *membership, int32_t *count)
+bt_sync_member_t *
+bt_list_sync_members (bt_context_t *ctx, const bt_membership_t *membership, int32_t *count)
 {
-  bt_spread_member_t *entries = bt_calloc (ctx, (size_t)membership->count, sizeof *entries);
+  bt_sync_member_t *entries = bt_calloc (ctx, (size_t)membership->count, sizeof *entries);
 
   *count = 0;
   for (int32_t i = 0; i < membership->count; i++)
     {
       const bt_member_t *member = &membership->members[i];
-      bt_spread_member_t *entry = &entries[*count];
+      bt_sync_member_t *entry = &entries[*count];
 
       if (member->listed.role != BT_LISTED_ENTRY || is_leaving (membership, member))
         continue;
       bt_copy_name (entry->instance, member->listed.instance);
       bt_copy_name (entry->failure_domain, member->listed.failure_domain);
-      entry->near = member->near;
+      entry->is_neighbor = member->is_neighbor;
       (*count)++;
     }
   return entries;
--- a/source/entry/placement.c
+++ b/source/entry/call_admission.c
@@ -1,9 +1,7 @@
-#include "placement.h"
+#include "call_admission.h"
 
 #include <string.h>
 
-/* Where admission is asked: whether a call goes out now, waits, or is refused at once. */
-
 uint64_t
 bt_get_call_prefix (const bt_call_t *call)
 {
@@ -36,7 +34,7 @@
 static void
 fill_request (bt_entry_t *entry,
               const bt_call_t *call,
-              bool again,
+              bool is_retry,
               int64_t now_ms,
               bt_admission_request_t *request)
 {
@@ -51,35 +49,36 @@
   request->rule = rule->name;
   request->rule_per_second = (int32_t)rule->then.limit_per_s;
   request->rule_burst = (int32_t)rule->then.limit_burst;
-  request->again = again;
+  request->is_retry = is_retry;
   request->seed = entry->seed++;
 }
 
 static void
 apply_decision (bt_entry_t *entry, bt_call_t *call, const bt_admission_decision_t *decision)
 {
-  call->waiting = decision->action == BT_ADMISSION_QUEUE;
+  call->queued = decision->action == BT_ADMISSION_QUEUE;
   if (decision->action == BT_ADMISSION_ADMIT)
     bt_dispatch_call (entry, call);
   else if (decision->action == BT_ADMISSION_REFUSE)
     bt_refuse_call (entry, call, BT_OUTCOME_NOT_RUN, decision->reason, decision->retry_after_ms);
 }
 
+/* Asks admission whether a call is sent now, queued or refused. */
 void
-bt_place_call (bt_entry_t *entry, bt_call_t *call, bool again)
+bt_request_admission (bt_entry_t *entry, bt_call_t *call, bool is_retry)
 {
   int64_t now_ms = bt_now_ms (entry->ctx);
   bt_admission_request_t request = { 0 };
   bt_admission_decision_t decision = { 0 };
 
-  fill_request (entry, call, again, now_ms, &request);
+  fill_request (entry, call, is_retry, now_ms, &request);
   bt_decide_admission (entry->ctx, entry->admission, &request, now_ms, &decision);
   apply_decision (entry, call, &decision);
 }
 
-/* Tells the router how many entries send to the same endpoints. */
+/* Tells the router how many entry instances send to the same endpoints. */
 static void
-count_entries (bt_entry_t *entry)
+update_router_entries (bt_entry_t *entry)
 {
   int32_t entries = 1;
 
@@ -89,12 +88,12 @@
 }
 
 void
-bt_place_waiting_calls (bt_entry_t *entry)
+bt_admit_queued_calls (bt_entry_t *entry)
 {
   int64_t now_ms = bt_now_ms (entry->ctx);
   bt_admission_decision_t decision = { 0 };
 
-  count_entries (entry);
+  update_router_entries (entry);
   while (bt_next_admission (entry->admission, now_ms, &decision))
     {
       bt_call_t *call = bt_find_call (entry, decision.id);
--- a/source/gateway/group_control.c
+++ b/source/gateway/group_control.c
@@ -54,7 +54,7 @@
   bool leaving;
   bool handed_over;        /* the lease that was granted last is being released */
   bool handover_failed;    /* the lease was released, but no other instance took it */
-  int64_t better_since_ms; /* since when an instance with more processor share is listed */
+  int64_t better_since_ms; /* since when an instance with more processor share is listed; 0: none */
   group_row_t *groups;
   bt_timer_t timer;
 };
@@ -123,7 +123,7 @@
     .prefix = lease_prefix,
     .name = lease_name,
     .instance = options->instance,
-    .life_s = options->lease_s,
+    .ttl_s = options->lease_s,
     .renew_ms = options->renew_ms,
   };
 
@@ -233,8 +233,8 @@
   if (group != NULL)
     bt_handle_managed_group_update (group, update, pass_limit, bt_get_loop_ms (control->loop));
   else
-    bt_note_limit (control->ctx, "group", BT_MAX_RANKS, report->group,
-                   "Its ranks or experts exceed the limits of a map; its map is not changed.");
+    bt_report_limit (control->ctx, "group", BT_MAX_RANKS, report->group,
+                     "Its ranks or experts exceed the limits of a map; its map is not changed.");
 }
 
 static bool
@@ -258,7 +258,7 @@
 is_better_instance_stable (const bt_group_control_t *control, int64_t now_ms)
 {
   return control->better_since_ms != 0 && !control->handover_failed
-         && now_ms - control->better_since_ms > control->options.steady_ms;
+         && now_ms - control->better_since_ms > control->options.handover_delay_ms;
 }
 
 /* Returns true if no round prevents a handover. A leaving leader also waits for groups whose state
--- a/source/gateway/group_maps.c
+++ b/source/gateway/group_maps.c
@@ -14,7 +14,8 @@
   /* Half-life of the picks counted since demand last jumped; a longer mean has less noise. */
   DEFAULT_HALF_LIFE_MS = 1000,
   DEFAULT_HORIZON_MS = 3000,
-  /* Duration of a round without the copying: until all copies are reported, and to hold and arm. */
+  /* Duration of a round apart from the copying: until all copies are reported, and for holding and
+   * arming. */
   ROUND_MS = 100,
 };
 
@@ -36,7 +37,7 @@
   bt_map_shape_t shape;
   bt_adaptive_load_t *load;
   double picks;  /* number of picks recorded since the last plan */
-  double *paces; /* slowdown of each rank */
+  double *paces; /* slowdown factor of each rank, at least 1 */
   bt_copy_price_t *price;
   bt_expert_map_t *current; /* the map in use; NULL while unknown */
   int64_t epoch;
@@ -161,7 +162,7 @@
 }
 
 bool
-bt_take_group_jump (bt_group_maps_t *maps, int64_t now_ms)
+bt_poll_group_jump (bt_group_maps_t *maps, int64_t now_ms)
 {
   return bt_poll_load_jump (maps->load, now_ms);
 }
--- a/source/gateway/store_copy.c
+++ b/source/gateway/store_copy.c
@@ -43,18 +43,18 @@
 bool
 bt_replace_copy (bt_context_t *ctx, bt_store_copy_t *copy, bt_kv_range_t *range)
 {
-  bool newer;
+  bool replaced;
 
   pthread_mutex_lock (&copy->lock);
-  newer = range->revision >= copy->items.revision;
-  if (newer)
+  replaced = range->revision >= copy->items.revision;
+  if (replaced)
     {
       bt_drop_kv_range (ctx, &copy->items);
       copy->items = *range;
       memset (range, 0, sizeof *range);
     }
   pthread_mutex_unlock (&copy->lock);
-  return newer;
+  return replaced;
 }
 
 void
@@ -74,8 +74,8 @@
   return false;
 }
 
-/* Adds a removal for each key of @p items that a whole update does not list: such an update lists
- * the present keys, not the removed ones. */
+/* Adds a removal for each key of @p items that an update with whole set does not list: such an
+ * update lists the present keys, not the removed ones. */
 static void
 add_absent_removals (bt_context_t *ctx, const bt_kv_range_t *items, bt_store_update_t *update)
 {
@@ -83,12 +83,12 @@
   size_t max_count = (size_t)changes->removed_count + (size_t)items->count;
 
   changes->removed = bt_realloc (ctx, changes->removed, max_count, sizeof *changes->removed);
-  changes->removed_at =
-      bt_realloc (ctx, changes->removed_at, max_count, sizeof *changes->removed_at);
+  changes->removed_revisions =
+      bt_realloc (ctx, changes->removed_revisions, max_count, sizeof *changes->removed_revisions);
   for (int32_t i = 0; i < items->count; i++)
     if (!has_key (update, items->pairs[i].key))
       {
-        changes->removed_at[changes->removed_count] = changes->written.revision;
+        changes->removed_revisions[changes->removed_count] = changes->written.revision;
         changes->removed[changes->removed_count++] = bt_strdup (ctx, items->pairs[i].key);
       }
 }
--- a/source/store/kv.c
+++ b/source/store/kv.c
@@ -72,17 +72,15 @@
 }
 
 bool
-bt_grant_kv_lease (
-    bt_context_t *ctx, bt_kv_t *kv, int64_t life_s, int64_t *lease, bt_error_t *error)
+bt_grant_kv_lease (bt_context_t *ctx, bt_kv_t *kv, int64_t ttl_s, int64_t *lease, bt_error_t *error)
 {
-  return kv->vtable->grant_lease (ctx, kv, life_s, lease, error);
+  return kv->vtable->grant_lease (ctx, kv, ttl_s, lease, error);
 }
 
 bool
-bt_renew_kv_lease (
-    bt_context_t *ctx, bt_kv_t *kv, int64_t lease, int64_t *life_s, bt_error_t *error)
+bt_renew_kv_lease (bt_context_t *ctx, bt_kv_t *kv, int64_t lease, int64_t *ttl_s, bt_error_t *error)
 {
-  return kv->vtable->renew_lease (ctx, kv, lease, life_s, error);
+  return kv->vtable->renew_lease (ctx, kv, lease, ttl_s, error);
 }
 
 bool
@@ -112,14 +110,14 @@
               bt_kv_changes_t *changes,
               bt_error_t *error)
 {
-  bt_kv_watch_result_t result = BT_KV_WATCH_QUIET;
+  bt_kv_watch_result_t result = BT_KV_WATCH_NO_EVENTS;
 
   memset (changes, 0, sizeof *changes);
   if (kv->vtable->follow != NULL)
     return kv->vtable->follow (ctx, kv, prefix, start_revision, wait_ms, changes, error);
   if (!bt_watch_kv (ctx, kv, prefix, start_revision, wait_ms, &result, error))
     return false;
-  changes->incomplete = result != BT_KV_WATCH_QUIET;
+  changes->incomplete = result != BT_KV_WATCH_NO_EVENTS;
   changes->written.revision = start_revision - 1;
   return true;
 }
@@ -131,7 +129,7 @@
   for (int32_t i = 0; i < changes->removed_count; i++)
     bt_free (ctx, changes->removed[i]);
   bt_free (ctx, changes->removed);
-  bt_free (ctx, changes->removed_at);
+  bt_free (ctx, changes->removed_revisions);
   memset (changes, 0, sizeof *changes);
 }
 
@@ -151,8 +149,8 @@
   bt_free (ctx, pair->value);
 }
 
-/* A key may have been written and removed, or the other way round, within one answer: the later of
- * the two counts. */
+/* Removes a key unless it was written at a later revision: one answer can contain both a write and
+ * a removal of the same key, and the later one applies. */
 static void
 remove_key (bt_context_t *ctx, bt_kv_range_t *range, const char *key, int64_t revision)
 {
@@ -183,7 +181,7 @@
     }
   written->count = 0;
   for (int32_t i = 0; i < changes->removed_count; i++)
-    remove_key (ctx, range, changes->removed[i], changes->removed_at[i]);
+    remove_key (ctx, range, changes->removed[i], changes->removed_revisions[i]);
   range->revision = written->revision;
 }
 
--- a/test/platform/test_asker.c
+++ b/test/platform/test_caller_domain.c
@@ -11,10 +11,10 @@
   CU_ASSERT_STRING_EQUAL (domain, expected);
 }
 
-/* A caller that says where it is gets the instances near it; anything else must not be taken for a
- * place. */
+/* A caller that names its failure domain gets the instances in it. No other part of the request may
+ * be read as a failure domain. */
 static void
-test_domain_of_a_caller (void)
+test_failure_domain_of_a_caller (void)
 {
   check_domain ("/v1/resolve?name=shop.example&region=north&zone=hall-1", "hall-1");
   check_domain ("/v1/resolve?zone=hall-2&name=shop.example", "hall-2");
@@ -34,8 +34,8 @@
   unsigned int failed;
 
   CU_initialize_registry ();
-  suite = CU_add_suite ("asker", NULL, NULL);
-  CU_ADD_TEST (suite, test_domain_of_a_caller);
+  suite = CU_add_suite ("caller_domain", NULL, NULL);
+  CU_ADD_TEST (suite, test_failure_domain_of_a_caller);
   CU_basic_set_mode (CU_BRM_VERBOSE);
   CU_basic_run_tests ();
   failed = CU_get_number_of_failures ();
--- a/test/platform/test_engine.c
+++ b/test/platform/test_engine.c
@@ -30,14 +30,14 @@
 static bt_engine_places_t places;
 static bt_error_t error;
 
-/* Writes a text with one part of it changed. */
+/* Writes a copy of a text with one part of it replaced. */
 static void
-change (char text[TEXT_BYTES], const char *good, const char *part, const char *into)
+change (char text[TEXT_BYTES], const char *good, const char *part, const char *replacement)
 {
   const char *at = strstr (good, part);
 
   CU_ASSERT_PTR_NOT_NULL_FATAL (at);
-  snprintf (text, TEXT_BYTES, "%.*s%s%s", (int)(at - good), good, into, at + strlen (part));
+  snprintf (text, TEXT_BYTES, "%.*s%s%s", (int)(at - good), good, replacement, at + strlen (part));
 }
 
 static bool
@@ -93,7 +93,8 @@
   CU_ASSERT_EQUAL (places.version, 7);
 }
 
-/* An engine without a group says nothing of maps; one of older software nothing of its start. */
+/* An engine without a group reports nothing about maps, and one with older software reports no
+ * start time. */
 static void
 test_report_without_a_group_is_read (void)
 {
@@ -107,10 +108,10 @@
   CU_ASSERT_STRING_EQUAL (report.group, "");
 }
 
-/* A count of orders that stands as a text was taken for zero, the map in use for the first one: a
- * leader orders by them. Such a report tells nothing, and the log names the field. */
+/* An order count in a string must not be read as zero, nor the map version as the first map: a
+ * leader bases its orders on them. Such a report is refused, and the error names the field. */
 static void
-test_field_of_another_type_is_not_zero (void)
+test_field_of_wrong_type_is_refused (void)
 {
   static const char *const cases[][3] = {
     { "\"sequence\":5", "\"sequence\":\"5\"", "sequence" },
@@ -145,7 +146,7 @@
 }
 
 static void
-test_counts_and_lists_of_another_type_are_not_zero (void)
+test_counts_and_lists_of_wrong_type_are_refused (void)
 {
   static const char *const counts[] = { "[1,\"2\",3]", "[1,null]", "[-1]", "[1.5]", "[[1]]", "7" };
   static const char *const experts[] = { "[[0,\"2\"]]", "[[0],7]",  "[[-1]]", "[[65536]]",
@@ -179,7 +180,7 @@
   return bytes;
 }
 
-/* Whatever bytes an engine answers with: they are refused, or their numbers can be used. */
+/* Any mutated answer of an engine is either refused or yields numbers that can be used. */
 static void
 test_changed_bytes_are_refused_or_usable (void)
 {
@@ -208,8 +209,8 @@
   suite = CU_add_suite ("engine", NULL, NULL);
   CU_ADD_TEST (suite, test_report_is_read);
   CU_ADD_TEST (suite, test_report_without_a_group_is_read);
-  CU_ADD_TEST (suite, test_field_of_another_type_is_not_zero);
-  CU_ADD_TEST (suite, test_counts_and_lists_of_another_type_are_not_zero);
+  CU_ADD_TEST (suite, test_field_of_wrong_type_is_refused);
+  CU_ADD_TEST (suite, test_counts_and_lists_of_wrong_type_are_refused);
   CU_ADD_TEST (suite, test_changed_bytes_are_refused_or_usable);
   CU_basic_set_mode (CU_BRM_VERBOSE);
   CU_basic_run_tests ();
--- a/test/process/test_gateway_foreign.c
+++ b/test/process/test_gateway_foreign.c
@@ -23,39 +23,39 @@
     "\"public\":true}],"
     "\"limits\":{\"max_header_bytes\":16384,\"max_body_bytes\":65536,\"idle_timeout_ms\":15000}}";
 
-static bt_field_t *field;
+static bt_gateway_testbed_t *testbed;
 
 static int
 start_suite (void)
 {
-  field = bt_new_field (1, configuration);
-  return field == NULL || !bt_wait_gateway_ready (field, 0) ? 1 : 0;
+  testbed = bt_new_gateway_testbed (1, configuration);
+  return testbed == NULL || !bt_wait_gateway_ready (testbed, 0) ? 1 : 0;
 }
 
 static int
 end_suite (void)
 {
-  bt_drop_field (field, CU_get_number_of_failures () > 0);
+  bt_drop_gateway_testbed (testbed, CU_get_number_of_failures () > 0);
   return 0;
 }
 
 static int32_t
-ask_status (const char *id)
+request_status (const char *id)
 {
-  bt_field_call_t call = { .path = "/a/order", .id = id, .deadline_ms = 3000 };
+  bt_gateway_call_t call = { .path = "/a/order", .id = id, .deadline_ms = 3000 };
 
-  return bt_call_field_status (field, &call);
+  return bt_get_call_status (testbed, &call);
 }
 
 static bool
 wait_status (const char *id, int32_t wanted)
 {
-  bt_field_call_t call = { .path = "/a/order", .id = id, .deadline_ms = 3000 };
+  bt_gateway_call_t call = { .path = "/a/order", .id = id, .deadline_ms = 3000 };
 
-  return bt_wait_field_status (field, &call, wanted);
+  return bt_wait_call_status (testbed, &call, wanted);
 }
 
-/* Lines of the gateway's log in which both texts stand. */
+/* Returns how many lines of the gateway's log contain both texts. */
 static int32_t
 count_log_lines (const char *text, const char *other)
 {
@@ -64,7 +64,7 @@
   int32_t lines = 0;
   FILE *file;
 
-  snprintf (path, sizeof path, "%s/instance=gateway-0.log", field->folder);
+  snprintf (path, sizeof path, "%s/instance=gateway-0.log", testbed->folder);
   file = fopen (path, "r");
   while (file != NULL && fgets (line, sizeof line, file) != NULL)
     lines += strstr (line, text) != NULL && strstr (line, other) != NULL ? 1 : 0;
@@ -76,7 +76,7 @@
 static bool
 wait_log_line (const char *text, const char *other)
 {
-  int64_t limit_ms = bt_read_clock_ms (bt_system_clock ()) + BT_STAGE_WAIT_MS;
+  int64_t limit_ms = bt_read_clock_ms (bt_system_clock ()) + BT_WAIT_LIMIT_MS;
 
   while (count_log_lines (text, other) == 0)
     {
@@ -87,51 +87,53 @@
   return true;
 }
 
-/* Writes an entry as nobody should, at the address of a good runner. */
+/* Writes an invalid item with the address of a working runner. */
 static void
-put_foreign (const char *key, const char *format)
+put_invalid_item (const char *key, const char *format)
 {
   char value[LINE_BYTES];
 
-  snprintf (value, sizeof value, format, field->runner_ports[0]);
-  CU_ASSERT_TRUE (bt_put_field_item (field, key, value));
+  snprintf (value, sizeof value, format, testbed->runner_ports[0]);
+  CU_ASSERT_TRUE (bt_put_store_item (testbed, key, value));
 }
 
 static void
-put_all_foreign (void)
+put_all_invalid_items (void)
 {
-  put_foreign ("servers/x-none", "");
-  put_foreign ("servers/x-bytes", "\xff\xfe{");
-  put_foreign ("servers/x-list", "[\"127.0.0.1:%d\"]");
-  put_foreign ("servers/x-missing",
-               "{\"service\":\"svc\",\"address\":\"127.0.0.1:%d\",\"born\":9}");
-  put_foreign (
+  put_invalid_item ("servers/x-none", "");
+  put_invalid_item ("servers/x-bytes", "\xff\xfe{");
+  put_invalid_item ("servers/x-list", "[\"127.0.0.1:%d\"]");
+  put_invalid_item ("servers/x-missing",
+                    "{\"service\":\"svc\",\"address\":\"127.0.0.1:%d\",\"born\":9}");
+  put_invalid_item (
       "servers/x-type",
       "{\"service\":\"svc\",\"address\":\"127.0.0.1:%d\",\"zone\":\"a\",\"version\":\"v1\","
       "\"slots\":\"8\",\"state\":\"ready\",\"cold_left_ms\":0,\"sequence\":1}");
-  put_foreign (
+  put_invalid_item (
       "servers/x-state",
       "{\"service\":\"svc\",\"address\":\"127.0.0.1:%d\",\"zone\":\"a\",\"version\":\"v1\","
       "\"slots\":8,\"state\":\"waking\",\"cold_left_ms\":0,\"sequence\":1}");
-  put_foreign ("servers/x-service",
-               "{\"service\":\"nobodys\",\"address\":\"127.0.0.1:%d\",\"zone\":\"a\","
-               "\"version\":\"v1\",\"slots\":8,\"state\":\"ready\",\"cold_left_ms\":0,"
-               "\"sequence\":1,\"born\":9999999999999}");
-  put_foreign (
+  put_invalid_item ("servers/x-service",
+                    "{\"service\":\"nobodys\",\"address\":\"127.0.0.1:%d\",\"zone\":\"a\","
+                    "\"version\":\"v1\",\"slots\":8,\"state\":\"ready\",\"cold_left_ms\":0,"
+                    "\"sequence\":1,\"born\":9999999999999}");
+  put_invalid_item (
       "servers/x-address",
       "{\"service\":\"svc\",\"address\":\"localhost:%d\",\"zone\":\"a\",\"version\":\"v1\","
       "\"slots\":8,\"state\":\"ready\",\"cold_left_ms\":0,\"sequence\":1}");
-  put_foreign ("bilberrytray/entries/x", "{\"callers\":\"nowhere\",\"links\":\"127.0.0.1:%d\"}");
-  put_foreign ("bilberrytray/maps/groups/controller", "{\"no\":\"instance\"}");
+  put_invalid_item ("bilberrytray/entries/x",
+                    "{\"callers\":\"nowhere\",\"links\":\"127.0.0.1:%d\"}");
+  put_invalid_item ("bilberrytray/maps/groups/controller", "{\"no\":\"instance\"}");
 }
 
-/* Another writer puts entries of all sorts beside those of the runners, some at a runner's address,
- * again and again. Orders go to the runners as before, and the log tells of each writing once. */
+/* Another program writes invalid items of all kinds into the store, some with a runner's address.
+ * Orders must go to the runners as before, and the log must report each invalid item once, although
+ * the view is rebuilt many times. */
 static void
-test_runners_are_used_beside_foreign_entries (void)
+test_runners_are_used_beside_invalid_items (void)
 {
-  CU_ASSERT_EQUAL (ask_status ("r-before"), OK);
-  put_all_foreign ();
+  CU_ASSERT_EQUAL (request_status ("r-before"), OK);
+  put_all_invalid_items ();
   CU_ASSERT_TRUE (wait_log_line ("entry-unreadable", "bilberrytray/entries/x"));
   CU_ASSERT_TRUE (wait_log_line ("endpoint-unreadable", "servers/x-address"));
   for (int32_t i = 0; i < REQUESTS; i++)
@@ -139,49 +141,50 @@
       char id[32];
 
       snprintf (id, sizeof id, "r-%d", i);
-      CU_ASSERT_EQUAL (ask_status (id), OK);
-      /* A change of something else, with which a view is made. */
+      CU_ASSERT_EQUAL (request_status (id), OK);
+      /* Changes an unrelated item, after which the gateway builds a new view. */
       if (i % 6 == 0)
-        bt_put_field_item (field, "other/key", id);
+        bt_put_store_item (testbed, "other/key", id);
     }
-  put_foreign ("servers/x-last", "%d");
+  put_invalid_item ("servers/x-last", "%d");
   CU_ASSERT_TRUE (wait_log_line ("endpoint-unreadable", "servers/x-last"));
-  CU_ASSERT_EQUAL (ask_status ("r-last"), OK);
+  CU_ASSERT_EQUAL (request_status ("r-last"), OK);
   CU_ASSERT_EQUAL (count_log_lines ("endpoint-unreadable", "servers/x-"), 9);
   CU_ASSERT_EQUAL (count_log_lines ("endpoint-unreadable", "slots"), 1);
   CU_ASSERT_EQUAL (count_log_lines ("entry-unreadable", "bilberrytray/entries/x"), 1);
 }
 
-/* Callers ask which addresses to use. What was scribbled is not told to them. */
+/* Callers ask which addresses to use. The address in an invalid item must not be advertised to
+ * them. */
 static void
-test_scribbled_address_is_not_told_to_callers (void)
+test_invalid_address_is_not_advertised (void)
 {
   char url[LINE_BYTES];
-  bt_reply_t reply;
+  bt_http_reply_t reply;
 
   snprintf (url, sizeof url, "http://127.0.0.1:%d/v1/resolve?name=shop.example",
-            field->address_ports[0]);
+            testbed->address_ports[0]);
   bt_perform_request (url, NULL, NULL, NULL, &reply);
   CU_ASSERT_EQUAL (reply.status, OK);
   CU_ASSERT_PTR_NULL (strstr (bt_get_reply_text (&reply), "nowhere"));
   bt_clear_reply (&reply);
 }
 
-/* Another writer overwrites the runners' own entries. They name no runner then, until the runners
- * write again. */
+/* Another program overwrites the runners' own items. They must name no runner until the runners
+ * write them again. */
 static void
-test_overwritten_entry_names_no_runner_until_it_writes_again (void)
+test_overwritten_runner_is_unused_until_it_writes_again (void)
 {
-  for (int32_t i = 0; i < BT_FIELD_RUNNERS; i++)
+  for (int32_t i = 0; i < BT_DEFAULT_RUNNERS; i++)
     {
       char key[64];
 
       snprintf (key, sizeof key, "servers/i-%d", i);
-      put_foreign (key, "{\"address\":\"127.0.0.1:%d\"}");
+      put_invalid_item (key, "{\"address\":\"127.0.0.1:%d\"}");
     }
   CU_ASSERT_TRUE (wait_status ("r-overwritten", UNAVAILABLE));
-  for (int32_t i = 0; i < BT_FIELD_RUNNERS; i++)
-    CU_ASSERT_TRUE (bt_list_field_runner (field, i, "ready"));
+  for (int32_t i = 0; i < BT_DEFAULT_RUNNERS; i++)
+    CU_ASSERT_TRUE (bt_put_runner_item (testbed, i, "ready"));
   CU_ASSERT_TRUE (wait_status ("r-again", OK));
 }
 
@@ -193,9 +196,9 @@
 
   CU_initialize_registry ();
   suite = CU_add_suite ("gateway_foreign", start_suite, end_suite);
-  CU_ADD_TEST (suite, test_runners_are_used_beside_foreign_entries);
-  CU_ADD_TEST (suite, test_scribbled_address_is_not_told_to_callers);
-  CU_ADD_TEST (suite, test_overwritten_entry_names_no_runner_until_it_writes_again);
+  CU_ADD_TEST (suite, test_runners_are_used_beside_invalid_items);
+  CU_ADD_TEST (suite, test_invalid_address_is_not_advertised);
+  CU_ADD_TEST (suite, test_overwritten_runner_is_unused_until_it_writes_again);
   CU_basic_set_mode (CU_BRM_VERBOSE);
   CU_basic_run_tests ();
   failures = CU_get_number_of_failures ();
--- a/test/store/test_kv.c
+++ b/test/store/test_kv.c
@@ -7,7 +7,7 @@
 typedef struct fixture
 {
   bt_context_t *ctx;
-  standin_process_t service;
+  standin_process_t store;
   bt_kv_t *kv;
 } fixture_t;
 
@@ -18,8 +18,8 @@
 
   fixture->ctx = bt_new_context ();
   bt_set_log_level (fixture->ctx, -1);
-  CU_ASSERT_FATAL (start_standin (&fixture->service, "standin-kv"));
-  settings = bt_get_default_kv_settings (fixture->service.url);
+  CU_ASSERT_FATAL (start_standin (&fixture->store, "standin-kv"));
+  settings = bt_get_default_kv_settings (fixture->store.url);
   settings.total_ms = total_ms;
   settings.rate.calls_per_s = calls_per_s;
   settings.rate.burst = burst;
@@ -32,7 +32,7 @@
 close_fixture (fixture_t *fixture)
 {
   bt_drop_kv (fixture->ctx, fixture->kv);
-  stop_standin (&fixture->service);
+  stop_standin (&fixture->store);
   bt_drop_context (fixture->ctx);
 }
 
@@ -48,19 +48,20 @@
 static bool
 swap_text (fixture_t *fixture,
            const char *key,
-           int64_t base,
+           int64_t base_revision,
            const char *text,
            bt_kv_txn_result_t *result,
            bt_error_t *error)
 {
-  bt_kv_compare_t compare = { key, base };
+  bt_kv_compare_t compare = { key, base_revision };
   bt_kv_write_t write = { BT_KV_PUT, key, text, strlen (text), 0 };
   bt_kv_txn_t txn = { &compare, 1, &write, 1 };
 
   return bt_commit_kv (fixture->ctx, fixture->kv, &txn, result, error);
 }
 
-/* The value of a key, copied; "" when it is missing or the read failed. */
+/* Copies the value of a key to @p text, or "" if the key is missing or the read failed. Returns the
+ * revision of the key, 0 if it is missing, or -1 if the read failed. */
 static int64_t
 read_text (fixture_t *fixture, const char *key, char text[64])
 {
@@ -117,9 +118,9 @@
   close_fixture (&fixture);
 }
 
-/* An operator publishes and is told that the service did not answer, yet the change rules.
- * The service wrote the change; then the connection broke before the answer. The error must say
- * that the effect is unknown, and the client must not send the write a second time by itself. */
+/* The store commits a write and the connection breaks before the answer. An operator who publishes
+ * a change must not be told that it failed while it is in effect: the error must say that the
+ * effect is unknown, and the client must not resend the write by itself. */
 static void
 test_lost_answer_leaves_effect_unknown (void)
 {
@@ -131,28 +132,28 @@
 
   open_fixture (&fixture, 3000, 1000, 1000);
   read_text (&fixture, "config/rules", text);
-  CU_ASSERT_TRUE (set_fault (fixture.ctx, &fixture.service,
+  CU_ASSERT_TRUE (set_fault (fixture.ctx, &fixture.store,
                              "{\"kind\":\"lost-answer\",\"count\":1,\"match\":\"txn\"}"));
   CU_ASSERT_FALSE (swap_text (&fixture, "config/rules", 0, "one", &result, &error));
   CU_ASSERT_TRUE (bt_is_kv_effect_unknown (&error));
   CU_ASSERT_TRUE (read_text (&fixture, "config/rules", text) > 0);
   CU_ASSERT_STRING_EQUAL (text, "one");
-  command_standin (fixture.ctx, &fixture.service, "/stats", NULL, stats, sizeof stats);
+  command_standin (fixture.ctx, &fixture.store, "/stats", NULL, stats, sizeof stats);
   CU_ASSERT_PTR_NOT_NULL (strstr (stats, "\"txn\":1"));
   close_fixture (&fixture);
 }
 
-/* A publish fails because nothing listens any more: the operator may be told for certain that
- * nothing was written, since the request was never sent. */
+/* A write fails because the store does not listen. The request was never sent, so the error must
+ * say that nothing was written. */
 static void
-test_unreachable_service_has_no_effect (void)
+test_unreachable_store_has_no_effect (void)
 {
   fixture_t fixture;
   bt_kv_txn_result_t result;
   bt_error_t error = { 0 };
 
   open_fixture (&fixture, 3000, 1000, 1000);
-  stop_standin (&fixture.service);
+  stop_standin (&fixture.store);
   CU_ASSERT_FALSE (swap_text (&fixture, "config/rules", 0, "one", &result, &error));
   CU_ASSERT_EQUAL (error.code, BT_ERROR_SYSTEM);
   CU_ASSERT_FALSE (bt_is_kv_effect_unknown (&error));
@@ -160,10 +161,10 @@
   bt_drop_context (fixture.ctx);
 }
 
-/* A connection goes silent while the service is well for everyone else. The call must end by its
- * limit, as unknown, and the next one must get through. */
+/* One connection goes silent while the store works for other clients. The call must end at its time
+ * limit with an unknown effect, and the next call must succeed. */
 static void
-test_silent_call_ends_and_next_gets_through (void)
+test_silent_call_times_out_and_next_succeeds (void)
 {
   fixture_t fixture;
   bt_kv_range_t range = { 0 };
@@ -173,7 +174,7 @@
   open_fixture (&fixture, 500, 1000, 1000);
   CU_ASSERT_TRUE (put_text (&fixture, "config/rules", "one", NULL));
   CU_ASSERT_TRUE (
-      set_fault (fixture.ctx, &fixture.service,
+      set_fault (fixture.ctx, &fixture.store,
                  "{\"kind\":\"slow\",\"count\":1,\"delay_ms\":60000,\"match\":\"range\"}"));
   CU_ASSERT_FALSE (bt_read_kv (fixture.ctx, fixture.kv, "config/", true, &range, &error));
   CU_ASSERT_EQUAL (error.code, BT_ERROR_TIMEOUT);
@@ -181,10 +182,10 @@
   close_fixture (&fixture);
 }
 
-/* A watch is open and confirmed, a change is made, and nothing arrives: a silent watch looks like
- * one on which nothing happened. It must end by its wait, and the plain read after it tells. */
+/* A watch is confirmed, a key changes, and no event arrives, which looks like a watch without
+ * changes. The watch must end at its time limit, and a read afterwards shows the change. */
 static void
-test_watch (void)
+test_watch_ends_by_event_or_time_limit (void)
 {
   fixture_t fixture;
   bt_kv_watch_result_t result = BT_KV_WATCH_COMPACTED;
@@ -196,28 +197,28 @@
   CU_ASSERT_TRUE (put_text (&fixture, "config/rules", "one", &revision));
   CU_ASSERT_TRUE (
       bt_watch_kv (fixture.ctx, fixture.kv, "config/", revision + 1, 300, &result, &error));
-  CU_ASSERT_EQUAL (result, BT_KV_WATCH_QUIET);
+  CU_ASSERT_EQUAL (result, BT_KV_WATCH_NO_EVENTS);
   CU_ASSERT_TRUE (put_text (&fixture, "config/rules", "two", NULL));
   CU_ASSERT_TRUE (
       bt_watch_kv (fixture.ctx, fixture.kv, "config/", revision + 1, 60000, &result, &error));
   CU_ASSERT_EQUAL (result, BT_KV_WATCH_EVENTS);
-  set_fault (fixture.ctx, &fixture.service, "{\"kind\":\"silent-watch\",\"match\":\"watch\"}");
+  set_fault (fixture.ctx, &fixture.store, "{\"kind\":\"silent-watch\",\"match\":\"watch\"}");
   CU_ASSERT_TRUE (
       bt_watch_kv (fixture.ctx, fixture.kv, "config/", revision + 1, 500, &result, &error));
-  CU_ASSERT_EQUAL (result, BT_KV_WATCH_QUIET);
+  CU_ASSERT_EQUAL (result, BT_KV_WATCH_NO_EVENTS);
   CU_ASSERT_EQUAL (read_text (&fixture, "config/rules", text), revision + 1);
   close_fixture (&fixture);
 }
 
-/* The holder of a lease was paused for longer than the lease's life. Its key is gone, and its
- * renewal must be told so rather than be given a new life. */
+/* The holder of a lease was paused for longer than the TTL, and its key is gone. Its renewal must
+ * fail instead of reviving the lease. */
 static void
-test_lapsed_lease_is_not_renewed (void)
+test_expired_lease_is_not_renewed (void)
 {
   fixture_t fixture;
   bt_error_t error = { 0 };
   int64_t lease = 0;
-  int64_t life_s = 0;
+  int64_t ttl_s = 0;
   char text[64];
   bt_kv_write_t write = { BT_KV_PUT, "controller", "me", 2, 0 };
 
@@ -225,11 +226,11 @@
   CU_ASSERT_TRUE (bt_grant_kv_lease (fixture.ctx, fixture.kv, 1, &lease, &error));
   write.lease = lease;
   CU_ASSERT_TRUE (bt_put_kv (fixture.ctx, fixture.kv, &write, NULL, &error));
-  CU_ASSERT_TRUE (bt_renew_kv_lease (fixture.ctx, fixture.kv, lease, &life_s, &error));
-  CU_ASSERT_EQUAL (life_s, 1);
+  CU_ASSERT_TRUE (bt_renew_kv_lease (fixture.ctx, fixture.kv, lease, &ttl_s, &error));
+  CU_ASSERT_EQUAL (ttl_s, 1);
   for (int32_t i = 0; i < 200 && read_text (&fixture, "controller", text) != 0; i++)
     usleep (50000);
-  CU_ASSERT_FALSE (bt_renew_kv_lease (fixture.ctx, fixture.kv, lease, &life_s, &error));
+  CU_ASSERT_FALSE (bt_renew_kv_lease (fixture.ctx, fixture.kv, lease, &ttl_s, &error));
   CU_ASSERT_EQUAL (error.code, BT_ERROR_NOT_FOUND);
   bt_clear_error (&error);
   CU_ASSERT_TRUE (bt_grant_kv_lease (fixture.ctx, fixture.kv, 100, &write.lease, &error));
@@ -247,7 +248,7 @@
 
   open_fixture (&fixture, 3000, 1000, 1000);
   CU_ASSERT_TRUE (put_text (&fixture, "config/rules", "one", NULL));
-  set_fault (fixture.ctx, &fixture.service,
+  set_fault (fixture.ctx, &fixture.store,
              "{\"kind\":\"stale-read\",\"count\":1,\"match\":\"range\"}");
   CU_ASSERT_TRUE (put_text (&fixture, "config/rules", "two", NULL));
   read_text (&fixture, "config/rules", text);
@@ -257,10 +258,10 @@
   close_fixture (&fixture);
 }
 
-/* A fleet that retries without a bound takes the service's whole rate. Past its allowance a call
- * must end here, certainly unsent, and the service must not see it. */
+/* Clients that retry without a limit would use up the whole rate of the store. Beyond the rate
+ * limit a call must fail locally as not sent, and the store must not receive it. */
 static void
-test_rate_bound_holds_calls_back (void)
+test_rate_limit_rejects_calls_locally (void)
 {
   fixture_t fixture;
   char text[64];
@@ -270,7 +271,7 @@
   for (int32_t i = 0; i < 3; i++)
     CU_ASSERT_EQUAL (read_text (&fixture, "config/rules", text), 0);
   CU_ASSERT_EQUAL (read_text (&fixture, "config/rules", text), -1);
-  command_standin (fixture.ctx, &fixture.service, "/stats", NULL, stats, sizeof stats);
+  command_standin (fixture.ctx, &fixture.store, "/stats", NULL, stats, sizeof stats);
   CU_ASSERT_PTR_NOT_NULL (strstr (stats, "\"range\":3"));
   CU_ASSERT_EQUAL (bt_read_counter (bt_find_counter (
                        fixture.ctx, BT_COUNTER, "bilberry_store_calls_total", "", "kind", "range")),
@@ -288,12 +289,12 @@
   suite = CU_add_suite ("kv", NULL, NULL);
   CU_ADD_TEST (suite, test_reads_and_writes);
   CU_ADD_TEST (suite, test_lost_answer_leaves_effect_unknown);
-  CU_ADD_TEST (suite, test_unreachable_service_has_no_effect);
-  CU_ADD_TEST (suite, test_silent_call_ends_and_next_gets_through);
-  CU_ADD_TEST (suite, test_watch);
-  CU_ADD_TEST (suite, test_lapsed_lease_is_not_renewed);
+  CU_ADD_TEST (suite, test_unreachable_store_has_no_effect);
+  CU_ADD_TEST (suite, test_silent_call_times_out_and_next_succeeds);
+  CU_ADD_TEST (suite, test_watch_ends_by_event_or_time_limit);
+  CU_ADD_TEST (suite, test_expired_lease_is_not_renewed);
   CU_ADD_TEST (suite, test_stale_read_shows_older_revision);
-  CU_ADD_TEST (suite, test_rate_bound_holds_calls_back);
+  CU_ADD_TEST (suite, test_rate_limit_rejects_calls_locally);
   CU_basic_set_mode (CU_BRM_VERBOSE);
   CU_basic_run_tests ();
   failed = CU_get_number_of_failures ();
--- a/test/tools/test_operations_page.sh
+++ b/test/tools/test_operations_page.sh
@@ -1,14 +1,19 @@
 #!/bin/bash
-# A new event or metric comes with a change of the code, and on call nobody knows what it says. So
-# each one that the code can write has to stand on the operators' page.
+# Guards against events and metrics that operators cannot look up: a code change adds one, but not its
+# description. Each event and metric that the code can write must be listed on the operations page.
 set -u
 cd "$(dirname "$0")/../.."
 page=docs/OPERATIONS.md
 errors=0
 
-# All C files as one line, so that calls over several lines are found.
+# Joins all C files into one line, so that calls that span several lines are found.
 code=$(find source platform -name '*.c' ! -path '*/generated/*' -exec cat {} + | tr '\n' ' ' | tr -s ' ')
-events=$(grep -oP 'bt_log_event \( ?[^,]+,[^,]+,\K[^,]+|tell_left_out \([^"]*\K|begin_object \([^,]+,[^,]+,\K[^)]+|tell_endpoint \([^,]+,\K[^,]+' <<<"$code" \
+calls='bt_log_event \( ?[^,]+,[^,]+,\K[^,]+|write_dropped_event \([^"]*\K|begin_object \([^,]+,[^,]+,\K[^)]+|log_endpoint \([^,]+,\K[^,]+'
+# Fails if a named function no longer exists: after a rename, its events would no longer be found.
+for function in $(grep -oP '\w+(?= \\\()' <<<"$calls"); do
+  grep -rq --include='*.c' "\<$function (" source || { echo "function $function is not in source"; errors=$((errors + 1)); }
+done
+events=$(grep -oP "$calls" <<<"$code" \
   | grep -oP '"\K[a-z-]+(?=")' | sort -u)
 metrics=$(grep -oP '"\Kbilberry_[a-z_]+(?=")' <<<"$code" | sort -u)
 for name in $events; do
