--- a/source/agent/agent.c
+++ b/source/agent/agent.c
@@ -274,7 +274,7 @@
    * that this agent considers free. */
   if (!bt_cancel_orphaned_runs (agent->ctx, &options, &cancelled, &cancel_error))
     bt_log (agent->ctx, BT_LOG_WARNING, BT_PART_ENGINE,
-            "Can't cancel the runs of an earlier agent: %s", cancel_error.message);
+            "Cannot cancel the runs of an earlier agent: %s", cancel_error.message);
   else if (cancelled > 0)
     bt_log (agent->ctx, BT_LOG_INFO, BT_PART_ENGINE, "Cancelled %d runs of an earlier agent.",
             cancelled);
--- a/source/agent/main.c
+++ b/source/agent/main.c
@@ -109,7 +109,7 @@
   agent = bt_new_agent (ctx, settings, &error);
   if (agent == NULL)
     {
-      bt_log (ctx, BT_LOG_ERROR, BT_PART_MAIN, "Can't start: %s", error.message);
+      bt_log (ctx, BT_LOG_ERROR, BT_PART_MAIN, "Startup failed: %s", error.message);
       curl_global_cleanup ();
       return EXIT_FAILURE;
     }
--- a/source/agent/map_agent.c
+++ b/source/agent/map_agent.c
@@ -240,7 +240,7 @@
   snprintf (key, sizeof key, "%s%s/fence", agent->settings.store_prefix, agent->settings.group);
   if (!bt_read_kv (agent->ctx, agent->kv, key, false, &range, &error))
     {
-      bt_log (agent->ctx, BT_LOG_WARNING, BT_PART_MAPS, "Can't read the fencing number yet: %s",
+      bt_log (agent->ctx, BT_LOG_WARNING, BT_PART_MAPS, "Cannot read the fencing number yet: %s",
               error.message);
       return;
     }
@@ -354,7 +354,7 @@
   agent->started = pthread_create (&agent->thread, NULL, run_map_agent, agent) == 0;
   if (agent->started)
     return agent;
-  bt_set_error (error, BT_ERROR_SYSTEM, "Can't start a thread: %s.", strerror (errno));
+  bt_set_error (error, BT_ERROR_SYSTEM, "Cannot start a thread: %s.", strerror (errno));
   bt_drop_map_agent (ctx, agent);
   return NULL;
 }
--- a/source/agent/upstream.c
+++ b/source/agent/upstream.c
@@ -466,7 +466,7 @@
   curl_multi_setopt (upstream->multi, CURLMOPT_MAXCONNECTS, (long)MAX_CACHED_CONNECTIONS);
   if (pthread_create (&upstream->thread, NULL, run_upstream, upstream) != 0)
     {
-      bt_set_error (error, BT_ERROR_SYSTEM, "Can't start a thread: %s.", strerror (errno));
+      bt_set_error (error, BT_ERROR_SYSTEM, "Cannot start a thread: %s.", strerror (errno));
       curl_multi_cleanup (upstream->multi);
       bt_drop_queue (ctx, upstream->commands);
       bt_free (ctx, upstream);
--- a/source/gateway/event_loop.c
+++ b/source/gateway/event_loop.c
@@ -58,7 +58,7 @@
   loop->wakeup_watch.on_ready = drain_wakeup;
   if (loop->epoll_fd < 0 || loop->wakeup_watch.fd < 0)
     {
-      bt_set_error (error, BT_ERROR_SYSTEM, "Can't create the event loop: %s", strerror (errno));
+      bt_set_error (error, BT_ERROR_SYSTEM, "Cannot create the event loop: %s", strerror (errno));
       bt_drop_event_loop (ctx, loop);
       return NULL;
     }
@@ -88,7 +88,7 @@
   const uint64_t one = 1;
 
   if (write (loop->wakeup_watch.fd, &one, sizeof one) < 0 && errno != EAGAIN)
-    bt_log (loop->ctx, BT_LOG_ERROR, BT_PART_MAIN, "Can't wake the event loop: %s",
+    bt_log (loop->ctx, BT_LOG_ERROR, BT_PART_MAIN, "Cannot wake the event loop: %s",
             strerror (errno));
 }
 
@@ -116,7 +116,7 @@
   if (epoll_ctl (loop->epoll_fd, EPOLL_CTL_ADD, watch->fd, &event) == 0)
     return;
   if (errno != EEXIST || epoll_ctl (loop->epoll_fd, EPOLL_CTL_MOD, watch->fd, &event) != 0)
-    bt_log (loop->ctx, BT_LOG_ERROR, BT_PART_MAIN, "Can't watch file descriptor %d: %s", watch->fd,
+    bt_log (loop->ctx, BT_LOG_ERROR, BT_PART_MAIN, "Cannot watch file descriptor %d: %s", watch->fd,
             strerror (errno));
 }
 
--- a/source/gateway/http_frontend.c
+++ b/source/gateway/http_frontend.c
@@ -355,7 +355,7 @@
     frontend->daemon = start_daemon (frontend, &socket_address);
   if (frontend->daemon == NULL)
     {
-      bt_set_error (error, BT_ERROR_SYSTEM, "Can't serve callers on %s.", address);
+      bt_set_error (error, BT_ERROR_SYSTEM, "Cannot serve callers on %s.", address);
       bt_free (ctx, frontend);
       return NULL;
     }
